--- a/include/waxwinghollow/leaving.h
+++ b/include/waxwinghollow/leaving.h
@@ -3,44 +3,49 @@
 
 /*
  * NAME
- *	leaving - which minions are on their way out
+ *	leaving - tracks which minions are leaving
  *
  * USE
- *	Answers this failure: a minion is told to stop, finishes what it has
- *	and refuses the rest; a process that doesn't know goes on sending to
- *	it for as long as the list lags. There are three sources, and the
- *	first one counts: the platform's list, the minion's own answer to this
- *	process, and the word of a peer that got such an answer.
+ *	A minion that is ordered to stop finishes its requests and refuses new
+ *	ones. A process that doesn't know this keeps sending to it until the
+ *	platform's list is up to date. Three sources mark a minion as leaving,
+ *	and any one of them is enough: the platform's list, the minion's own
+ *	answer to this process, and the report of a peer that received such an
+ *	answer.
  *
- *	The opposite failure is a peer that is wrong (it mixes up addresses,
- *	or it is broken): a minion must not be lost by one mistaken view.
- *	The list and a minion's own answers are first hand. A peer's word is
- *	not:
- *	- From one peer it holds for WWH_LEAVING_WORD_MS. That is the time in
- *	  which another process that sends to the minion gets an answer of its
- *	  own, or the list catches up; it is short against a minion's life.
- *	- From two peers or more it holds as long as an answer of our own.
- *	- After a single word has run out, the same peer's word on that minion
- *	  is ignored for WWH_LEAVING_DOUBT_MS, so one mistaken peer takes out
- *	  a minion for at most one part in seven of the time.
- *	- An answer from the minion to a request that was sent to it after the
- *	  word, without the mark, ends that word at once, whoever gave it.
+ *	A report may be wrong, as the peer may mix up addresses or be broken,
+ *	and one mistaken peer must not take a minion out of service. The list
+ *	and the minion's own answers are first-hand evidence. A peer's report
+ *	is not:
+ *	- The report of one peer is valid for WWH_LEAVING_REPORT_TTL_MS. In
+ *	  that time another process that sends to the minion gets an answer of
+ *	  its own, or the list is updated; it is short compared with the time
+ *	  that a minion runs.
+ *	- Reports of two or more peers are valid as long as an own answer.
+ *	- After a single report has expired, further reports of the same peer
+ *	  on that minion are ignored for WWH_LEAVING_REPORT_HOLDOFF_MS, so one
+ *	  mistaken peer excludes a minion for at most one seventh of the time.
+ *	- When the minion answers a request that was sent after the report,
+ *	  and the answer isn't marked as leaving, the report becomes invalid
+ *	  at once, whichever peer sent it.
  *
- *	Own answers hold for WWH_LEAVING_ANSWER_MS after the last one: longer
- *	than the list may lag; a minion that was restarted in place comes back
- *	after it. At most WWH_LEAVING_MAX minions are kept; beyond that the
- *	oldest word is dropped, never one that is first hand.
+ *	An own answer is valid for WWH_LEAVING_ANSWER_TTL_MS, which is longer
+ *	than the list may lag; a minion that was restarted in place is used
+ *	again after that. When WWH_LEAVING_MAX minions are stored, the one
+ *	that was updated longest ago is evicted; minions with first-hand
+ *	evidence are never evicted.
  *
  * ORDER OF CALLS
- *	wwh_leaving_new, any, wwh_leaving_delete. No locks inside.
+ *	wwh_leaving_new; the other functions in any order; wwh_leaving_delete.
+ *	The caller does the locking.
  */
 
 #include <stdbool.h>
 #include <stdint.h>
 
-#define WWH_LEAVING_WORD_MS 10000
-#define WWH_LEAVING_ANSWER_MS 60000
-#define WWH_LEAVING_DOUBT_MS 60000
+#define WWH_LEAVING_REPORT_TTL_MS 10000
+#define WWH_LEAVING_ANSWER_TTL_MS 60000
+#define WWH_LEAVING_REPORT_HOLDOFF_MS 60000
 #define WWH_LEAVING_MAX 256
 #define WWH_LEAVING_ORIGINS_MAX 4
 
@@ -49,30 +54,33 @@
 wwh_leaving_t *wwh_leaving_new(void);
 void wwh_leaving_delete(wwh_leaving_t *leaving);
 
-/* The list names the minion as leaving or gone (true), or as live (false). */
-void wwh_leaving_list(wwh_leaving_t *leaving, const char *minion, bool leaves,
-		      int64_t now_ms);
+/* leaves: the list names the minion as leaving or gone; otherwise as live. */
+void wwh_leaving_set_listed(wwh_leaving_t *leaving, const char *minion,
+			    bool leaves, int64_t now_ms);
 
-/* The minion itself said so in an answer to this process. */
-void wwh_leaving_answer(wwh_leaving_t *leaving, const char *minion,
-			int64_t now_ms);
+/* Records that an answer of the minion was marked as leaving. */
+void wwh_leaving_record_answer(wwh_leaving_t *leaving, const char *minion,
+			       int64_t now_ms);
 
-/* It answered a request that was sent at sent_ms without saying so. */
-void wwh_leaving_served(wwh_leaving_t *leaving, const char *minion,
-			int64_t sent_ms);
+/* Records an answer without that mark to a request that was sent at sent_ms. */
+void wwh_leaving_record_served(wwh_leaving_t *leaving, const char *minion,
+			       int64_t sent_ms);
 
-/* The word of a peer that got such an answer age_ms ago. */
-void wwh_leaving_word(wwh_leaving_t *leaving, const char *minion,
-		      const char *origin, int64_t age_ms, int64_t now_ms);
+/*
+ * Records the report of the peer origin, which got a marked answer age_ms ago.
+ */
+void wwh_leaving_record_report(wwh_leaving_t *leaving, const char *minion,
+			       const char *origin, int64_t age_ms,
+			       int64_t now_ms);
 
-/* Whether no new work may go to the minion. */
-bool wwh_leaving_is(const wwh_leaving_t *leaving, const char *minion,
-		    int64_t now_ms);
+/* Returns true when no new work may be sent to the minion. */
+bool wwh_leaving_contains(const wwh_leaving_t *leaving, const char *minion,
+			  int64_t now_ms);
 
-/* Minions whose own answers this process passes on as its word. */
+/* Visits the minions whose own answers this process reports to its peers. */
 typedef void (*wwh_leaving_visit_t)(const char *minion, int64_t age_ms,
 				    void *client_data);
-void wwh_leaving_each_answer(const wwh_leaving_t *leaving, int64_t now_ms,
-			     wwh_leaving_visit_t visit, void *client_data);
+void wwh_leaving_foreach_answer(const wwh_leaving_t *leaving, int64_t now_ms,
+				wwh_leaving_visit_t visit, void *client_data);
 
 #endif
--- a/include/waxwinghollow/scheduler.h
+++ b/include/waxwinghollow/scheduler.h
@@ -421,8 +421,8 @@
 						const char *upstream);
 
 /* For wwh_pool_sizing_wanted. */
-wwh_pool_figures_t wwh_scheduler_pool_figures(wwh_scheduler_t *scheduler,
-					      const char *pool);
+wwh_pool_demand_t wwh_scheduler_pool_demand(wwh_scheduler_t *scheduler,
+					    const char *pool);
 
 typedef struct {
 	int32_t jobs;
--- a/include/waxwinghollow/workspace_quota.h
+++ b/include/waxwinghollow/workspace_quota.h
@@ -3,18 +3,18 @@
 
 /*
  * NAME
- *	workspace_quota - what each workspace has at work, and may have
+ *	workspace_quota - tracks the running load and limit of each workspace
  *
  * USE
- *	Sums over all pools, without input or output. Work of no workspace has
- *	no limit.
+ *	Sums the load of each workspace over all pools, without input or
+ *	output. Work that belongs to no workspace has no limit.
  *
  * LOAD
- *	One workspace sends many times its usual. Without limits it takes all
- *	hosts, and the others wait for its tasks.
+ *	One workspace sends many times its usual work. Without a limit its
+ *	tasks would occupy all hosts, and the other workspaces would wait.
  *
  * ORDER OF CALLS
- *	wwh_workspace_quota_new; limits and sums in any order; queries;
+ *	wwh_workspace_quota_new; limits, loads and queries in any order;
  *	wwh_workspace_quota_delete.
  */
 
@@ -27,14 +27,14 @@
 wwh_workspace_quota_t *wwh_workspace_quota_new(void);
 void wwh_workspace_quota_delete(wwh_workspace_quota_t *quota);
 
-/* Limits of a configuration are set anew, after those of the one before went. */
+/* Removes all limits, before those of a new configuration are set. */
 void wwh_workspace_quota_clear_limits(wwh_workspace_quota_t *quota);
-/* 0 in a part of limit: that part has none. */
+/* A member of limit that is 0 sets no limit for that resource. */
 void wwh_workspace_quota_set_limit(wwh_workspace_quota_t *quota,
 				   const char *workspace,
 				   const wwh_load_t *limit);
 
-/* workspace NULL: none; nothing is counted. */
+/* Does nothing when workspace is NULL. */
 void wwh_workspace_quota_add(wwh_workspace_quota_t *quota,
 			     const char *workspace, const wwh_load_t *load);
 void wwh_workspace_quota_subtract(wwh_workspace_quota_t *quota,
@@ -45,9 +45,10 @@
 				    const char *workspace);
 
 /*
- * Whether load fits beside what is at work and reserved, which may be at work.
- * One task that is larger than the limit fits where there is nothing else:
- * it could never run otherwise.
+ * Returns true when load fits within the limit in addition to the running load
+ * and to reserved, a load that may be running. A task that is larger than the
+ * limit is allowed when nothing else is running, as it could never run
+ * otherwise.
  */
 bool wwh_workspace_quota_allows(const wwh_workspace_quota_t *quota,
 				const char *workspace, const wwh_load_t *load,
--- a/src/libwaxwinghollow/leaving.c
+++ b/src/libwaxwinghollow/leaving.c
@@ -6,32 +6,33 @@
 typedef struct {
 	char *origin;
 	int64_t since_ms;
-	bool denied; /* the minion answered without the mark since then */
-} word_t;
+	bool contradicted; /* by a later answer without the mark */
+} report_t;
 
 typedef struct {
 	char *minion;
-	bool listed;
-	int64_t answer_ms; /* last own answer; 0: none */
-	word_t words[WWH_LEAVING_ORIGINS_MAX];
-	int32_t word_count;
-	int64_t touched_ms;
+	bool listed; /* as leaving or gone */
+	int64_t answer_ms; /* last own answer with the mark; 0: none */
+	report_t reports[WWH_LEAVING_ORIGINS_MAX];
+	int32_t report_count;
+	int64_t updated_ms;
 } row_t;
 
 struct wwh_leaving {
-	GPtrArray *rows; /* row_t * in the order of minion */
+	GPtrArray *rows; /* row_t *, sorted by minion */
 };
 
-static row_t *find(const wwh_leaving_t *leaving, const char *minion,
-		   guint *index);
+static row_t *find_row(const wwh_leaving_t *leaving, const char *minion,
+		       guint *index);
 static row_t *find_or_add(wwh_leaving_t *leaving, const char *minion,
 			  int64_t now_ms);
 static void row_free(gpointer data);
-static bool make_room(wwh_leaving_t *leaving, int64_t now_ms);
-static bool first_hand(const row_t *row, int64_t now_ms);
-static bool by_words(const row_t *row, int64_t now_ms);
-static bool word_fresh(const word_t *word, int64_t hold_ms, int64_t now_ms);
-static word_t *find_word(row_t *row, const char *origin);
+static bool evict_oldest(wwh_leaving_t *leaving, int64_t now_ms);
+static bool has_first_hand_evidence(const row_t *row, int64_t now_ms);
+static bool is_reported(const row_t *row, int64_t now_ms);
+static bool report_is_valid(const report_t *report, int64_t ttl_ms,
+			    int64_t now_ms);
+static report_t *find_report(row_t *row, const char *origin);
 
 wwh_leaving_t *wwh_leaving_new(void)
 {
@@ -49,11 +50,11 @@
 	g_free(leaving);
 }
 
-void wwh_leaving_list(wwh_leaving_t *leaving, const char *minion, bool leaves,
-		      int64_t now_ms)
+void wwh_leaving_set_listed(wwh_leaving_t *leaving, const char *minion,
+			    bool leaves, int64_t now_ms)
 {
 	guint index;
-	row_t *row = find(leaving, minion, &index);
+	row_t *row = find_row(leaving, minion, &index);
 
 	if (row == NULL && leaves)
 		row = find_or_add(leaving, minion, now_ms);
@@ -61,83 +62,84 @@
 		row->listed = leaves;
 }
 
-void wwh_leaving_answer(wwh_leaving_t *leaving, const char *minion,
-			int64_t now_ms)
+void wwh_leaving_record_answer(wwh_leaving_t *leaving, const char *minion,
+			       int64_t now_ms)
 {
 	row_t *row = find_or_add(leaving, minion, now_ms);
 
 	row->answer_ms = now_ms;
-	row->touched_ms = now_ms;
+	row->updated_ms = now_ms;
 }
 
-void wwh_leaving_served(wwh_leaving_t *leaving, const char *minion,
-			int64_t sent_ms)
+void wwh_leaving_record_served(wwh_leaving_t *leaving, const char *minion,
+			       int64_t sent_ms)
 {
 	guint index;
-	row_t *row = find(leaving, minion, &index);
+	row_t *row = find_row(leaving, minion, &index);
 
 	if (row == NULL)
 		return;
-	for (int32_t i = 0; i < row->word_count; i++)
-		if (sent_ms > row->words[i].since_ms)
-			row->words[i].denied = true;
+	for (int32_t i = 0; i < row->report_count; i++)
+		if (sent_ms > row->reports[i].since_ms)
+			row->reports[i].contradicted = true;
 }
 
-void wwh_leaving_word(wwh_leaving_t *leaving, const char *minion,
-		      const char *origin, int64_t age_ms, int64_t now_ms)
+void wwh_leaving_record_report(wwh_leaving_t *leaving, const char *minion,
+			       const char *origin, int64_t age_ms,
+			       int64_t now_ms)
 {
 	int64_t since_ms = now_ms - MAX(0, age_ms);
 	guint index;
 	row_t *row;
-	word_t *word;
+	report_t *report;
 
-	if (now_ms - since_ms >= WWH_LEAVING_WORD_MS)
+	if (now_ms - since_ms >= WWH_LEAVING_REPORT_TTL_MS)
 		return;
-	if (find(leaving, minion, &index) == NULL &&
+	if (find_row(leaving, minion, &index) == NULL &&
 	    leaving->rows->len >= WWH_LEAVING_MAX &&
-	    !make_room(leaving, now_ms))
+	    !evict_oldest(leaving, now_ms))
 		return;
 	row = find_or_add(leaving, minion, now_ms);
-	word = find_word(row, origin);
-	if (word == NULL) {
-		if (row->word_count == WWH_LEAVING_ORIGINS_MAX)
+	report = find_report(row, origin);
+	if (report == NULL) {
+		if (row->report_count == WWH_LEAVING_ORIGINS_MAX)
 			return;
-		word = &row->words[row->word_count++];
-		word->origin = g_strdup(origin);
-		word->since_ms = since_ms;
-	} else if (now_ms - word->since_ms >=
-		   WWH_LEAVING_WORD_MS + WWH_LEAVING_DOUBT_MS) {
-		word->since_ms = since_ms;
-		word->denied = false;
+		report = &row->reports[row->report_count++];
+		report->origin = g_strdup(origin);
+		report->since_ms = since_ms;
+	} else if (now_ms - report->since_ms >=
+		   WWH_LEAVING_REPORT_TTL_MS + WWH_LEAVING_REPORT_HOLDOFF_MS) {
+		report->since_ms = since_ms;
+		report->contradicted = false;
 	}
-	row->touched_ms = now_ms;
+	row->updated_ms = now_ms;
 }
 
-bool wwh_leaving_is(const wwh_leaving_t *leaving, const char *minion,
-		    int64_t now_ms)
+bool wwh_leaving_contains(const wwh_leaving_t *leaving, const char *minion,
+			  int64_t now_ms)
 {
 	guint index;
-	const row_t *row = find(leaving, minion, &index);
+	const row_t *row = find_row(leaving, minion, &index);
 
-	return row != NULL &&
-	       (first_hand(row, now_ms) || by_words(row, now_ms));
+	return row != NULL && (has_first_hand_evidence(row, now_ms) ||
+			       is_reported(row, now_ms));
 }
 
-void wwh_leaving_each_answer(const wwh_leaving_t *leaving, int64_t now_ms,
-			     wwh_leaving_visit_t visit, void *client_data)
+void wwh_leaving_foreach_answer(const wwh_leaving_t *leaving, int64_t now_ms,
+				wwh_leaving_visit_t visit, void *client_data)
 {
 	for (guint i = 0; i < leaving->rows->len; i++) {
 		const row_t *row = leaving->rows->pdata[i];
 		int64_t age_ms = now_ms - row->answer_ms;
 
-		if (row->answer_ms != 0 && age_ms < WWH_LEAVING_WORD_MS)
+		if (row->answer_ms != 0 && age_ms < WWH_LEAVING_REPORT_TTL_MS)
 			visit(row->minion, age_ms, client_data);
 	}
 }
 
-/* *index: where the row is or belongs. */
-static row_t *find(const wwh_leaving_t *leaving, const char *minion,
-		   guint *index)
+/* Sets *index to the position of the row, or to where it is to be inserted. */
+static row_t *find_row(const wwh_leaving_t *leaving, const char *minion,
+		       guint *index)
 {
 	guint low = 0;
 	guint high = leaving->rows->len;
@@ -164,17 +166,17 @@
 			  int64_t now_ms)
 {
 	guint index;
-	row_t *row = find(leaving, minion, &index);
+	row_t *row = find_row(leaving, minion, &index);
 
 	if (row != NULL)
 		return row;
 	if (leaving->rows->len >= WWH_LEAVING_MAX) {
-		make_room(leaving, now_ms);
-		find(leaving, minion, &index);
+		evict_oldest(leaving, now_ms);
+		find_row(leaving, minion, &index);
 	}
 	row = g_new0(row_t, 1);
 	row->minion = g_strdup(minion);
-	row->touched_ms = now_ms;
+	row->updated_ms = now_ms;
 	g_ptr_array_insert(leaving->rows, (gint)index, row);
 	return row;
 }
@@ -183,24 +185,28 @@
 {
 	row_t *row = data;
 
-	for (int32_t i = 0; i < row->word_count; i++)
-		g_free(row->words[i].origin);
+	for (int32_t i = 0; i < row->report_count; i++)
+		g_free(row->reports[i].origin);
 	g_free(row->minion);
 	g_free(row);
 }
 
-/* Drops the row that was touched longest ago, of those not first hand. */
-static bool make_room(wwh_leaving_t *leaving, int64_t now_ms)
+/*
+ * Evicts the row that was updated longest ago among those without first-hand
+ * evidence. Returns false if there is none.
+ */
+static bool evict_oldest(wwh_leaving_t *leaving, int64_t now_ms)
 {
 	gint oldest = -1;
 
 	for (guint i = 0; i < leaving->rows->len; i++) {
 		const row_t *row = leaving->rows->pdata[i];
-		const row_t *best =
+		const row_t *candidate =
 			oldest < 0 ? NULL : leaving->rows->pdata[oldest];
 
-		if (!first_hand(row, now_ms) &&
-		    (best == NULL || row->touched_ms < best->touched_ms))
+		if (!has_first_hand_evidence(row, now_ms) &&
+		    (candidate == NULL ||
+		     row->updated_ms < candidate->updated_ms))
 			oldest = (gint)i;
 	}
 	if (oldest >= 0)
@@ -208,35 +214,39 @@
 	return oldest >= 0;
 }
 
-static bool first_hand(const row_t *row, int64_t now_ms)
+static bool has_first_hand_evidence(const row_t *row, int64_t now_ms)
 {
-	return row->listed || (row->answer_ms != 0 &&
-			       now_ms - row->answer_ms < WWH_LEAVING_ANSWER_MS);
+	return row->listed ||
+	       (row->answer_ms != 0 &&
+		now_ms - row->answer_ms < WWH_LEAVING_ANSWER_TTL_MS);
 }
 
-static bool by_words(const row_t *row, int64_t now_ms)
+static bool is_reported(const row_t *row, int64_t now_ms)
 {
-	int32_t together = 0;
-	bool single = false;
+	int32_t within_answer_ttl = 0;
+	bool within_report_ttl = false;
 
-	for (int32_t i = 0; i < row->word_count; i++) {
-		if (word_fresh(&row->words[i], WWH_LEAVING_WORD_MS, now_ms))
-			single = true;
-		if (word_fresh(&row->words[i], WWH_LEAVING_ANSWER_MS, now_ms))
-			together++;
+	for (int32_t i = 0; i < row->report_count; i++) {
+		if (report_is_valid(&row->reports[i], WWH_LEAVING_REPORT_TTL_MS,
+				    now_ms))
+			within_report_ttl = true;
+		if (report_is_valid(&row->reports[i], WWH_LEAVING_ANSWER_TTL_MS,
+				    now_ms))
+			within_answer_ttl++;
 	}
-	return single || together >= 2;
+	return within_report_ttl || within_answer_ttl >= 2;
 }
 
-static bool word_fresh(const word_t *word, int64_t hold_ms, int64_t now_ms)
+static bool report_is_valid(const report_t *report, int64_t ttl_ms,
+			    int64_t now_ms)
 {
-	return !word->denied && now_ms - word->since_ms < hold_ms;
+	return !report->contradicted && now_ms - report->since_ms < ttl_ms;
 }
 
-static word_t *find_word(row_t *row, const char *origin)
+static report_t *find_report(row_t *row, const char *origin)
 {
-	for (int32_t i = 0; i < row->word_count; i++)
-		if (strcmp(row->words[i].origin, origin) == 0)
-			return &row->words[i];
+	for (int32_t i = 0; i < row->report_count; i++)
+		if (strcmp(row->reports[i].origin, origin) == 0)
+			return &row->reports[i];
 	return NULL;
 }
--- a/src/libwaxwinghollow/pool_sizing.c
+++ b/src/libwaxwinghollow/pool_sizing.c
@@ -3,52 +3,53 @@
 #include <glib.h>
 
 /*
- * Work is to be done within this time: about the chain of a usual job, so
- * that what arrives steadily is met by as many hosts as it keeps busy, and
- * a backlog by more.
+ * Time in which the remaining work should be done. It is about as long as the
+ * chain of steps of a usual job, so that steady arrivals get as many hosts as
+ * they keep busy, and a backlog gets more.
  */
-#define DRAIN_MS 1200
+#define BACKLOG_DRAIN_MS 1200
 
 /*
- * A host takes one and a half seconds to come. What has arrived in the last
- * half second is taken to go on until then: a turn's first jobs draw the hosts
- * that its next ones need.
+ * A host takes 1.5 s to arrive. Work is assumed to go on arriving at the rate
+ * of the last 0.5 s until then, so that the first jobs of a burst request the
+ * hosts that the next ones need.
  */
-#define FORECAST 3
+#define FORECAST_FACTOR 3
 
 /*
- * Hosts are never filled to the last core: tasks are of uneven sizes. With 85,
- * pools of 8 to 12 hosts asked for a tenth more than they came to use, and the
- * next turn's pool went without them.
+ * Share of a host's cores that tasks can fill, as tasks differ in size. With
+ * 85%, pools of 8 to 12 hosts requested a tenth more hosts than they used,
+ * which were then missing in the pool that became busy next.
  */
 #define FILL_PERCENT 95
 
 /*
- * An idle pool keeps one host: how large hosts are is known from those that
- * are up, and with all of them at rest no work would ever draw one back.
+ * An idle pool keeps one host. The size of hosts is known only from those that
+ * are up; if all of them were on standby, no work would ever request one.
  */
-#define LEAST_HOSTS 1
+#define MIN_HOSTS 1
 
 /*
- * A pool shrinks to the most that it wanted within this time: jobs arrive in
- * clusters, and the pauses between them are shorter. Kept longer, hosts are
- * missing where the next turn begins.
+ * A pool shrinks to the maximum that it desired within this time. Jobs arrive
+ * in clusters, and the pauses between those are shorter than this. With a
+ * longer window, hosts would be missing in the pool that becomes busy next.
  */
-#define HOLD_MS 450
-#define HOLD_SLOTS 9
+#define PEAK_WINDOW_MS 450
+#define PEAK_SLOTS 9
 
 typedef struct {
-	int64_t slot; /* number of the newest slot */
-	int32_t most[HOLD_SLOTS]; /* by slot number modulo HOLD_SLOTS */
-} history_t;
+	int64_t newest_slot;
+	int32_t peaks[PEAK_SLOTS]; /* index: slot number modulo PEAK_SLOTS */
+} peak_history_t;
 
 struct wwh_pool_sizing {
-	GHashTable *pools; /* name to history_t, owned */
+	GHashTable *pools; /* name to peak_history_t, owned */
 };
 
-static int32_t at_level(int32_t wanted, int32_t least, int32_t level);
-static int32_t hosts_for(const wwh_pool_figures_t *figures);
-static int32_t hold(history_t *history, int32_t wanted, int64_t now_ms);
+static int32_t capped_at(int32_t desired, int32_t minimum, int32_t level);
+static int32_t hosts_for_demand(const wwh_pool_demand_t *demand);
+static int32_t peak_in_window(peak_history_t *history, int32_t desired,
+			      int64_t now_ms);
 
 wwh_pool_sizing_t *wwh_pool_sizing_new(void)
 {
@@ -67,85 +68,88 @@
 	g_free(sizing);
 }
 
-int32_t wwh_pool_sizing_wanted(wwh_pool_sizing_t *sizing, const char *pool,
-			       const wwh_pool_figures_t *figures,
-			       int64_t now_ms)
+int32_t wwh_pool_sizing_desired_hosts(wwh_pool_sizing_t *sizing,
+				      const char *pool,
+				      const wwh_pool_demand_t *demand,
+				      int64_t now_ms)
 {
-	history_t *history = g_hash_table_lookup(sizing->pools, pool);
+	peak_history_t *history = g_hash_table_lookup(sizing->pools, pool);
 
 	if (history == NULL) {
-		history = g_new0(history_t, 1);
+		history = g_new0(peak_history_t, 1);
 		g_hash_table_insert(sizing->pools, g_strdup(pool), history);
 	}
-	return hold(history, hosts_for(figures), now_ms);
+	return peak_in_window(history, hosts_for_demand(demand), now_ms);
 }
 
-void wwh_pool_sizing_share(int32_t *wanted, const int32_t *least, int32_t count,
-			   int32_t hosts)
+void wwh_pool_sizing_share(int32_t *desired, const int32_t *minimum,
+			   int32_t count, int32_t hosts)
 {
 	int32_t level = 0;
-	int32_t most = 0;
+	int32_t max_desired = 0;
 	int32_t sum;
 
 	for (int32_t i = 0; i < count; i++)
-		most = MAX(most, wanted[i]);
+		max_desired = MAX(max_desired, desired[i]);
 	do {
 		level++;
 		sum = 0;
 		for (int32_t i = 0; i < count; i++)
-			sum += at_level(wanted[i], least[i], level);
-	} while (sum < hosts && level < most);
-	/* the last step up may be too much: some go without their last host */
+			sum += capped_at(desired[i], minimum[i], level);
+	} while (sum < hosts && level < max_desired);
+	/* the last increment may exceed hosts: some pools then get one less */
 	for (int32_t i = count; i-- > 0;) {
-		int32_t share = at_level(wanted[i], least[i], level);
+		int32_t share = capped_at(desired[i], minimum[i], level);
 
-		if (sum > hosts && share == level && level > least[i]) {
+		if (sum > hosts && share == level && level > minimum[i]) {
 			share--;
 			sum--;
 		}
-		wanted[i] = share;
+		desired[i] = share;
 	}
 }
 
-static int32_t at_level(int32_t wanted, int32_t least, int32_t level)
+static int32_t capped_at(int32_t desired, int32_t minimum, int32_t level)
 {
-	return MIN(wanted, MAX(least, level));
+	return MIN(desired, MAX(minimum, level));
 }
 
 /*
- * More cores than there are tasks to run at this moment are of no use. Hosts
- * with lasting tasks are kept; the first jobs of a turn run beside those
- * while other hosts are on their way.
+ * Cores are limited to those that ready tasks can use now, as more would be
+ * idle. Hosts of lasting tasks are kept; the first jobs of a burst run beside
+ * these tasks until other hosts have arrived.
  */
-static int32_t hosts_for(const wwh_pool_figures_t *figures)
+static int32_t hosts_for_demand(const wwh_pool_demand_t *demand)
 {
-	int64_t work = figures->work_left + FORECAST * figures->arrived_work;
-	int64_t usable =
-		figures->usable_now + FORECAST * figures->arrived_usable;
-	int64_t cores = MIN(work / DRAIN_MS, usable);
-	int64_t host = figures->host_millicores * FILL_PERCENT / 100;
+	int64_t work =
+		demand->remaining_work + FORECAST_FACTOR * demand->recent_work;
+	int64_t usable = demand->usable_millicores +
+			 FORECAST_FACTOR * demand->recent_millicores;
+	int64_t cores = MIN(work / BACKLOG_DRAIN_MS, usable);
+	int64_t host = demand->host_millicores * FILL_PERCENT / 100;
 	int64_t hosts;
 
 	if (host <= 0)
-		return MAX(figures->hosts_bound, LEAST_HOSTS);
-	hosts = (cores + figures->lasting + host - 1) / host;
-	return (int32_t)MAX(hosts, MAX(figures->hosts_bound, LEAST_HOSTS));
+		return MAX(demand->min_hosts, MIN_HOSTS);
+	hosts = (cores + demand->lasting + host - 1) / host;
+	return (int32_t)MAX(hosts, MAX(demand->min_hosts, MIN_HOSTS));
 }
 
-static int32_t hold(history_t *history, int32_t wanted, int64_t now_ms)
+static int32_t peak_in_window(peak_history_t *history, int32_t desired,
+			      int64_t now_ms)
 {
-	int64_t slot = now_ms / (HOLD_MS / HOLD_SLOTS);
-	int32_t most = wanted;
-
-	if (slot - history->slot > HOLD_SLOTS)
-		history->slot = slot - HOLD_SLOTS;
-	while (history->slot < slot) {
-		history->slot++;
-		history->most[history->slot % HOLD_SLOTS] = 0;
+	int64_t slot = now_ms / (PEAK_WINDOW_MS / PEAK_SLOTS);
+	int32_t peak = desired;
+
+	if (slot - history->newest_slot > PEAK_SLOTS)
+		history->newest_slot = slot - PEAK_SLOTS;
+	while (history->newest_slot < slot) {
+		history->newest_slot++;
+		history->peaks[history->newest_slot % PEAK_SLOTS] = 0;
 	}
-	history->most[slot % HOLD_SLOTS] =
-		MAX(history->most[slot % HOLD_SLOTS], wanted);
-	for (int32_t i = 0; i < HOLD_SLOTS; i++)
-		most = MAX(most, history->most[i]);
-	return most;
+	history->peaks[slot % PEAK_SLOTS] =
+		MAX(history->peaks[slot % PEAK_SLOTS], desired);
+	for (int32_t i = 0; i < PEAK_SLOTS; i++)
+		peak = MAX(peak, history->peaks[i]);
+	return peak;
 }
--- a/src/libwaxwinghollow/workspace_quota.c
+++ b/src/libwaxwinghollow/workspace_quota.c
@@ -3,7 +3,7 @@
 #include <glib.h>
 
 typedef struct {
-	wwh_load_t limit; /* 0 in a part: none */
+	wwh_load_t limit; /* a member that is 0 sets none */
 	wwh_load_t used;
 } entry_t;
 
@@ -11,8 +11,9 @@
 	GHashTable *workspaces; /* name to entry_t, owned */
 };
 
-static entry_t *entry_of(wwh_workspace_quota_t *quota, const char *workspace);
-static bool is_none(const wwh_load_t *load);
+static entry_t *find_or_add_entry(wwh_workspace_quota_t *quota,
+				  const char *workspace);
+static bool is_zero(const wwh_load_t *load);
 static bool fits(int64_t limit, int64_t sum);
 
 wwh_workspace_quota_t *wwh_workspace_quota_new(void)
@@ -42,7 +43,7 @@
 		entry_t *entry = value;
 
 		entry->limit = (wwh_load_t){ 0 };
-		if (is_none(&entry->used))
+		if (is_zero(&entry->used))
 			g_hash_table_iter_remove(&iterator);
 	}
 }
@@ -51,14 +52,14 @@
 				   const char *workspace,
 				   const wwh_load_t *limit)
 {
-	entry_of(quota, workspace)->limit = *limit;
+	find_or_add_entry(quota, workspace)->limit = *limit;
 }
 
 void wwh_workspace_quota_add(wwh_workspace_quota_t *quota,
 			     const char *workspace, const wwh_load_t *load)
 {
 	if (workspace != NULL)
-		wwh_load_add(&entry_of(quota, workspace)->used, load);
+		wwh_load_add(&find_or_add_entry(quota, workspace)->used, load);
 }
 
 void wwh_workspace_quota_subtract(wwh_workspace_quota_t *quota,
@@ -68,7 +69,7 @@
 
 	if (workspace == NULL)
 		return;
-	entry = entry_of(quota, workspace);
+	entry = find_or_add_entry(quota, workspace);
 	wwh_load_subtract(&entry->used, load);
 	g_assert(entry->used.cpu_millicores >= 0);
 	g_assert(entry->used.memory_mb >= 0);
@@ -83,7 +84,7 @@
 	if (workspace == NULL)
 		return false;
 	entry = g_hash_table_lookup(quota->workspaces, workspace);
-	return entry != NULL && !is_none(&entry->limit);
+	return entry != NULL && !is_zero(&entry->limit);
 }
 
 bool wwh_workspace_quota_allows(const wwh_workspace_quota_t *quota,
@@ -97,7 +98,7 @@
 		return true;
 	entry = g_hash_table_lookup(quota->workspaces, workspace);
 	wwh_load_add(&sum, &entry->used);
-	if (is_none(&sum))
+	if (is_zero(&sum))
 		return true;
 	wwh_load_add(&sum, load);
 	return fits(entry->limit.cpu_millicores, sum.cpu_millicores) &&
@@ -105,7 +106,8 @@
 	       fits(entry->limit.gpus, sum.gpus);
 }
 
-static entry_t *entry_of(wwh_workspace_quota_t *quota, const char *workspace)
+static entry_t *find_or_add_entry(wwh_workspace_quota_t *quota,
+				  const char *workspace)
 {
 	entry_t *entry = g_hash_table_lookup(quota->workspaces, workspace);
 
@@ -117,7 +119,7 @@
 	return entry;
 }
 
-static bool is_none(const wwh_load_t *load)
+static bool is_zero(const wwh_load_t *load)
 {
 	return load->cpu_millicores == 0 && load->memory_mb == 0 &&
 	       load->gpus == 0;
--- a/src/test_start_rate/test_start_rate.c
+++ b/src/test_start_rate/test_start_rate.c
@@ -1,4 +1,4 @@
-/* How fast a holder with a backlog starts tasks, and how long that takes. */
+/* The start rate of a holder with a backlog, and the wait derived from it. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -8,21 +8,22 @@
 
 #include "waxwinghollow/start_rate.h"
 
-#define TURN_MS 50
+#define ITERATION_MS 50
 #define SECOND_MS 1000
 
 static int64_t clock_ms;
 
-static void run_for(wwh_start_rate_t *rate, int64_t span_ms,
-		    int64_t starts_a_turn, bool behind)
+static void run_for(wwh_start_rate_t *rate, int64_t duration_ms,
+		    int64_t starts_per_iteration, bool behind)
 {
-	for (int64_t i = 0; i < span_ms / TURN_MS; i++) {
-		clock_ms += TURN_MS;
-		wwh_start_rate_add(rate, clock_ms, starts_a_turn, behind);
+	for (int64_t i = 0; i < duration_ms / ITERATION_MS; i++) {
+		clock_ms += ITERATION_MS;
+		wwh_start_rate_add(rate, clock_ms, starts_per_iteration,
+				   behind);
 	}
 }
 
-/* Guards against jobs that are refused by a holder that keeps up with them. */
+/* Guards against a holder that keeps up and yet refuses jobs. */
 static void a_holder_that_keeps_up_has_no_wait(void **state)
 {
 	wwh_start_rate_t *rate = wwh_start_rate_new();
@@ -44,7 +45,7 @@
 	wwh_start_rate_delete(rate);
 }
 
-/* Guards against a holder that refuses by what it did under another load. */
+/* Guards against refusals that are based on the rate under an earlier load. */
 static void the_newest_rate_counts_most(void **state)
 {
 	wwh_start_rate_t *rate = wwh_start_rate_new();
@@ -56,7 +57,7 @@
 	wwh_start_rate_delete(rate);
 }
 
-/* Guards against refusals that go on after the backlog is gone. */
+/* Guards against refusals that continue after the backlog is gone. */
 static void the_wait_ends_with_the_backlog(void **state)
 {
 	wwh_start_rate_t *rate = wwh_start_rate_new();
@@ -64,12 +65,12 @@
 	(void)state;
 	run_for(rate, 3 * SECOND_MS, 1, true);
 	assert_true(wwh_start_rate_wait_ms(rate, 1000) > 0);
-	run_for(rate, TURN_MS, 1, false);
+	run_for(rate, ITERATION_MS, 1, false);
 	assert_int_equal(wwh_start_rate_wait_ms(rate, 1000), 0);
 	wwh_start_rate_delete(rate);
 }
 
-/* A second without any start has a rate too. */
+/* A window without any start must not count as an unknown rate. */
 static void a_backlog_without_starts_makes_all_wait(void **state)
 {
 	wwh_start_rate_t *rate = wwh_start_rate_new();
@@ -80,7 +81,7 @@
 	wwh_start_rate_delete(rate);
 }
 
-/* Guards against a rate that a pause has lowered, and that refuses for nothing. */
+/* Guards against needless refusals because a pause has lowered the rate. */
 static void a_pause_leaves_the_rate_as_it_was(void **state)
 {
 	wwh_start_rate_t *rate = wwh_start_rate_new();
@@ -88,7 +89,7 @@
 	(void)state;
 	run_for(rate, 3 * SECOND_MS, 20, true);
 	for (int32_t i = 0; i < 40; i++) {
-		clock_ms += TURN_MS;
+		clock_ms += ITERATION_MS;
 		wwh_start_rate_pause(rate, clock_ms);
 	}
 	assert_int_equal(wwh_start_rate_per_s(rate), 400);
