--- a/src/libwaxwinghollow/scheduler_cordon.c
+++ b/src/libwaxwinghollow/scheduler_cordon.c
@@ -1,43 +1,48 @@
 #include "private/scheduler_policy.h"
 #include "private/scheduler_state.h"
 
-/* A guess below this says nothing of a task. */
-#define LEAST_ESTIMATE_MS 100
+/* Lower estimates are raised to this, as they are unreliable. */
+#define MIN_ESTIMATE_MS 100
 
-/* Above this it draws all hosts anyway, and sums of it could run over. */
-#define MOST_ESTIMATE_MS 60000
+/* Longer estimates request all hosts anyway, and their sums could overflow. */
+#define MAX_ESTIMATE_MS 60000
 
-/* No host has more: 10,000 cores. Bounds sums while no host is known. */
-#define MOST_MILLICORES 10000000
+/* Upper bound of a host, 10,000 cores. Bounds sums while no host is known. */
+#define MAX_HOST_MILLICORES 10000000
 
-/* Work that was handed in within this time tells what comes next. */
+/* Work submitted within this time is used to forecast the next work. */
 #define ARRIVAL_WINDOW_MS 500
 
-static void add_occurrence(const wwh_scheduler_t *scheduler,
-			   const sched_occurrence_t *occurrence,
-			   wwh_pool_demand_t *figures);
-static int32_t hosts_for_homeless(wwh_scheduler_t *scheduler,
-				  const sched_pool_t *pool,
-				  int64_t host_millicores);
+static void add_occurrence_demand(const wwh_scheduler_t *scheduler,
+				  const sched_occurrence_t *occurrence,
+				  wwh_pool_demand_t *demand);
+static int32_t hosts_for_unplaceable(wwh_scheduler_t *scheduler,
+				     const sched_pool_t *pool,
+				     int64_t host_millicores);
 static int32_t hosts_for_step(wwh_scheduler_t *scheduler, sched_step_t *step,
 			      int64_t host_millicores);
-static void add_lasting(const sched_step_t *step, wwh_pool_demand_t *figures);
-static void add_step(const wwh_scheduler_t *scheduler, const sched_step_t *step,
-		     wwh_pool_demand_t *figures);
-static void give_all_away(wwh_scheduler_t *scheduler,
-			  sched_upstream_t *upstream);
-static void give_away_one_by_one(wwh_scheduler_t *scheduler,
+static void add_lasting_demand(const sched_step_t *step,
+			       wwh_pool_demand_t *demand);
+static void add_step_demand(const wwh_scheduler_t *scheduler,
+			    const sched_step_t *step,
+			    wwh_pool_demand_t *demand);
+static void relocate_all_lasting(wwh_scheduler_t *scheduler,
 				 sched_upstream_t *upstream);
-static int32_t away(const wwh_scheduler_t *scheduler, const sched_step_t *step);
-static int32_t away_elsewhere(const wwh_scheduler_t *scheduler,
-			      const sched_step_t *step,
-			      const sched_upstream_t *upstream);
-static int32_t here(const sched_step_t *step, const sched_upstream_t *upstream);
-static int32_t lost_with(const wwh_scheduler_t *scheduler,
-			 const sched_step_t *step,
-			 const sched_upstream_t *upstream);
-static bool holds_the_only_ends(const sched_upstream_t *upstream);
-static bool at_work(const wwh_scheduler_t *scheduler, const sched_task_t *task);
+static void relocate_one_by_one(wwh_scheduler_t *scheduler,
+				sched_upstream_t *upstream);
+static int32_t unavailable_tasks(const wwh_scheduler_t *scheduler,
+				 const sched_step_t *step);
+static int32_t unavailable_elsewhere(const wwh_scheduler_t *scheduler,
+				     const sched_step_t *step,
+				     const sched_upstream_t *upstream);
+static int32_t tasks_on_upstream(const sched_step_t *step,
+				 const sched_upstream_t *upstream);
+static int32_t tasks_lost_with(const wwh_scheduler_t *scheduler,
+			       const sched_step_t *step,
+			       const sched_upstream_t *upstream);
+static bool has_undurable_ends(const sched_upstream_t *upstream);
+static bool is_available(const wwh_scheduler_t *scheduler,
+			 const sched_task_t *task);
 static bool may_be_stopping(const wwh_scheduler_t *scheduler,
 			    const sched_task_t *task);
 
@@ -54,7 +59,7 @@
 			      upstream->tasks->len);
 	upstream->cordoned = true;
 	upstream->ending = false;
-	if (holds_the_only_ends(upstream))
+	if (has_undurable_ends(upstream))
 		return false;
 	for (guint i = 0; i < upstream->tasks->len && !urgent; i++) {
 		const sched_task_t *task =
@@ -64,27 +69,29 @@
 			return false;
 	}
 	/*
-	 * What runs at an upstream that hasn't answered this holder isn't
-	 * known: it may be all that a step can miss.
+	 * The tasks of an upstream that hasn't answered this holder aren't
+	 * known; they may be more than a step can miss.
 	 *
-	 * From here on its tasks count as away: two hosts that are taken down
-	 * in the same moment would each find the other's tasks at work.
+	 * From here on the tasks of this upstream count as unavailable.
+	 * Otherwise two hosts that are taken down at the same time would each
+	 * count the other's tasks as available.
 	 */
-	upstream->ending =
-		upstream->settled && sched_may_end(scheduler, upstream);
+	upstream->ending = upstream->settled &&
+			   sched_upstream_may_terminate(scheduler, upstream);
 	return upstream->ending;
 }
 
 /*
- * Ends that aren't durable are known to the upstream and to this holder only.
- * With its host taken down and this process killed, as when the store is away
- * for seconds, the next holder finds their tasks nowhere and runs them again.
- * The upstream keeps them for as long as its host stays. Tasks that last, and
- * those that were stopped, start again in any case. Work that is thrown away
- * falls from 392 to 254 core-seconds a day (means of 27 plays each of nine days
- * with an outage of the store).
+ * Only the upstream and this holder know ends that aren't durable. If the host
+ * is taken down and this process is killed, for example while the store is
+ * unreachable for seconds, the next holder finds no trace of those ends and
+ * runs their tasks again. The upstream stores its ends as long as its host is
+ * up, so the host must wait. The ends of lasting and of stopped tasks don't
+ * count, as those tasks start again in any case. This rule reduces lost work
+ * from 392 to 254 core-seconds a day (means of 27 simulations of each of nine
+ * days with a store outage).
  */
-static bool holds_the_only_ends(const sched_upstream_t *upstream)
+static bool has_undurable_ends(const sched_upstream_t *upstream)
 {
 	return upstream->ends_needed > upstream->ends_acked;
 }
@@ -127,16 +134,19 @@
 					    const char *name)
 {
 	sched_pool_t *pool = sched_pool_get(scheduler, name);
-	wwh_pool_demand_t figures = { 0 };
-	int32_t with_lasting = 0;
+	wwh_pool_demand_t demand = { 0 };
+	int32_t hosts_with_lasting = 0;
 	GHashTableIter iterator;
 	gpointer value;
 
-	/* hosts are much alike; an empty pool has none to ask */
+	/*
+	 * Hosts are similar in size; those of all pools are considered because
+	 * a pool may have none.
+	 */
 	g_hash_table_iter_init(&iterator, scheduler->upstreams);
 	while (g_hash_table_iter_next(&iterator, NULL, &value))
-		figures.host_millicores = MAX(
-			figures.host_millicores,
+		demand.host_millicores = MAX(
+			demand.host_millicores,
 			((sched_upstream_t *)value)->info.size.cpu_millicores);
 	for (guint i = 0; i < scheduler->live->len; i++) {
 		const sched_job_t *job = g_ptr_array_index(scheduler->live, i);
@@ -144,9 +154,10 @@
 		if (job->pool != pool || !sched_job_is_live(job))
 			continue;
 		for (guint k = 0; k < job->occurrences->len; k++)
-			add_occurrence(scheduler,
-				       g_ptr_array_index(job->occurrences, k),
-				       &figures);
+			add_occurrence_demand(
+				scheduler,
+				g_ptr_array_index(job->occurrences, k),
+				&demand);
 	}
 	for (guint i = 0; i < pool->upstreams->len; i++) {
 		const sched_upstream_t *upstream =
@@ -157,27 +168,29 @@
 				g_ptr_array_index(upstream->tasks, k);
 
 			if (task->step->spec->lasting) {
-				with_lasting++;
+				hosts_with_lasting++;
 				break;
 			}
 		}
 	}
-	figures.min_hosts =
-		MAX(figures.min_hosts,
-		    with_lasting + hosts_for_homeless(scheduler, pool,
-						      figures.host_millicores));
-	return figures;
+	demand.min_hosts =
+		MAX(demand.min_hosts,
+		    hosts_with_lasting +
+			    hosts_for_unplaceable(scheduler, pool,
+						  demand.host_millicores));
+	return demand;
 }
 
 /*
- * Lasting tasks that fit on no host that takes work: those with lasting tasks
- * may be full, or have all that they may of the step. Not counted, a task whose
- * host is lost waits beside an idle one that is to leave, as its pool seems to
- * have enough.
+ * Returns how many hosts are needed for waiting lasting tasks that fit on no
+ * usable host: the hosts with lasting tasks may be full, or may have the
+ * maximum number of tasks of the step. If these tasks weren't counted, the pool
+ * would seem to have enough hosts, and a task whose host was lost would wait
+ * although an idle host is about to leave the pool.
  */
-static int32_t hosts_for_homeless(wwh_scheduler_t *scheduler,
-				  const sched_pool_t *pool,
-				  int64_t host_millicores)
+static int32_t hosts_for_unplaceable(wwh_scheduler_t *scheduler,
+				     const sched_pool_t *pool,
+				     int64_t host_millicores)
 {
 	int32_t hosts = 0;
 
@@ -199,12 +212,12 @@
 	return hosts;
 }
 
-/* Tasks of a step are alike: one that waits speaks for all that do. */
+/* The tasks of a step have equal needs, so one waiting task represents all. */
 static int32_t hosts_for_step(wwh_scheduler_t *scheduler, sched_step_t *step,
 			      int64_t host_millicores)
 {
 	const wwh_job_step_t *spec = step->spec;
-	sched_task_t *waits = NULL;
+	sched_task_t *waiting = NULL;
 	int32_t count = 0;
 
 	if (!spec->lasting || !sched_step_is_ready(step) ||
@@ -215,10 +228,10 @@
 
 		if (sched_task_state(task) != TASK_WAITING || task->inherited)
 			continue;
-		waits = task;
+		waiting = task;
 		count++;
 	}
-	if (waits == NULL || sched_task_fits_elsewhere(scheduler, waits))
+	if (waiting == NULL || sched_task_fits_elsewhere(scheduler, waiting))
 		return 0;
 	return spec->max_per_upstream > 0 ? (count + spec->max_per_upstream -
 					     1) / spec->max_per_upstream
@@ -226,12 +239,12 @@
 }
 
 /*
- * Whether each lasting step on upstream can miss what runs there. What is
- * away for another reason counts: two causes at once would take more tasks
- * from a step than its users bear.
+ * Returns true when each lasting step with tasks on upstream can miss them.
+ * Tasks that are unavailable for another reason count as well: otherwise two
+ * causes together could make more tasks of a step unavailable than it may miss.
  */
-bool sched_may_end(const wwh_scheduler_t *scheduler,
-		   const sched_upstream_t *upstream)
+bool sched_upstream_may_terminate(const wwh_scheduler_t *scheduler,
+				  const sched_upstream_t *upstream)
 {
 	for (guint i = 0; i < upstream->tasks->len; i++) {
 		const sched_task_t *task =
@@ -241,8 +254,8 @@
 		if (!step->spec->lasting ||
 		    !sched_job_is_live(step->occurrence->job))
 			continue;
-		if (away_elsewhere(scheduler, step, upstream) +
-			    lost_with(scheduler, step, upstream) >
+		if (unavailable_elsewhere(scheduler, step, upstream) +
+			    tasks_lost_with(scheduler, step, upstream) >
 		    step->spec->max_unavailable)
 			return false;
 	}
@@ -259,19 +272,19 @@
 		sched_upstream_t *upstream = value;
 
 		if (upstream->info.leaving)
-			give_all_away(scheduler, upstream);
+			relocate_all_lasting(scheduler, upstream);
 		else if (upstream->cordoned && !upstream->ending)
-			give_away_one_by_one(scheduler, upstream);
+			relocate_one_by_one(scheduler, upstream);
 	}
 }
 
 /*
- * A leaving upstream takes its tasks along when it goes. Lasting ones are
- * started elsewhere while it still serves: they are away only as long as a
- * start takes, and what they saved comes along.
+ * The tasks of a leaving upstream end with it. Lasting tasks are relocated
+ * while it still runs: they are unavailable only for the duration of a start,
+ * and go on from their checkpoints.
  */
-static void give_all_away(wwh_scheduler_t *scheduler,
-			  sched_upstream_t *upstream)
+static void relocate_all_lasting(wwh_scheduler_t *scheduler,
+				 sched_upstream_t *upstream)
 {
 	for (guint i = 0; i < upstream->tasks->len; i++) {
 		sched_task_t *task = g_ptr_array_index(upstream->tasks, i);
@@ -284,12 +297,12 @@
 
 /*
  * A host that runs more tasks of a step than the step may miss could never be
- * taken down: its wave ends late, with that host undone. One task after the
- * other is started elsewhere, each once those before it are at work again,
- * until the rest may be missed at once.
+ * taken down, and its wave would end late without it. Its tasks are relocated
+ * one after the other, as far as the step may miss them, until the step may
+ * miss all remaining ones at once.
  */
-static void give_away_one_by_one(wwh_scheduler_t *scheduler,
-				 sched_upstream_t *upstream)
+static void relocate_one_by_one(wwh_scheduler_t *scheduler,
+				sched_upstream_t *upstream)
 {
 	for (guint i = 0; i < upstream->tasks->len; i++) {
 		sched_task_t *task = g_ptr_array_index(upstream->tasks, i);
@@ -297,9 +310,11 @@
 		char name[WWH_TASK_NAME_BYTES];
 
 		if (!step->spec->lasting || step->spec->gang ||
-		    !at_work(scheduler, task) ||
-		    here(step, upstream) <= step->spec->max_unavailable ||
-		    away(scheduler, step) >= step->spec->max_unavailable ||
+		    !is_available(scheduler, task) ||
+		    tasks_on_upstream(step, upstream) <=
+			    step->spec->max_unavailable ||
+		    unavailable_tasks(scheduler, step) >=
+			    step->spec->max_unavailable ||
 		    !sched_task_fits_elsewhere(scheduler, task))
 			continue;
 		sched_task_name(task, name);
@@ -307,95 +322,102 @@
 			      "run=%" G_GINT64_FORMAT
 			      " upstream=%s here=%d away=%d may_miss=%d",
 			      task->run, upstream->info.id,
-			      here(step, upstream), away(scheduler, step),
+			      tasks_on_upstream(step, upstream),
+			      unavailable_tasks(scheduler, step),
 			      step->spec->max_unavailable);
 		sched_task_order_stop(scheduler, task);
 	}
 }
 
 /*
- * Work that will be of no use to its caller draws no hosts, and none that no
- * host can hold: called for it, they would be missing where callers wait.
+ * Work that has become useless to its caller and work that fits on no host
+ * don't add to the demand: hosts requested for them would be missing where
+ * callers wait.
  */
-static void add_occurrence(const wwh_scheduler_t *scheduler,
-			   const sched_occurrence_t *occurrence,
-			   wwh_pool_demand_t *figures)
+static void add_occurrence_demand(const wwh_scheduler_t *scheduler,
+				  const sched_occurrence_t *occurrence,
+				  wwh_pool_demand_t *demand)
 {
 	const sched_job_t *job = occurrence->job;
-	bool of_use = wwh_policy_of_use(scheduler->now_ms - occurrence->due_ms,
+	bool useful = wwh_policy_of_use(scheduler->now_ms - occurrence->due_ms,
 					job->objective_ms);
-	int64_t most = figures->host_millicores > 0 ? figures->host_millicores
-						    : MOST_MILLICORES;
+	int64_t max_millicores = demand->host_millicores > 0
+					 ? demand->host_millicores
+					 : MAX_HOST_MILLICORES;
 
 	for (int32_t i = 0; i < job->spec->step_count; i++) {
 		const sched_step_t *step = &occurrence->steps[i];
 
-		if (step->spec->need.cpu_millicores > most)
+		if (step->spec->need.cpu_millicores > max_millicores)
 			continue;
 		if (step->spec->lasting)
-			add_lasting(step, figures);
-		else if (of_use)
-			add_step(scheduler, step, figures);
+			add_lasting_demand(step, demand);
+		else if (useful)
+			add_step_demand(scheduler, step, demand);
 	}
 }
 
-static void add_lasting(const sched_step_t *step, wwh_pool_demand_t *figures)
+static void add_lasting_demand(const sched_step_t *step,
+			       wwh_pool_demand_t *demand)
 {
 	const wwh_job_step_t *spec = step->spec;
 	int32_t left = spec->task_count - step->done;
-	int32_t most = MAX(spec->max_per_upstream, 1);
+	int32_t per_host = MAX(spec->max_per_upstream, 1);
 
 	if (!spec->filler)
-		figures->lasting += left * spec->need.cpu_millicores;
+		demand->lasting += left * spec->need.cpu_millicores;
 	if (spec->max_per_upstream > 0)
-		figures->min_hosts =
-			MAX(figures->min_hosts, (left + most - 1) / most);
+		demand->min_hosts = MAX(demand->min_hosts,
+					(left + per_host - 1) / per_host);
 }
 
-static void add_step(const wwh_scheduler_t *scheduler, const sched_step_t *step,
-		     wwh_pool_demand_t *figures)
+static void add_step_demand(const wwh_scheduler_t *scheduler,
+			    const sched_step_t *step, wwh_pool_demand_t *demand)
 {
 	const wwh_job_step_t *spec = step->spec;
 	int32_t left = spec->task_count - step->done;
 	int64_t cpu = spec->need.cpu_millicores;
 	int64_t estimate_ms =
-		CLAMP(spec->estimate_ms, LEAST_ESTIMATE_MS, MOST_ESTIMATE_MS);
+		CLAMP(spec->estimate_ms, MIN_ESTIMATE_MS, MAX_ESTIMATE_MS);
 	bool ready = sched_step_is_ready(step);
 
 	if (scheduler->now_ms - step->occurrence->due_ms < ARRIVAL_WINDOW_MS) {
-		figures->recent_work += spec->task_count * cpu * estimate_ms;
+		demand->recent_work += spec->task_count * cpu * estimate_ms;
 		if (ready)
-			figures->recent_millicores += spec->task_count * cpu;
+			demand->recent_millicores += spec->task_count * cpu;
 	}
-	/* of what runs about half is done */
-	figures->remaining_work +=
+	/* running tasks are on average half done */
+	demand->remaining_work +=
 		(2 * left - step->out) * cpu * estimate_ms / 2;
 	if (ready)
-		figures->usable_millicores += left * cpu;
+		demand->usable_millicores += left * cpu;
 }
 
-static int32_t away(const wwh_scheduler_t *scheduler, const sched_step_t *step)
+static int32_t unavailable_tasks(const wwh_scheduler_t *scheduler,
+				 const sched_step_t *step)
 {
-	return away_elsewhere(scheduler, step, NULL);
+	return unavailable_elsewhere(scheduler, step, NULL);
 }
 
-/* Tasks of step that aren't at work, but for those on upstream. */
-static int32_t away_elsewhere(const wwh_scheduler_t *scheduler,
-			      const sched_step_t *step,
-			      const sched_upstream_t *upstream)
+/* Counts unavailable tasks of step, except those on upstream. */
+static int32_t unavailable_elsewhere(const wwh_scheduler_t *scheduler,
+				     const sched_step_t *step,
+				     const sched_upstream_t *upstream)
 {
 	int32_t count = 0;
 
 	for (int32_t i = 0; i < step->spec->task_count; i++) {
 		const sched_task_t *task = &step->tasks[i];
-		bool there = upstream != NULL && task->upstream == upstream;
+		bool on_upstream =
+			upstream != NULL && task->upstream == upstream;
 
-		count += !there && !at_work(scheduler, task);
+		count += !on_upstream && !is_available(scheduler, task);
 	}
 	return count;
 }
 
-static int32_t here(const sched_step_t *step, const sched_upstream_t *upstream)
+static int32_t tasks_on_upstream(const sched_step_t *step,
+				 const sched_upstream_t *upstream)
 {
 	int32_t count = 0;
 
@@ -404,19 +426,20 @@
 	return count;
 }
 
-/* Tasks of step that end with upstream; the end of one member ends a gang. */
-static int32_t lost_with(const wwh_scheduler_t *scheduler,
-			 const sched_step_t *step,
-			 const sched_upstream_t *upstream)
+/* Counts tasks of step that end with upstream. A gang ends with any member. */
+static int32_t tasks_lost_with(const wwh_scheduler_t *scheduler,
+			       const sched_step_t *step,
+			       const sched_upstream_t *upstream)
 {
 	if (step->spec->gang)
 		return step->spec->task_count -
-		       away_elsewhere(scheduler, step, upstream);
-	return here(step, upstream);
+		       unavailable_elsewhere(scheduler, step, upstream);
+	return tasks_on_upstream(step, upstream);
 }
 
-/* What wasn't heard of lately may be away. */
-static bool at_work(const wwh_scheduler_t *scheduler, const sched_task_t *task)
+/* A task whose upstream hasn't answered lately counts as unavailable. */
+static bool is_available(const wwh_scheduler_t *scheduler,
+			 const sched_task_t *task)
 {
 	return sched_task_state(task) == TASK_RUNNING && task->away_ms == 0 &&
 	       !may_be_stopping(scheduler, task) && !task->upstream->ending &&
@@ -426,10 +449,10 @@
 }
 
 /*
- * The holder before may have ordered a stop that is still under way. Its task
- * is listed as at work, and with another that this holder ends the step would
- * miss two. Stops that reached the upstream before this holder did are over
- * within the limit, and later ones are refused.
+ * The previous holder may have ordered a stop that is still in progress. The
+ * task is still listed as running, and if this holder ended another one, the
+ * step would miss two. A stop that reached the upstream before this holder did
+ * completes within stop_limit_ms; a later one is refused.
  */
 static bool may_be_stopping(const wwh_scheduler_t *scheduler,
 			    const sched_task_t *task)
--- a/src/libwaxwinghollow/scheduler_lost.c
+++ b/src/libwaxwinghollow/scheduler_lost.c
@@ -1,10 +1,11 @@
 #include "private/scheduler_state.h"
 
 /*
- * A job's record and that of its progress are one: without either, which of its
- * tasks are done isn't known, and one that is would run a second time.
+ * Both the job's record and its progress record are needed: without either, it
+ * isn't known which tasks are done, and a done task would run a second time.
  */
-void sched_job_lose(wwh_scheduler_t *scheduler, const char *id, bool accepted)
+void sched_job_mark_lost(wwh_scheduler_t *scheduler, const char *id,
+			 bool accepted)
 {
 	sched_job_t *job = sched_job_find(scheduler, id);
 	sched_lost_job_t *lost;
@@ -22,8 +23,11 @@
 	g_hash_table_remove(scheduler->jobs, id);
 }
 
-/* Its progress says that it has ended: nothing else is needed of it. */
-void sched_job_found(wwh_scheduler_t *scheduler, const char *id)
+/*
+ * To be called when the job is known to have ended or is cancelled: its
+ * unreadable record isn't needed any more.
+ */
+void sched_job_clear_lost(wwh_scheduler_t *scheduler, const char *id)
 {
 	g_hash_table_remove(scheduler->lost_jobs, id);
 }
@@ -44,8 +48,11 @@
 	       wwh_scheduler_job_lost(scheduler, id);
 }
 
-/* Progress alone is that of a job that had ended, and is asked for no longer. */
-void sched_lost_jobs_forget(wwh_scheduler_t *scheduler)
+/*
+ * An unreadable progress record without a job record belongs to a job that has
+ * ended. It is deleted once the retention time of ended jobs is over.
+ */
+void sched_lost_jobs_expire(wwh_scheduler_t *scheduler)
 {
 	GHashTableIter iterator;
 	gpointer id;
@@ -66,11 +73,11 @@
 }
 
 /*
- * The key says that tasks may run at this upstream, and nothing says where it
- * is or for whom. Passed over, its tasks would be started a second time; so
- * what it may run is waited for in every pool.
+ * The key of the unreadable record shows that tasks may run at this upstream,
+ * but neither its endpoint nor its pool is known. If it were ignored, its tasks
+ * would be started a second time, so every pool waits for it.
  */
-void sched_upstream_lose_record(wwh_scheduler_t *scheduler, const char *id)
+void sched_upstream_add_unlocated(wwh_scheduler_t *scheduler, const char *id)
 {
 	wwh_upstream_info_t info = {
 		.id = (char *)id,
@@ -84,7 +91,7 @@
 	upstream = sched_upstream_add(scheduler, &info);
 	upstream->inherited = true;
 	upstream->kept_asked = true;
-	/* what was asked of it can't be read either */
+	/* its lease can't be read either, so the longest is assumed */
 	upstream->kept_lease_ms = scheduler->options.lease_max_ms;
 	upstream->pool->unsettled++;
 }
@@ -94,7 +101,7 @@
 	return upstream->info.endpoint[0] != '\0';
 }
 
-/* Its announcement names its pool, which alone waits for it from now on. */
+/* The announcement names the pool; from now on only this pool waits for it. */
 void sched_upstream_locate(wwh_scheduler_t *scheduler,
 			   sched_upstream_t *upstream, const char *pool)
 {
--- a/src/libwaxwinghollow/scheduler_pace.c
+++ b/src/libwaxwinghollow/scheduler_pace.c
@@ -2,44 +2,44 @@
 
 #include "private/scheduler_policy.h"
 
-/* Between two changes of the pace of a host's fillers: what one does shows. */
-#define PACE_EVERY_MS 700
+/* Time between pace changes on a host, so that each takes visible effect. */
+#define PACE_INTERVAL_MS 700
 
-/* A pace order without an answer is sent again after this. */
-#define PACE_REPEAT_MS 1000
+/* A pace order without an answer is resent after this time. */
+#define PACE_RESEND_MS 1000
 
 static int32_t worst_tail_percent(const wwh_scheduler_t *scheduler,
 				  const sched_upstream_t *upstream);
-static int32_t pace_of(const sched_upstream_t *upstream);
-static void set_pace(wwh_scheduler_t *scheduler, sched_upstream_t *upstream,
-		     int32_t percent);
+static int32_t wanted_pace(const sched_upstream_t *upstream);
+static void order_pace(wwh_scheduler_t *scheduler, sched_upstream_t *upstream,
+		       int32_t percent);
 
 /*
- * Fillers take processor time that serving tasks on the same host need from
- * one moment to the next. They are slowed as soon as a serving task comes
- * near its target, and let go again step by step.
+ * Fillers use processor time that serving tasks on the same host may need at
+ * any moment. They are slowed as soon as a serving task gets near its latency
+ * target, and their pace is raised again step by step.
  */
-void sched_pace(wwh_scheduler_t *scheduler, sched_upstream_t *upstream)
+void sched_pace_fillers(wwh_scheduler_t *scheduler, sched_upstream_t *upstream)
 {
 	int32_t tail_percent = worst_tail_percent(scheduler, upstream);
-	int32_t pace = pace_of(upstream);
+	int32_t pace = wanted_pace(upstream);
 	int32_t wanted;
 
 	if (pace < 0)
 		return; /* no fillers */
 	wanted = tail_percent < 0 ? 100 : wwh_policy_pace(pace, tail_percent);
 	if (wanted == pace || scheduler->now_ms < upstream->next_pace_ms) {
-		set_pace(scheduler, upstream, pace);
+		order_pace(scheduler, upstream, pace);
 		return;
 	}
-	upstream->next_pace_ms = scheduler->now_ms + PACE_EVERY_MS;
+	upstream->next_pace_ms = scheduler->now_ms + PACE_INTERVAL_MS;
 	sched_explain(scheduler, "fillers-paced", upstream->info.id,
 		      "from=%d to=%d tail_percent=%d", pace, wanted,
 		      tail_percent);
-	set_pace(scheduler, upstream, wanted);
+	order_pace(scheduler, upstream, wanted);
 }
 
-/* Of their targets; -1: nothing serves there. */
+/* Returns the worst tail latency in percent of the target; -1: none serves. */
 static int32_t worst_tail_percent(const wwh_scheduler_t *scheduler,
 				  const sched_upstream_t *upstream)
 {
@@ -60,8 +60,8 @@
 	return worst;
 }
 
-/* What is wanted of the fillers there; -1: there are none. */
-static int32_t pace_of(const sched_upstream_t *upstream)
+/* Returns the wanted pace of the upstream's fillers; -1: it has no fillers. */
+static int32_t wanted_pace(const sched_upstream_t *upstream)
 {
 	int32_t pace = -1;
 
@@ -72,15 +72,15 @@
 		if (!task->step->spec->filler ||
 		    sched_task_state(task) != TASK_RUNNING)
 			continue;
-		/* a new one has its full pace; the others tell what is wanted */
+		/* new fillers have the full pace, so the minimum is wanted */
 		pace = pace < 0 ? task->pace_wanted
 				: MIN(pace, task->pace_wanted);
 	}
 	return pace;
 }
 
-static void set_pace(wwh_scheduler_t *scheduler, sched_upstream_t *upstream,
-		     int32_t percent)
+static void order_pace(wwh_scheduler_t *scheduler, sched_upstream_t *upstream,
+		       int32_t percent)
 {
 	for (guint i = 0; i < upstream->tasks->len; i++) {
 		sched_task_t *task = g_ptr_array_index(upstream->tasks, i);
@@ -96,7 +96,7 @@
 		    (task->pace == percent && task->pace_wanted == percent))
 			continue;
 		if (task->pace_wanted == percent &&
-		    scheduler->now_ms - task->pace_sent_ms < PACE_REPEAT_MS)
+		    scheduler->now_ms - task->pace_sent_ms < PACE_RESEND_MS)
 			continue;
 		task->pace_wanted = percent;
 		task->pace_sent_ms = scheduler->now_ms;
--- a/src/libwaxwinghollow/scheduler_poll.c
+++ b/src/libwaxwinghollow/scheduler_poll.c
@@ -1,65 +1,68 @@
 #include "private/scheduler_state.h"
 
 /*
- * An upstream that runs something answers at least this often: the longest wait
- * is how late an overtaken holder learns of it.
+ * An upstream that runs tasks answers at least this often. This also bounds how
+ * late an overtaken holder learns that it was overtaken.
  */
 #define POLL_WAIT_MS 1000
 
 /*
- * Polls a second at upstreams that run nothing. Each of them polled all the time,
- * some thousand leave a holder no time for those that run tasks; so many polls
- * show soon enough that the holder was overtaken.
+ * Limit of polls per second at upstreams that run no tasks. If some thousand of
+ * them were polled continuously, the holder would have no time for upstreams
+ * that run tasks. At this rate the holder still learns soon enough that it was
+ * overtaken.
  */
 #define IDLE_POLLS_PER_S 500
 #define IDLE_GAP_MAX_MS 3000
 
-/* Multiplicative hashing: the golden ratio of 2^32. */
+/* Factor of multiplicative hashing: 2^32 divided by the golden ratio. */
 #define HASH_FACTOR 2654435761U
 #define SECOND_MS 1000
 
-/* Ends within this time of each other come in one answer. */
+/* Gap between answer and next poll, so that ends are listed in batches. */
 #define POLL_GAP_MS 25
 
 /*
- * An answer that lists ends which aren't acknowledged yet comes at once: asking
- * again before they are durable would spin. This is about five appends.
+ * An upstream with ends that aren't acknowledged answers a poll at once, so
+ * polling before they are durable would be a busy loop. This gap is about the
+ * duration of five appends.
  */
 #define POLL_UNACKED_GAP_MS 60
 
-/* Nothing became durable for so long: the store is down, for seconds. */
+/* Without a durable record for this time, the store is assumed to be down. */
 #define UNACKED_LONG_MS 400
 #define POLL_UNACKED_LONG_GAP_MS 250
 
-/* What WWH_OVERTAKEN_HOLDER_MS leaves for the way. */
-#define ANSWER_MS 150
-G_STATIC_ASSERT(POLL_WAIT_MS + POLL_UNACKED_LONG_GAP_MS + ANSWER_MS <=
+/* Share of WWH_OVERTAKEN_HOLDER_MS for the transit of a poll and its answer. */
+#define POLL_TRANSIT_MS 150
+G_STATIC_ASSERT(POLL_WAIT_MS + POLL_UNACKED_LONG_GAP_MS + POLL_TRANSIT_MS <=
 		WWH_OVERTAKEN_HOLDER_MS);
 
 /*
- * Beyond what a poll asks to wait: an upstream answers in some ms. The first
- * question to an inherited one, for which its whole pool waits, is given up
- * sooner and repeated, with twice the time for each that was in vain.
+ * Time limit of an answer in addition to the poll's wait; an upstream answers
+ * within a few ms. The first poll at an inherited upstream has a shorter limit
+ * and is resent, because its whole pool waits for it. Its limit doubles with
+ * each failure.
  */
 #define POLL_LIMIT_MS 700
 #define FIRST_POLL_LIMIT_MS 150
 #define FIRST_POLL_RETRY_MS 20
 
 /*
- * First polls that are unanswered at a time. All sent at once by a new holder of
- * some thousand upstreams, their answers wait in its own sockets past their
- * limits, and each retry adds to what it can't keep up with.
+ * Limit of first polls in flight. If a new holder of some thousand upstreams
+ * sent them all at once, the answers would wait in its sockets beyond their
+ * time limits, and each retry would add to the overload.
  */
 #define FIRST_POLLS_IN_FLIGHT 128
 
-/* After a poll without an answer: first, and at most. */
+/* Delay after a failed poll: the first one, and the maximum. */
 #define POLL_RETRY_MS 150
 #define POLL_RETRY_MAX_MS 800
 
 static bool is_poll_due(const wwh_scheduler_t *scheduler,
 			const sched_upstream_t *upstream);
 static void send_poll(wwh_scheduler_t *scheduler, sched_upstream_t *upstream);
-static bool pool_waits_for(const sched_upstream_t *upstream);
+static bool delays_its_pool(const sched_upstream_t *upstream);
 static int64_t poll_limit_ms(const sched_upstream_t *upstream);
 static gint compare_first_polls(gconstpointer a, gconstpointer b);
 
@@ -75,7 +78,7 @@
 
 int64_t sched_poll_retry_ms(const sched_upstream_t *upstream)
 {
-	if (pool_waits_for(upstream) && upstream->refused_polls == 0)
+	if (delays_its_pool(upstream) && upstream->refused_polls == 0)
 		return FIRST_POLL_RETRY_MS;
 	return MIN(POLL_RETRY_MS * upstream->failed_polls, POLL_RETRY_MAX_MS);
 }
@@ -86,7 +89,7 @@
 		send_poll(scheduler, upstream);
 }
 
-void sched_poll_first(wwh_scheduler_t *scheduler)
+void sched_poll_unsettled(wwh_scheduler_t *scheduler)
 {
 	GPtrArray *due = g_ptr_array_new();
 	GHashTableIter iterator;
@@ -119,7 +122,10 @@
 	       upstream->failed_polls == 0;
 }
 
-/* From half to one and a half times the mean, lest all are polled at once. */
+/*
+ * The gap is spread from 0.5 to 1.5 times the mean, so that upstreams aren't
+ * all polled at the same time.
+ */
 int64_t sched_poll_idle_gap_ms(const wwh_scheduler_t *scheduler,
 			       const sched_upstream_t *upstream)
 {
@@ -154,13 +160,15 @@
 		.limit_ms = poll_limit_ms(upstream),
 	};
 
-	/* the first answer tells its clock; until then nothing is waited for */
+	/*
+	 * the first answer has the remote clock: it is requested without wait
+	 */
 	if (!upstream->settled || upstream->failed_polls > 0)
 		order.wait_ms = 0;
 	/*
-	 * A lease is extended only while answers come: each order that is
-	 * sent may still arrive, so asking on and on of an upstream that is
-	 * gone would put off the end of its lease for good.
+	 * A lease is extended only while polls are answered. Each poll that was
+	 * sent may still arrive, so extending the lease with every poll at an
+	 * upstream that has terminated would postpone the lease's end forever.
 	 */
 	if (upstream->failed_polls > 0)
 		order.lease_until_remote_ms = upstream->lease_until_remote_ms;
@@ -171,7 +179,7 @@
 	scheduler->calls.poll(&order, scheduler->calls.client_data);
 }
 
-static bool pool_waits_for(const sched_upstream_t *upstream)
+static bool delays_its_pool(const sched_upstream_t *upstream)
 {
 	return upstream->inherited && !upstream->settled;
 }
@@ -180,21 +188,21 @@
 {
 	int32_t doublings = MIN(upstream->failed_polls, 8);
 
-	if (!pool_waits_for(upstream))
+	if (!delays_its_pool(upstream))
 		return POLL_LIMIT_MS;
 	return MIN((int64_t)FIRST_POLL_LIMIT_MS << doublings, POLL_LIMIT_MS);
 }
 
-/* Those that weren't asked yet come first, then those due for the longest. */
+/* Upstreams without a failed poll come first, then those due the longest. */
 static gint compare_first_polls(gconstpointer a, gconstpointer b)
 {
 	const sched_upstream_t *one = *(sched_upstream_t *const *)a;
 	const sched_upstream_t *other = *(sched_upstream_t *const *)b;
-	bool one_asked = one->failed_polls > 0;
-	bool other_asked = other->failed_polls > 0;
+	bool one_polled = one->failed_polls > 0;
+	bool other_polled = other->failed_polls > 0;
 
-	if (one_asked != other_asked)
-		return one_asked ? 1 : -1;
+	if (one_polled != other_polled)
+		return one_polled ? 1 : -1;
 	if (one->next_poll_ms == other->next_poll_ms)
 		return 0;
 	return one->next_poll_ms < other->next_poll_ms ? -1 : 1;
--- a/src/libwaxwinghollow/scheduler_upstream.c
+++ b/src/libwaxwinghollow/scheduler_upstream.c
@@ -2,22 +2,22 @@
 
 #include <string.h>
 
-/* No new work where the last answer is older than three waits and a bit. */
+/* An upstream silent for three poll waits and a margin gets no new work. */
 #define SILENT_AFTER_MS 3200
 
-/* How long to wait for the final report of an upstream that may have terminated. */
+/* Time to wait for the final report of an upstream that has terminated. */
 #define FINAL_REPORT_WAIT_MS 150
 
-/* Twice the time between two lists of hosts, and what a slow list may take. */
+/* Twice the interval of host lists, plus the duration of a slow list. */
 #define ANNOUNCED_WITHOUT_HOST_MS 1200
 
-/* Failures in a row, of different tasks, before an upstream is avoided. */
+/* Consecutive failures of different tasks before an upstream gets no work. */
 #define FAILURES_BEFORE_BACKOFF 3
 #define BACKOFF_FIRST_MS 1500
 #define BACKOFF_MAX_DOUBLINGS 3
 
-static void drop_record(wwh_scheduler_t *scheduler,
-			const sched_upstream_t *upstream);
+static void delete_record(wwh_scheduler_t *scheduler,
+			  const sched_upstream_t *upstream);
 
 sched_pool_t *sched_pool_get(wwh_scheduler_t *scheduler, const char *name)
 {
@@ -89,23 +89,23 @@
 	sched_explain(scheduler, "upstream-gone", upstream->info.id,
 		      "why=%s endpoint=%s tasks=%u", why,
 		      upstream->info.endpoint, upstream->tasks->len);
-	sched_upstream_lose_all(scheduler, upstream, why);
+	sched_upstream_lose_tasks(scheduler, upstream, why);
 	if (upstream->inherited && !upstream->settled)
 		sched_pool_settle_one(scheduler, upstream->pool);
 	g_ptr_array_remove_fast(upstream->pool->upstreams, upstream);
 	upstream->pool->dirty = true;
 	if (upstream->kept_asked)
-		drop_record(scheduler, upstream);
+		delete_record(scheduler, upstream);
 	g_hash_table_remove(scheduler->upstreams, upstream->info.id);
 }
 
 /*
- * A holder that takes over asks each upstream that has a record. Where this one
- * has none, the ends that it told must be in the journal before: their tasks
- * would run again.
+ * A new holder polls each upstream that has a record. Before the record of this
+ * one is deleted, the ends that it reported must be in the journal; otherwise
+ * their tasks would run again.
  */
-static void drop_record(wwh_scheduler_t *scheduler,
-			const sched_upstream_t *upstream)
+static void delete_record(wwh_scheduler_t *scheduler,
+			  const sched_upstream_t *upstream)
 {
 	sched_progress_keep(scheduler);
 	scheduler->newest_record =
@@ -114,10 +114,10 @@
 }
 
 /*
- * What an upstream lists as ended may be forgotten there once it is durable
- * here. Called right after the progress of all jobs was written, and never
- * at another time: an end whose job isn't written yet must not be covered.
- * One number is on its way at a time, the next follows.
+ * An upstream may delete an end once it is durable here. To be called only
+ * right after the progress of all jobs was written: an end that isn't in the
+ * written progress of its job must not be acknowledged. Only one end number of
+ * an upstream is being made durable at a time; the next one follows.
  */
 void sched_upstreams_flushed(wwh_scheduler_t *scheduler)
 {
@@ -173,9 +173,9 @@
 }
 
 /*
- * An upstream that fails whatever it is given answers its polls well and has
- * room soonest, so it would draw all work to itself. Jobs that fail
- * everywhere reset nobody's streak for long, as others succeed in between.
+ * An upstream on which every task fails still answers its polls and has free
+ * capacity soonest, so it would attract all work. Jobs that fail everywhere
+ * don't cause a long streak, as other tasks succeed in between.
  */
 void sched_upstream_failed(wwh_scheduler_t *scheduler,
 			   sched_upstream_t *upstream)
@@ -204,12 +204,12 @@
 }
 
 /*
- * Two incarnations are announced at one endpoint, in any order: the older one's entry
- * lapses only after some seconds. Which of them ended is for the endpoint to
- * say, as the one that runs there refuses polls at the other. Taken for ended
- * by the announcement alone, a task of the living one would run twice.
+ * Two incarnations may be announced at one endpoint, in any order, as the older
+ * one's entry lapses only after some seconds. Polls decide which of them has
+ * terminated, as the running one refuses polls at the other. If an announcement
+ * alone decided it, a task of the running incarnation could run twice.
  */
-static void ask_others_at(wwh_scheduler_t *scheduler, const char *endpoint)
+static void poll_others_at(wwh_scheduler_t *scheduler, const char *endpoint)
 {
 	GHashTableIter iterator;
 	gpointer value;
@@ -223,15 +223,15 @@
 	}
 }
 
-void wwh_scheduler_upstream_seen(wwh_scheduler_t *scheduler,
-				 const wwh_upstream_info_t *info,
-				 int64_t now_ms)
+void wwh_scheduler_upstream_announced(wwh_scheduler_t *scheduler,
+				      const wwh_upstream_info_t *info,
+				      int64_t now_ms)
 {
 	sched_upstream_t *upstream = sched_upstream_find(scheduler, info->id);
 
 	scheduler->now_ms = MAX(scheduler->now_ms, now_ms);
 	if (upstream == NULL) {
-		ask_others_at(scheduler, info->endpoint);
+		poll_others_at(scheduler, info->endpoint);
 		upstream = sched_upstream_add(scheduler, info);
 		sched_explain(scheduler, "upstream-new", info->id,
 			      "endpoint=%s pool=%s", info->endpoint,
@@ -278,8 +278,8 @@
 	return upstream != NULL && upstream->listed && !upstream->unreadable;
 }
 
-void wwh_scheduler_upstream_left(wwh_scheduler_t *scheduler, const char *id,
-				 int64_t now_ms)
+void wwh_scheduler_upstream_withdrawn(wwh_scheduler_t *scheduler,
+				      const char *id, int64_t now_ms)
 {
 	sched_upstream_t *upstream = sched_upstream_find(scheduler, id);
 
@@ -294,11 +294,13 @@
 }
 
 /*
- * Its final report may be in transit or unread. If it lists the end of a task, the
- * task would be started again and run twice, so a pending poll is awaited first.
+ * The upstream's final report may be in transit or unread. A task whose end it
+ * lists would be started again and run twice, so a poll in flight is awaited
+ * before the upstream is removed.
  */
-void wwh_scheduler_upstream_gone(wwh_scheduler_t *scheduler, const char *id,
-				 const char *why, int64_t now_ms)
+void wwh_scheduler_upstream_terminated(wwh_scheduler_t *scheduler,
+				       const char *id, const char *why,
+				       int64_t now_ms)
 {
 	sched_upstream_t *upstream = sched_upstream_find(scheduler, id);
 
@@ -315,20 +317,21 @@
 bool sched_upstream_awaits_final_report(const wwh_scheduler_t *scheduler,
 					const sched_upstream_t *upstream)
 {
-	bool may_tell_ends = upstream->tasks->len > 0 ||
-			     (upstream->inherited && !upstream->settled);
+	bool may_report_ends = upstream->tasks->len > 0 ||
+			       (upstream->inherited && !upstream->settled);
 
-	return upstream->poll_in_flight && may_tell_ends &&
+	return upstream->poll_in_flight && may_report_ends &&
 	       scheduler->now_ms - upstream->gone_ms < FINAL_REPORT_WAIT_MS;
 }
 
 /*
- * Hosts come all the time in a peak. Asked to have each upstream that answers by
- * now, hardly any list was believed, and pools waited seconds for upstreams that
- * no host ran. One that answers first after the list was asked for says nothing
- * of the list.
+ * Marks the upstreams that the requested list has to contain. An upstream that
+ * answers for the first time after the request isn't one of them: in a peak
+ * hosts arrive all the time, and when lists had to contain these as well,
+ * nearly all lists were discarded, and pools waited seconds for upstreams that
+ * no host ran.
  */
-void wwh_scheduler_incarnations_asked(wwh_scheduler_t *scheduler)
+void wwh_scheduler_incarnations_requested(wwh_scheduler_t *scheduler)
 {
 	GHashTableIter iterator;
 	gpointer value;
@@ -342,14 +345,14 @@
 }
 
 /*
- * A list shows all that runs if it has each upstream that was announced and had
- * answered when it was asked for, and there is one. An empty list, or a part of
- * one, shows nothing of the others.
+ * A list is complete if it contains each upstream that was announced and had
+ * answered when the list was requested, and there is at least one such
+ * upstream. Absence from an empty or partial list proves nothing.
  */
-static bool shows_all(const wwh_scheduler_t *scheduler,
-		      GHashTable *incarnations)
+static bool host_list_is_complete(const wwh_scheduler_t *scheduler,
+				  GHashTable *incarnations)
 {
-	int32_t living = 0;
+	int32_t answering = 0;
 	GHashTableIter iterator;
 	gpointer value;
 
@@ -362,15 +365,16 @@
 			continue;
 		if (!g_hash_table_contains(incarnations, upstream->info.id))
 			return false;
-		living++;
+		answering++;
 	}
-	return living > 0;
+	return answering > 0;
 }
 
 /*
- * The entry of an upstream whose host was moved by the holder before stays for
- * three heartbeats, and its pool waited as long. One that is announced may have
- * begun so late that a list doesn't show it yet, but not for so long.
+ * The announcement of an upstream whose host was moved by the previous holder
+ * remains for three heartbeats, and the pool would wait as long. A list may
+ * lack an announced upstream that has just started, but not for
+ * ANNOUNCED_WITHOUT_HOST_MS.
  */
 static bool has_no_host(const wwh_scheduler_t *scheduler,
 			sched_upstream_t *upstream)
@@ -389,7 +393,7 @@
 	GList *all;
 
 	scheduler->now_ms = MAX(scheduler->now_ms, now_ms);
-	if (!shows_all(scheduler, incarnations))
+	if (!host_list_is_complete(scheduler, incarnations))
 		return;
 	all = g_hash_table_get_values(scheduler->upstreams);
 	for (GList *at = all; at != NULL; at = at->next) {
@@ -400,15 +404,15 @@
 		if (g_hash_table_contains(incarnations, upstream->info.id))
 			upstream->without_host_ms = 0;
 		else if (has_no_host(scheduler, upstream))
-			wwh_scheduler_upstream_gone(scheduler,
-						    upstream->info.id,
-						    "no-host", now_ms);
+			wwh_scheduler_upstream_terminated(scheduler,
+							  upstream->info.id,
+							  "no-host", now_ms);
 	}
 	g_list_free(all);
 }
 
-void sched_upstream_lose_all(wwh_scheduler_t *scheduler,
-			     sched_upstream_t *upstream, const char *why)
+void sched_upstream_lose_tasks(wwh_scheduler_t *scheduler,
+			       sched_upstream_t *upstream, const char *why)
 {
 	while (upstream->tasks->len > 0) {
 		sched_task_t *task = g_ptr_array_index(upstream->tasks, 0);
--- a/src/libwaxwinghollow/scheduler_watch.c
+++ b/src/libwaxwinghollow/scheduler_watch.c
@@ -3,64 +3,73 @@
 #include <string.h>
 
 /*
- * Refusals in a row after which its process is taken as ended. A process
- * that runs listens; two, as one may be a connection reset on its way.
+ * Consecutive refused connections after which an upstream's process is
+ * considered terminated. A running process listens; one refusal may be a
+ * connection that was reset in transit.
  */
-#define REFUSALS_OF_AN_ENDED_ONE 2
+#define REFUSALS_BEFORE_TERMINATED 2
 
-/* A stop that got no answer is sent again after this. */
-#define STOP_REPEAT_MS 400
+/* A stop order without an answer is resent after this time. */
+#define STOP_RESEND_MS 400
 
 /*
- * A task whose progress stands still for so long hangs: tasks take a few
- * seconds and are listed once a second, and restoring a checkpoint takes
- * well under a second.
+ * A task whose progress hasn't changed for this time hangs: tasks take a few
+ * seconds and are listed once a second, and restoring a checkpoint takes well
+ * under a second.
  */
-#define HANGS_AFTER_MS 1600
+#define HANG_TIMEOUT_MS 1600
 
-/* A lasting task that runs and isn't at work for so long. */
-#define LASTING_HANGS_AFTER_MS 2500
+/* A running lasting task that is unavailable for this time hangs. */
+#define LASTING_HANG_TIMEOUT_MS 2500
 
 /*
- * A lasting task that was at work for so long ended for another reason than the
- * one before: a task that fails by its own fault does so sooner.
+ * After a lasting task was available for this time, its next failure isn't
+ * counted as consecutive: a task that fails by its own fault does so sooner.
  */
-#define LASTING_SOUND_MS 5000
+#define LASTING_STABLE_MS 5000
 
-/* Where a task hung, others will. */
+/* An upstream on which a task hung gets no work for this time. */
 #define HANG_BACKOFF_MS 3000
 
-static void settle(wwh_scheduler_t *scheduler, sched_upstream_t *upstream);
-static void take_ended(wwh_scheduler_t *scheduler, sched_upstream_t *upstream,
-		       const wwh_ended_t *row);
+static void mark_settled(wwh_scheduler_t *scheduler,
+			 sched_upstream_t *upstream);
+static void handle_ended(wwh_scheduler_t *scheduler, sched_upstream_t *upstream,
+			 const wwh_ended_t *row);
 static bool changes_progress(const sched_task_t *task, const wwh_ended_t *row);
-static void take_end_of(wwh_scheduler_t *scheduler, sched_upstream_t *upstream,
-			sched_task_t *task, const wwh_ended_t *row);
-static bool blames_upstream(sched_task_t *task);
-static void take_gang_done(wwh_scheduler_t *scheduler, sched_task_t *task);
-static void take_done(wwh_scheduler_t *scheduler, sched_task_t *task);
-static void take_running(wwh_scheduler_t *scheduler, sched_upstream_t *upstream,
-			 const wwh_running_t *row);
-static void take_orphan(wwh_scheduler_t *scheduler, sched_upstream_t *upstream,
+static void handle_task_end(wwh_scheduler_t *scheduler,
+			    sched_upstream_t *upstream, sched_task_t *task,
+			    const wwh_ended_t *row);
+static bool is_upstream_failure(sched_task_t *task);
+static void complete_gang(wwh_scheduler_t *scheduler, sched_task_t *task);
+static void complete_task(wwh_scheduler_t *scheduler, sched_task_t *task);
+static void handle_running(wwh_scheduler_t *scheduler,
+			   sched_upstream_t *upstream,
+			   const wwh_running_t *row);
+static void handle_orphan(wwh_scheduler_t *scheduler,
+			  sched_upstream_t *upstream, const wwh_running_t *row);
+static void update_task(wwh_scheduler_t *scheduler, sched_task_t *task,
 			const wwh_running_t *row);
-static void take_figures(wwh_scheduler_t *scheduler, sched_task_t *task,
-			 const wwh_running_t *row);
-static void find_lost(wwh_scheduler_t *scheduler, sched_upstream_t *upstream,
-		      const wwh_poll_answer_t *answer, int64_t sent_ms);
-static bool lists(const wwh_poll_answer_t *answer, const sched_task_t *task);
-static void judge_unlisted(wwh_scheduler_t *scheduler, sched_task_t *task,
-			   int64_t sent_ms);
-static void stop_hanging(wwh_scheduler_t *scheduler,
+static void handle_unlisted_tasks(wwh_scheduler_t *scheduler,
+				  sched_upstream_t *upstream,
+				  const wwh_poll_answer_t *answer,
+				  int64_t sent_ms);
+static bool lists_task(const wwh_poll_answer_t *answer,
+		       const sched_task_t *task);
+static void handle_unlisted(wwh_scheduler_t *scheduler, sched_task_t *task,
+			    int64_t sent_ms);
+static void stop_hung_tasks(wwh_scheduler_t *scheduler,
+			    sched_upstream_t *upstream);
+static void resend_stops(wwh_scheduler_t *scheduler,
+			 sched_upstream_t *upstream);
+static void run_upstream(wwh_scheduler_t *scheduler,
 			 sched_upstream_t *upstream);
-static void repeat_orders(wwh_scheduler_t *scheduler,
-			  sched_upstream_t *upstream);
-static void run_one(wwh_scheduler_t *scheduler, sched_upstream_t *upstream);
-static void keep_upstream(wwh_scheduler_t *scheduler,
-			  sched_upstream_t *upstream);
-
-void wwh_scheduler_polled(wwh_scheduler_t *scheduler, const char *id,
-			  const wwh_poll_answer_t *answer, int64_t sent_ms,
-			  int64_t now_ms)
+static void write_upstream_record(wwh_scheduler_t *scheduler,
+				  sched_upstream_t *upstream);
+
+void wwh_scheduler_handle_poll_answer(wwh_scheduler_t *scheduler,
+				      const char *id,
+				      const wwh_poll_answer_t *answer,
+				      int64_t sent_ms, int64_t now_ms)
 {
 	sched_upstream_t *upstream = sched_upstream_find(scheduler, id);
 
@@ -77,22 +86,22 @@
 		sched_lease_inherit(upstream, answer->remote_ms);
 	sched_lease_recompute(upstream);
 	for (int32_t i = 0; i < answer->ended_count; i++)
-		take_ended(scheduler, upstream, &answer->ended[i]);
+		handle_ended(scheduler, upstream, &answer->ended[i]);
 	if (upstream->gone_why != NULL) {
-		/* its ends count; of what it lists as running nothing is left */
+		/* the listed ends count; the listed running tasks are lost */
 		sched_upstream_remove(scheduler, upstream, upstream->gone_why);
 		return;
 	}
 	upstream->orphans = 0;
 	for (int32_t i = 0; i < answer->running_count; i++)
-		take_running(scheduler, upstream, &answer->running[i]);
+		handle_running(scheduler, upstream, &answer->running[i]);
 	if (upstream->orphans == 0)
 		g_hash_table_remove_all(upstream->orphan_stops);
 	if (answer->ended_in_full)
-		find_lost(scheduler, upstream, answer, sent_ms);
-	stop_hanging(scheduler, upstream);
-	sched_pace(scheduler, upstream);
-	settle(scheduler, upstream);
+		handle_unlisted_tasks(scheduler, upstream, answer, sent_ms);
+	stop_hung_tasks(scheduler, upstream);
+	sched_pace_fillers(scheduler, upstream);
+	mark_settled(scheduler, upstream);
 	upstream->idle_gap_ms = sched_poll_idle_gap_ms(scheduler, upstream);
 	upstream->next_poll_ms =
 		scheduler->now_ms + MAX(sched_poll_gap_ms(scheduler, upstream),
@@ -100,8 +109,9 @@
 	upstream->pool->dirty = true;
 }
 
-void wwh_scheduler_poll_failed(wwh_scheduler_t *scheduler, const char *id,
-			       bool refused, int64_t now_ms)
+void wwh_scheduler_handle_poll_failure(wwh_scheduler_t *scheduler,
+				       const char *id, bool refused,
+				       int64_t now_ms)
 {
 	sched_upstream_t *upstream = sched_upstream_find(scheduler, id);
 
@@ -124,21 +134,21 @@
 			      refused,
 			      scheduler->now_ms - upstream->answered_ms,
 			      upstream->tasks->len, upstream->settled);
-	if (upstream->refused_polls >= REFUSALS_OF_AN_ENDED_ONE)
+	if (upstream->refused_polls >= REFUSALS_BEFORE_TERMINATED)
 		sched_upstream_remove(scheduler, upstream, "refused");
 }
 
-void wwh_scheduler_poll_found_other(wwh_scheduler_t *scheduler, const char *id,
-				    int64_t now_ms)
+void wwh_scheduler_handle_poll_other_incarnation(wwh_scheduler_t *scheduler,
+						 const char *id, int64_t now_ms)
 {
 	sched_upstream_t *upstream = sched_upstream_find(scheduler, id);
 
 	if (upstream != NULL)
 		upstream->poll_in_flight = false;
-	wwh_scheduler_upstream_gone(scheduler, id, "restarted", now_ms);
+	wwh_scheduler_upstream_terminated(scheduler, id, "restarted", now_ms);
 }
 
-/* Removal while iterating: the ids of those to run are taken first. */
+/* Iterates over a copy of the list, as upstreams may be removed meanwhile. */
 void sched_upstreams_run(wwh_scheduler_t *scheduler)
 {
 	GList *all = g_hash_table_get_values(scheduler->upstreams);
@@ -146,13 +156,13 @@
 	scheduler->idle_upstreams = 0;
 	for (GList *at = all; at != NULL; at = at->next) {
 		scheduler->idle_upstreams += sched_upstream_is_idle(at->data);
-		run_one(scheduler, at->data);
+		run_upstream(scheduler, at->data);
 	}
 	g_list_free(all);
-	sched_poll_first(scheduler);
+	sched_poll_unsettled(scheduler);
 }
 
-static void settle(wwh_scheduler_t *scheduler, sched_upstream_t *upstream)
+static void mark_settled(wwh_scheduler_t *scheduler, sched_upstream_t *upstream)
 {
 	if (upstream->settled)
 		return;
@@ -164,8 +174,8 @@
 		      upstream->orphans);
 }
 
-static void take_ended(wwh_scheduler_t *scheduler, sched_upstream_t *upstream,
-		       const wwh_ended_t *row)
+static void handle_ended(wwh_scheduler_t *scheduler, sched_upstream_t *upstream,
+			 const wwh_ended_t *row)
 {
 	sched_task_t *task;
 
@@ -178,7 +188,7 @@
 		return;
 	if (changes_progress(task, row))
 		upstream->ends_needed = row->number;
-	take_end_of(scheduler, upstream, task, row);
+	handle_task_end(scheduler, upstream, task, row);
 }
 
 static bool changes_progress(const sched_task_t *task, const wwh_ended_t *row)
@@ -188,17 +198,19 @@
 	       (row->kind == WWH_END_DONE || row->kind == WWH_END_FAILED);
 }
 
-static void take_end_of(wwh_scheduler_t *scheduler, sched_upstream_t *upstream,
-			sched_task_t *task, const wwh_ended_t *row)
+static void handle_task_end(wwh_scheduler_t *scheduler,
+			    sched_upstream_t *upstream, sched_task_t *task,
+			    const wwh_ended_t *row)
 {
 	bool is_out = sched_task_is_out(scheduler, task);
-	bool mine = task->upstream == upstream && task->run == row->run;
+	bool is_current_run =
+		task->upstream == upstream && task->run == row->run;
 
 	if (row->kind == WWH_END_FAILED) {
-		/* also of a run before the one that is out now */
+		/* the failure may be of a run before the current one */
 		if (sched_task_state(task) != TASK_OVER)
 			sched_step_task_failed(scheduler, task, row->run);
-		if (blames_upstream(task))
+		if (is_upstream_failure(task))
 			sched_upstream_failed(scheduler, upstream);
 		task->avoid = upstream;
 	}
@@ -206,16 +218,16 @@
 		upstream->fail_streak = 0;
 		upstream->backoffs = 0;
 	}
-	if (is_out && !mine)
-		return; /* an older run, that is known to be over */
+	if (is_out && !is_current_run)
+		return; /* this run is an older one, known to be over */
 	task->run = MAX(task->run, row->run);
 	sched_task_set_checkpoint(task, row->checkpoint);
 	if (row->kind == WWH_END_DONE && !task->step->spec->lasting &&
 	    sched_task_state(task) != TASK_OVER) {
 		if (task->step->spec->gang)
-			take_gang_done(scheduler, task);
+			complete_gang(scheduler, task);
 		else
-			take_done(scheduler, task);
+			complete_task(scheduler, task);
 		return;
 	}
 	if (row->kind != WWH_END_STOPPED && row->kind != WWH_END_DONE)
@@ -227,11 +239,12 @@
 }
 
 /*
- * A task that fails everywhere is blamed on one upstream. Blamed on each that it
- * ran on, it makes all of them be avoided, and all other tasks of the pool stay
- * away for up to 12 s.
+ * Only the first failure of a task is attributed to the upstream. If a task
+ * that fails everywhere counted against each upstream that it ran on, all of
+ * them would be backed off, and no other task of the pool could start for up to
+ * 12 s. Also counts consecutive failures of lasting tasks.
  */
-static bool blames_upstream(sched_task_t *task)
+static bool is_upstream_failure(sched_task_t *task)
 {
 	if (!task->step->spec->lasting)
 		return task->failures.count <= 1;
@@ -239,18 +252,18 @@
 	return task->fails_in_a_row == 1;
 }
 
-/* Members end together; the end of one stands for all of them. */
-static void take_gang_done(wwh_scheduler_t *scheduler, sched_task_t *task)
+/* The members of a gang end together, so the end of one completes them all. */
+static void complete_gang(wwh_scheduler_t *scheduler, sched_task_t *task)
 {
 	sched_step_t *step = task->step;
 
 	for (int32_t i = 0; i < step->spec->task_count; i++) {
 		if (sched_task_state(&step->tasks[i]) != TASK_OVER)
-			take_done(scheduler, &step->tasks[i]);
+			complete_task(scheduler, &step->tasks[i]);
 	}
 }
 
-static void take_done(wwh_scheduler_t *scheduler, sched_task_t *task)
+static void complete_task(wwh_scheduler_t *scheduler, sched_task_t *task)
 {
 	bool live = sched_job_is_live(task->step->occurrence->job);
 
@@ -259,8 +272,8 @@
 		sched_step_task_done(scheduler, task);
 }
 
-static void take_running(wwh_scheduler_t *scheduler, sched_upstream_t *upstream,
-			 const wwh_running_t *row)
+static void handle_running(wwh_scheduler_t *scheduler,
+			   sched_upstream_t *upstream, const wwh_running_t *row)
 {
 	sched_task_t *task = sched_job_task(scheduler, row->task);
 	bool live =
@@ -272,26 +285,26 @@
 		task->order_in_flight =
 			sched_task_state(task) == TASK_STOPPING &&
 			task->order_in_flight;
-		take_figures(scheduler, task, row);
+		update_task(scheduler, task, row);
 		return;
 	}
 	if (live && sched_task_state(task) == TASK_WAITING &&
 	    row->run >= task->run && task->inherited) {
 		sched_task_adopt(scheduler, task, upstream, row->run);
-		take_figures(scheduler, task, row);
+		update_task(scheduler, task, row);
 		return;
 	}
-	take_orphan(scheduler, upstream, row);
+	handle_orphan(scheduler, upstream, row);
 }
 
 /*
- * Something runs that this holder doesn't want there: a task of a job that
- * has ended, or a run that was given up and whose start arrived late. It is
- * stopped, and the upstream gets nothing new until it is gone, since the
- * room it takes isn't in our books.
+ * An orphan is a run that this holder doesn't want: a task of a job that has
+ * ended, or a run that was abandoned and whose start arrived late. It is
+ * stopped, and the upstream gets no new task until it has ended, because its
+ * load isn't included in the upstream's used load.
  */
-static void take_orphan(wwh_scheduler_t *scheduler, sched_upstream_t *upstream,
-			const wwh_running_t *row)
+static void handle_orphan(wwh_scheduler_t *scheduler,
+			  sched_upstream_t *upstream, const wwh_running_t *row)
 {
 	int64_t *sent_ms =
 		g_hash_table_lookup(upstream->orphan_stops, row->task);
@@ -302,12 +315,12 @@
 	};
 
 	upstream->orphans++;
-	/* its job isn't known to have ended: only its caller can tell */
+	/* whether a lost job has ended isn't known, so its tasks run on */
 	if (sched_task_is_lost(scheduler, row->task))
 		return;
 	if (sent_ms != NULL &&
 	    scheduler->now_ms - *sent_ms <
-		    STOP_REPEAT_MS + scheduler->options.stop_limit_ms)
+		    STOP_RESEND_MS + scheduler->options.stop_limit_ms)
 		return;
 	sent_ms = g_new(int64_t, 1);
 	*sent_ms = scheduler->now_ms;
@@ -320,8 +333,8 @@
 	scheduler->calls.stop(&order, scheduler->calls.client_data);
 }
 
-static void take_figures(wwh_scheduler_t *scheduler, sched_task_t *task,
-			 const wwh_running_t *row)
+static void update_task(wwh_scheduler_t *scheduler, sched_task_t *task,
+			const wwh_running_t *row)
 {
 	const wwh_job_step_t *spec = task->step->spec;
 
@@ -334,7 +347,7 @@
 	if (!spec->lasting)
 		return;
 	if (row->percent >= 100 &&
-	    scheduler->now_ms - task->percent_ms >= LASTING_SOUND_MS)
+	    scheduler->now_ms - task->percent_ms >= LASTING_STABLE_MS)
 		task->fails_in_a_row = 0;
 	if (row->percent >= 100)
 		task->away_ms = 0;
@@ -343,24 +356,28 @@
 }
 
 /*
- * The answer is a snapshot of the upstream: what was there before the poll
- * was sent and is in neither list is over, though its end isn't known.
+ * The answer is a snapshot of the upstream. A task that was there before the
+ * poll was sent and is in neither list is over, though the kind of its end
+ * isn't known.
  */
-static void find_lost(wwh_scheduler_t *scheduler, sched_upstream_t *upstream,
-		      const wwh_poll_answer_t *answer, int64_t sent_ms)
+static void handle_unlisted_tasks(wwh_scheduler_t *scheduler,
+				  sched_upstream_t *upstream,
+				  const wwh_poll_answer_t *answer,
+				  int64_t sent_ms)
 {
 	for (guint i = 0; i < upstream->tasks->len;) {
 		sched_task_t *task = g_ptr_array_index(upstream->tasks, i);
 		guint before = upstream->tasks->len;
 
-		if (!lists(answer, task))
-			judge_unlisted(scheduler, task, sent_ms);
+		if (!lists_task(answer, task))
+			handle_unlisted(scheduler, task, sent_ms);
 		if (upstream->tasks->len == before)
 			i++;
 	}
 }
 
-static bool lists(const wwh_poll_answer_t *answer, const sched_task_t *task)
+static bool lists_task(const wwh_poll_answer_t *answer,
+		       const sched_task_t *task)
 {
 	char name[WWH_TASK_NAME_BYTES];
 
@@ -373,19 +390,19 @@
 	return false;
 }
 
-static void judge_unlisted(wwh_scheduler_t *scheduler, sched_task_t *task,
-			   int64_t sent_ms)
+static void handle_unlisted(wwh_scheduler_t *scheduler, sched_task_t *task,
+			    int64_t sent_ms)
 {
 	switch (sched_task_state(task)) {
 	case TASK_RUNNING:
-		/* strictly: the start's answer may have crossed the poll */
+		/* not >=: the start's answer may have crossed the poll */
 		if (sent_ms > task->changed_ms)
 			sched_task_event(scheduler, task, TASK_LOST);
 		break;
 	case TASK_UNSURE:
 		/*
-		 * The start may still arrive. A confirmed stop makes the
-		 * upstream refuse it then, so the task can go elsewhere.
+		 * The start may still arrive. After a confirmed stop the
+		 * upstream refuses it, so the task can start elsewhere.
 		 */
 		if (sent_ms > task->changed_ms)
 			sched_task_order_stop(scheduler, task);
@@ -401,18 +418,19 @@
 }
 
 /*
- * An upstream may answer well and yet do no work. What hangs there is
- * started elsewhere; without that, its callers wait for ever, and a step
- * with one such task never ends.
+ * An upstream may answer polls and yet make no progress. Its hung tasks are
+ * stopped, to be started elsewhere; otherwise their callers would wait forever,
+ * and a step with one such task would never end.
  */
-static void stop_hanging(wwh_scheduler_t *scheduler, sched_upstream_t *upstream)
+static void stop_hung_tasks(wwh_scheduler_t *scheduler,
+			    sched_upstream_t *upstream)
 {
 	for (guint i = 0; i < upstream->tasks->len; i++) {
 		sched_task_t *task = g_ptr_array_index(upstream->tasks, i);
 		bool lasting = task->step->spec->lasting;
 		int64_t since_ms = lasting ? task->away_ms : task->percent_ms;
 		int64_t limit_ms =
-			lasting ? LASTING_HANGS_AFTER_MS : HANGS_AFTER_MS;
+			lasting ? LASTING_HANG_TIMEOUT_MS : HANG_TIMEOUT_MS;
 		char name[WWH_TASK_NAME_BYTES];
 
 		if (sched_task_state(task) != TASK_RUNNING || since_ms == 0 ||
@@ -430,20 +448,19 @@
 	}
 }
 
-static void repeat_orders(wwh_scheduler_t *scheduler,
-			  sched_upstream_t *upstream)
+static void resend_stops(wwh_scheduler_t *scheduler, sched_upstream_t *upstream)
 {
 	for (guint i = 0; i < upstream->tasks->len; i++) {
 		sched_task_t *task = g_ptr_array_index(upstream->tasks, i);
 
 		if (sched_task_state(task) == TASK_STOPPING &&
 		    !task->order_in_flight && task->stop_confirmed_ms == 0 &&
-		    scheduler->now_ms - task->stop_sent_ms >= STOP_REPEAT_MS)
+		    scheduler->now_ms - task->stop_sent_ms >= STOP_RESEND_MS)
 			sched_task_order_stop(scheduler, task);
 	}
 }
 
-static void run_one(wwh_scheduler_t *scheduler, sched_upstream_t *upstream)
+static void run_upstream(wwh_scheduler_t *scheduler, sched_upstream_t *upstream)
 {
 	int64_t now_ms = scheduler->now_ms;
 
@@ -461,7 +478,7 @@
 	if (upstream->lapsed_ms != 0 && now_ms >= upstream->lapsed_ms &&
 	    !upstream->lapse_done) {
 		upstream->lapse_done = true;
-		sched_upstream_lose_all(scheduler, upstream, "lease-lapsed");
+		sched_upstream_lose_tasks(scheduler, upstream, "lease-lapsed");
 		if (!upstream->listed) {
 			sched_upstream_remove(scheduler, upstream, "lapsed");
 			return;
@@ -472,16 +489,16 @@
 		sched_upstream_remove(scheduler, upstream, "unlisted");
 		return;
 	}
-	repeat_orders(scheduler, upstream);
+	resend_stops(scheduler, upstream);
 	if (upstream->settled)
 		sched_poll_if_due(scheduler, upstream);
 	if (upstream->settled && upstream->listed && !upstream->kept_asked)
-		keep_upstream(scheduler, upstream);
+		write_upstream_record(scheduler, upstream);
 }
 
-/* Before the first start: a holder after this one has to ask it. */
-static void keep_upstream(wwh_scheduler_t *scheduler,
-			  sched_upstream_t *upstream)
+/* Is called before the first start, so that a new holder polls the upstream. */
+static void write_upstream_record(wwh_scheduler_t *scheduler,
+				  sched_upstream_t *upstream)
 {
 	GBytes *value = sched_upstream_encode(upstream);
 
--- a/src/test_scheduler/test_upstreams.c
+++ b/src/test_scheduler/test_upstreams.c
@@ -1,20 +1,21 @@
 /*
- * What upstreams are used for: those in waves or leaving, fillers beside serving
- * tasks, and those that a policy admits.
+ * Use of upstreams: cordoned for waves or leaving, with fillers beside serving
+ * tasks, admitted by a policy, limited by a quota, and in a large pool.
  */
 
 #include "test_scheduler.h"
 
 #define SERVING_MAX 10
 
-/* The tasks of a serving job, by the upstream that they run on: u1, u2. */
+/* The tasks of a serving job by upstream: index 0 is u1, index 1 is u2. */
 typedef struct {
 	wwh_running_t rows[2][SERVING_MAX];
 	int32_t counts[2];
 } serving_t;
 
-/* Submits a job whose tasks last; each is started, and its start answered. */
-static serving_t serve(rig_t *rig, wwh_job_t *job, int32_t max_unavailable)
+/* Submits a job with lasting tasks and confirms the start of each. */
+static serving_t start_serving(rig_t *rig, wwh_job_t *job,
+			       int32_t max_unavailable)
 {
 	guint count = (guint)job->steps[0].task_count;
 	serving_t serving = { .counts = { 0 } };
@@ -34,8 +35,8 @@
 	return serving;
 }
 
-/* Both upstreams say that all of it is at work. */
-static void all_at_work(rig_t *rig, const serving_t *serving)
+/* Both upstreams report all tasks as available. */
+static void answer_all_available(rig_t *rig, const serving_t *serving)
 {
 	rig_answer_poll(rig, "u1", serving->rows[0], serving->counts[0], NULL,
 			0);
@@ -44,9 +45,9 @@
 }
 
 /*
- * A new holder goes on with a wave before all upstreams have answered it. It
- * took one that it knew no tasks of for empty, and ended two of a step that
- * may miss one.
+ * A new holder continues a wave before all upstreams have answered it. It took
+ * an upstream of which it knew no tasks for empty, and ended two tasks of a
+ * step that may miss one.
  */
 void a_host_that_has_not_answered_is_not_taken_down(void **state)
 {
@@ -65,11 +66,11 @@
 }
 
 /*
- * The store is away while tasks end. Their host is empty and is moved to
- * another pool; the holder is killed before their ends are durable. Nobody
- * knows of them any more: the next holder runs the tasks again, and their
- * callers wait for work that was done. The upstream keeps its ends until they
- * are durable, so its host may go only then, however urgent its upkeep is.
+ * The store is unreachable while tasks end. Their host is empty and is moved to
+ * another pool, and the holder is killed before the ends are durable. The ends
+ * are lost: the next holder runs the tasks again, and callers wait for work
+ * that was done. The upstream stores its ends until they are durable, so its
+ * host may be taken down only then, however urgent its upkeep is.
  */
 void a_host_stays_until_its_ends_are_durable(void **state)
 {
@@ -90,9 +91,9 @@
 }
 
 /*
- * Two hosts of a wave are taken down in the same moment. Each holds one task
- * of a step that may miss one; asked one after the other, before the first
- * is seen to be gone, both were let go and the step missed two.
+ * Two hosts of a wave are taken down at the same time. Each has one task of a
+ * step that may miss one. Both were released, as the first one wasn't seen to
+ * be down when the second one was checked, and the step missed two.
  */
 void hosts_taken_down_together_share_what_a_step_may_miss(void **state)
 {
@@ -123,35 +124,35 @@
 }
 
 /*
- * A host of a wave holds two tasks of a step that may miss one. It could never
- * be taken down, and the wave ended late with that host undone. Its tasks are
- * started elsewhere one after the other, until what is left may be missed.
+ * A host of a wave has two tasks of a step that may miss one. It could never be
+ * taken down, and the wave ended late without it. Its tasks are relocated one
+ * after the other, until the step may miss the remaining ones.
  */
-void a_cordoned_host_gives_its_lasting_tasks_away_one_by_one(void **state)
+void a_cordoned_host_relocates_lasting_tasks_one_by_one(void **state)
 {
 	rig_t *rig = *state;
-	serving_t serving = serve(rig, rig_job(JOB_A, 4, 1000), 1);
-	rig_order_t *moved;
+	serving_t serving = start_serving(rig, rig_job(JOB_A, 4, 1000), 1);
+	rig_order_t *stopped;
 	wwh_ended_t ended;
 
 	assert_int_equal(serving.counts[0], 2);
 	rig_run(rig, 500);
-	all_at_work(rig, &serving);
+	answer_all_available(rig, &serving);
 	assert_false(
 		wwh_scheduler_cordon(rig->scheduler, "u1", true, rig->now_ms));
 	rig_run(rig, 100);
-	/* one, as the step may miss one */
+	/* one stop only, as the step may miss one task */
 	assert_int_equal(rig->stops->len, 1);
-	moved = rig_order(rig->stops, 0);
-	assert_string_equal(moved->upstream, "u1");
-	ended = rig_ended(moved, 1, WWH_END_STOPPED);
-	if (strcmp(serving.rows[0][0].task, moved->task) == 0)
+	stopped = rig_order(rig->stops, 0);
+	assert_string_equal(stopped->upstream, "u1");
+	ended = rig_ended(stopped, 1, WWH_END_STOPPED);
+	if (strcmp(serving.rows[0][0].task, stopped->task) == 0)
 		serving.rows[0][0] = serving.rows[0][1];
 	rig_answer_poll(rig, "u1", serving.rows[0], 1, &ended, 1);
 	rig_run(rig, 100);
 	assert_int_equal(rig->starts->len, 5);
 	assert_string_equal(rig_order(rig->starts, 4)->upstream, "u2");
-	/* it isn't at work yet: what is left on u1 can't be missed */
+	/* the new run isn't available yet: the step can't miss u1's task */
 	assert_false(
 		wwh_scheduler_cordon(rig->scheduler, "u1", true, rig->now_ms));
 	rig_start_ended(rig, rig_order(rig->starts, 4), WWH_ORDER_DONE);
@@ -164,57 +165,58 @@
 }
 
 /*
- * A holder has one task of a step stopped for a wave, hands over and ends. The
- * next one goes on with the wave, hears that all tasks are at work, as the stop
- * takes its time, and stopped a second one: the step missed two.
+ * A holder orders the stop of one task of a step for a wave, hands over and
+ * terminates. The next holder continues the wave. As the stop takes a while,
+ * all tasks were still listed as available, and the holder stopped a second
+ * one: the step missed two.
  */
-void a_stop_of_the_holder_before_counts_until_it_must_be_over(void **state)
+void a_stop_by_the_previous_holder_counts_until_its_limit(void **state)
 {
 	rig_t *rig = *state;
-	serving_t serving = serve(rig, rig_job(JOB_A, 4, 1000), 1);
+	serving_t serving = start_serving(rig, rig_job(JOB_A, 4, 1000), 1);
 
 	rig_take_over(rig);
 	rig_announce(rig, "u1", AT_1, false);
 	rig_announce(rig, "u2", AT_2, false);
 	rig_run(rig, 1);
-	all_at_work(rig, &serving);
+	answer_all_available(rig, &serving);
 	rig_run(rig, 1);
 	rig_durable(rig);
 	(void)wwh_scheduler_cordon(rig->scheduler, "u1", true, rig->now_ms);
 	rig_run(rig, 100);
 	assert_int_equal(rig->stops->len, 0);
-	/* heard of again after the longest stop */
+	/* the tasks are listed again after the time limit of a stop */
 	rig_run(rig, rig->options.stop_limit_ms);
-	all_at_work(rig, &serving);
+	answer_all_available(rig, &serving);
 	rig_run(rig, 1);
 	assert_int_equal(rig->stops->len, 1);
 }
 
 /*
- * A gang that serves has one member on a host of a wave. Its step may miss one
- * task; but with that member all others end, so it is left where it is.
+ * Some members of a serving gang run on a host of a wave. Their step may miss
+ * as many tasks, but all members end with any of them, so none is stopped.
  */
-void a_serving_gang_is_not_taken_apart(void **state)
+void a_serving_gang_is_not_split(void **state)
 {
 	rig_t *rig = *state;
 	wwh_job_t *job = rig_job(JOB_A, SERVING_MAX, 1000);
 	serving_t serving;
-	const char *few;
+	const char *smaller_upstream;
 
 	job->steps[0].gang = true;
-	serving = serve(rig, job, SERVING_MAX / 2);
+	serving = start_serving(rig, job, SERVING_MAX / 2);
 	rig_run(rig, 500);
-	all_at_work(rig, &serving);
-	few = serving.counts[0] < serving.counts[1] ? "u1" : "u2";
+	answer_all_available(rig, &serving);
+	smaller_upstream = serving.counts[0] < serving.counts[1] ? "u1" : "u2";
 	assert_true(MIN(serving.counts[0], serving.counts[1]) <=
 		    SERVING_MAX / 2);
-	assert_false(
-		wwh_scheduler_cordon(rig->scheduler, few, true, rig->now_ms));
+	assert_false(wwh_scheduler_cordon(rig->scheduler, smaller_upstream,
+					  true, rig->now_ms));
 	rig_run(rig, 100);
 	assert_int_equal(rig->stops->len, 0);
 }
 
-/* A stop would only take the task away: there is nowhere to start it. */
+/* A stopped task would only be unavailable, as it can't start elsewhere. */
 void a_cordoned_host_keeps_tasks_that_fit_nowhere_else(void **state)
 {
 	rig_t *rig = *state;
@@ -238,9 +240,9 @@
 
 /*
  * Users of a serving task wait too long because a filler runs beside it. The
- * filler is stopped in place at once, and let go by steps afterwards.
+ * filler is paused at once, and its pace is raised step by step afterwards.
  */
-void fillers_give_way_to_serving_tasks(void **state)
+void fillers_are_slowed_for_serving_tasks(void **state)
 {
 	rig_t *rig = *state;
 	wwh_job_t *serving = rig_job(JOB_A, 1, 1000);
@@ -278,8 +280,8 @@
 	assert_int_equal(rig->paces, 5);
 }
 
-/* A queue's policy admits only some upstreams; their tickets expire. */
-void advice_is_asked_before_a_start_and_renewed(void **state)
+/* A queue's policy admits only some upstreams, with tickets that expire. */
+void advice_is_requested_before_a_start_and_renewed(void **state)
 {
 	rig_t *rig = *state;
 	wwh_job_t *job = rig_job(JOB_A, 12, 1000);
@@ -297,7 +299,7 @@
 	assert_int_equal(rig->starts->len, 8);
 	for (guint i = 0; i < 8; i++)
 		assert_string_equal(rig_order(rig->starts, i)->upstream, "u2");
-	/* the answer doesn't change: only the ticket is asked for anew */
+	/* the admitted upstreams stay the same: only the ticket is renewed */
 	rig_run(rig, 3500);
 	answer_all_but(rig, "");
 	rig_run(rig, 1000);
@@ -305,7 +307,7 @@
 	assert_int_equal(rig->advised_upstreams, 1);
 }
 
-void nothing_new_goes_to_a_leaving_upstream(void **state)
+void a_leaving_upstream_gets_no_new_tasks(void **state)
 {
 	rig_t *rig = *state;
 
@@ -315,7 +317,7 @@
 	assert_int_equal(rig->starts->len, 0);
 }
 
-/* Guards against starts by announcements that are too old. */
+/* Guards against starts that are based on outdated announcements. */
 void nothing_starts_while_starts_are_held(void **state)
 {
 	rig_t *rig = *state;
@@ -337,7 +339,7 @@
 	wwh_scheduler_limit_workspace(rig->scheduler, "w", &limit);
 }
 
-/* Guards against a workspace that has more at work than its limit. */
+/* Guards against a workspace whose running tasks exceed its limit. */
 void a_workspace_starts_no_more_than_its_limit(void **state)
 {
 	rig_t *rig = *state;
@@ -349,10 +351,10 @@
 	limit_cpu(rig, 2000);
 	rig_submit(rig, job);
 	assert_int_equal(rig->starts->len, 2);
-	/* another workspace's job isn't held up behind it */
+	/* a job of another workspace isn't delayed by it */
 	rig_submit(rig, rig_job(JOB_B, 1, 1000));
 	assert_int_equal(rig->starts->len, 3);
-	/* an end makes room for one more, and a lower limit for none */
+	/* an ended task makes room for another; a lower limit makes none */
 	for (guint i = 0; i < 3; i++)
 		rig_start_ended(rig, rig_order(rig->starts, i), WWH_ORDER_DONE);
 	ended = rig_ended(rig_order(rig->starts, 0), 1, WWH_END_DONE);
@@ -368,10 +370,10 @@
 }
 
 /*
- * Guards against starts beside tasks of the holder before, which run where no
- * upstream has answered yet.
+ * Guards against starts beyond the limit while tasks of the previous holder run
+ * on upstreams that haven't answered yet.
  */
-void what_a_holder_before_started_counts_for_the_limit(void **state)
+void tasks_of_the_previous_holder_count_for_the_limit(void **state)
 {
 	rig_t *rig = *state;
 	wwh_job_t *first = rig_job(JOB_A, 2, 1000);
@@ -388,19 +390,19 @@
 	rig_submit(rig, next);
 	rig_run(rig, 100);
 	assert_int_equal(rig->starts->len, 2);
-	/* nothing runs there: its own tasks start again, and no others */
+	/* no task runs on u1: tasks start again up to the limit */
 	rig_answer_poll(rig, "u1", NULL, 0, NULL, 0);
 	rig_run(rig, 300);
 	assert_int_equal(rig->starts->len, 4);
 }
 
 /*
- * A start arrives after its ticket has run out, as the advice or the order was
- * held up on the way, and is refused. The policy still admits the upstream, but
- * it is taken as asked about and not admitted: the caller's lasting task is
- * never started there again, though the pool has room.
+ * The advice or the start order is delayed, so the start arrives after its
+ * ticket has expired and is refused. The policy still admits the upstream, but
+ * it counted as queried and not admitted: the lasting task was never started
+ * there again, although the pool has room.
  */
-void a_ticket_that_was_refused_is_asked_for_again(void **state)
+void a_refused_ticket_is_requested_again(void **state)
 {
 	rig_t *rig = *state;
 	wwh_job_t *job = rig_job(JOB_A, 1, 1000);
@@ -423,10 +425,10 @@
 	assert_int_equal(rig->advised_upstreams, 1);
 }
 
-/* Upstreams of a large pool, named "u1" and on. */
-#define MANY 300
+/* Number of upstreams of a large pool, named "u1" to "u300". */
+#define MANY_UPSTREAMS 300
 
-static const char *name_of(int32_t number)
+static const char *upstream_name(int32_t number)
 {
 	static char name[16];
 
@@ -434,14 +436,14 @@
 	return name;
 }
 
-/* A pool of MANY upstreams that a new holder has just taken over. */
-static void take_over_many(rig_t *rig)
+/* Adds MANY_UPSTREAMS upstreams, and then a new holder takes over. */
+static void take_over_many_upstreams(rig_t *rig)
 {
-	for (int32_t i = 1; i <= MANY; i++) {
+	for (int32_t i = 1; i <= MANY_UPSTREAMS; i++) {
 		char endpoint[32];
 
 		snprintf(endpoint, sizeof(endpoint), "10.1.0.1:%d", i);
-		rig_add_upstream(rig, name_of(i), endpoint);
+		rig_add_upstream(rig, upstream_name(i), endpoint);
 	}
 	rig_take_over(rig);
 	rig_run(rig, 1);
@@ -449,52 +451,53 @@
 
 /*
  * Guards against a new holder of a large pool that sends all first polls at
- * once, can't read the answers in time and repeats them.
+ * once, can't read the answers in time and resends the polls.
  */
 void first_polls_are_sent_as_answers_come(void **state)
 {
 	rig_t *rig = *state;
-	int32_t asked = 0;
+	int32_t polled = 0;
 
-	take_over_many(rig);
+	take_over_many_upstreams(rig);
 	while (rig->polls->len > 0) {
 		rig_poll_t poll = g_array_index(rig->polls, rig_poll_t, 0);
 
-		assert_in_range(rig->polls->len, 1, MANY / 2);
+		assert_in_range(rig->polls->len, 1, MANY_UPSTREAMS / 2);
 		rig_answer_poll(rig, poll.upstream, NULL, 0, NULL, 0);
-		asked++;
+		polled++;
 		rig_run(rig, 0);
 	}
-	assert_int_equal(asked, MANY);
+	assert_int_equal(polled, MANY_UPSTREAMS);
 }
 
 /*
- * Guards against upstreams that are silent for good and keep a new holder from
- * asking the others of a large pool.
+ * Guards against permanently silent upstreams that prevent a new holder from
+ * polling the others of a large pool.
  */
 void silent_upstreams_hold_back_no_first_poll(void **state)
 {
 	rig_t *rig = *state;
-	GHashTable *asked =
+	GHashTable *polled =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 
-	take_over_many(rig);
-	for (int32_t round = 0; round < 4 && g_hash_table_size(asked) < MANY;
-	     round++) {
+	take_over_many_upstreams(rig);
+	for (int32_t round = 0;
+	     round < 4 && g_hash_table_size(polled) < MANY_UPSTREAMS; round++) {
 		while (rig->polls->len > 0) {
 			rig_poll_t poll =
 				g_array_index(rig->polls, rig_poll_t, 0);
 
-			assert_true(g_hash_table_add(asked,
+			assert_true(g_hash_table_add(polled,
 						     g_strdup(poll.upstream)));
 			(void)rig_take_poll(rig, poll.upstream);
-			wwh_scheduler_poll_failed(rig->scheduler, poll.upstream,
-						  false, rig->now_ms);
-			if (g_hash_table_size(asked) == MANY)
+			wwh_scheduler_handle_poll_failure(rig->scheduler,
+							  poll.upstream, false,
+							  rig->now_ms);
+			if (g_hash_table_size(polled) == MANY_UPSTREAMS)
 				break;
 		}
 		rig_run(rig, 150);
 	}
-	assert_int_equal(g_hash_table_size(asked), MANY);
-	g_hash_table_destroy(asked);
+	assert_int_equal(g_hash_table_size(polled), MANY_UPSTREAMS);
+	g_hash_table_destroy(polled);
 }
