--- a/include/waxwinghollow/load.h
+++ b/include/waxwinghollow/load.h
@@ -3,10 +3,11 @@
 
 /*
  * NAME
- *	load - what a task needs, and what a host has or has left
+ *	load - resources that a task requires, or that a host has or has free
  *
  * USE
- *	Plain sums; what is left of a host is negative where it is overfilled.
+ *	Componentwise sums and differences. The free resources of an
+ *	overcommitted host are negative.
  */
 
 #include <stdbool.h>
@@ -18,7 +19,7 @@
 	int64_t gpus;
 } wwh_load_t;
 
-bool wwh_load_fits(const wwh_load_t *need, const wwh_load_t *room);
+bool wwh_load_fits(const wwh_load_t *required, const wwh_load_t *available);
 void wwh_load_add(wwh_load_t *sum, const wwh_load_t *load);
 void wwh_load_subtract(wwh_load_t *sum, const wwh_load_t *load);
 
--- a/include/waxwinghollow/wave_order.h
+++ b/include/waxwinghollow/wave_order.h
@@ -3,10 +3,11 @@
 
 /*
  * NAME
- *	wave_order - hosts that an operator wants to have maintained
+ *	wave_order - an operator's request for maintenance of a list of hosts
  *
  * ORDER OF CALLS
- *	wwh_wave_order_new, fields filled in, wwh_wave_order_delete.
+ *	wwh_wave_order_new, then the caller fills in the fields, then
+ *	wwh_wave_order_delete.
  */
 
 #include <glib.h>
@@ -15,8 +16,8 @@
 typedef struct {
 	int64_t number;
 	GPtrArray *hosts; /* char *, owned */
-	int64_t duration_ms; /* all of them within this time */
-	int32_t max_down; /* at once */
+	int64_t duration_ms; /* time limit for all hosts together */
+	int32_t max_down; /* hosts down at once */
 } wwh_wave_order_t;
 
 wwh_wave_order_t *wwh_wave_order_new(int64_t number);
--- a/src/libwaxwinghollow/estimate.c
+++ b/src/libwaxwinghollow/estimate.c
@@ -5,7 +5,8 @@
 #define QUANTILE_FIRST_STEP 0.2
 #define QUANTILE_STEP 0.05
 #define QUANTILE_FIRST_SAMPLES 16
-#define QUANTILE_FLOOR 0.5 /* below a clock's step nothing is known */
+#define QUANTILE_MIN_VALUE                                                     \
+	0.5 /* smaller samples are below the clock's resolution */
 #define HALF_LIFE_MS 2000.0
 #define PRIOR_EVENTS 4.0
 
@@ -13,8 +14,8 @@
 {
 	double step = QUANTILE_STEP;
 
-	if (sample < QUANTILE_FLOOR)
-		sample = QUANTILE_FLOOR;
+	if (sample < QUANTILE_MIN_VALUE)
+		sample = QUANTILE_MIN_VALUE;
 	if (quantile->samples < QUANTILE_FIRST_SAMPLES) {
 		quantile->samples += !quantile->coarse;
 		step = QUANTILE_FIRST_STEP;
@@ -32,10 +33,10 @@
 	double passed = (double)(now_ms - rate->at_ms);
 
 	if (rate->busy && passed > 0) {
-		double keep = exp2(-passed / HALF_LIFE_MS);
+		double decay = exp2(-passed / HALF_LIFE_MS);
 
-		rate->events *= keep;
-		rate->busy_ms = rate->busy_ms * keep + passed;
+		rate->events *= decay;
+		rate->busy_ms = rate->busy_ms * decay + passed;
 	}
 	rate->at_ms = now_ms;
 	rate->busy = busy;
--- a/src/libwaxwinghollow/load.c
+++ b/src/libwaxwinghollow/load.c
@@ -1,9 +1,10 @@
 #include "waxwinghollow/load.h"
 
-bool wwh_load_fits(const wwh_load_t *need, const wwh_load_t *room)
+bool wwh_load_fits(const wwh_load_t *required, const wwh_load_t *available)
 {
-	return need->cpu_millicores <= room->cpu_millicores &&
-	       need->memory_mb <= room->memory_mb && need->gpus <= room->gpus;
+	return required->cpu_millicores <= available->cpu_millicores &&
+	       required->memory_mb <= available->memory_mb &&
+	       required->gpus <= available->gpus;
 }
 
 void wwh_load_add(wwh_load_t *sum, const wwh_load_t *load)
--- a/src/libwaxwinghollow/suggest.c
+++ b/src/libwaxwinghollow/suggest.c
@@ -5,7 +5,7 @@
 #define MAX_NAME_BYTES 64
 
 static int32_t edit_distance(const char *a, const char *b);
-static int32_t least(int32_t a, int32_t b, int32_t c);
+static int32_t min_of_three(int32_t a, int32_t b, int32_t c);
 
 char *wwh_fields_suggest(const wwh_field_t *fields, int32_t count,
 			 const char *name)
@@ -23,7 +23,7 @@
 char *wwh_names_suggest(const char *const *names, int32_t count,
 			const char *name)
 {
-	/* Up to a third of the letters wrong is still a slip of the pen. */
+	/* A name with up to a third of its letters wrong counts as a typo. */
 	int32_t best = (int32_t)(strlen(name) / 3) + 2;
 	const char *nearest = NULL;
 	GString *all;
@@ -45,7 +45,7 @@
 	return g_string_free(all, FALSE);
 }
 
-/* Levenshtein distance; names that are too long are far from everything. */
+/* Levenshtein distance; INT32_MAX if a name exceeds MAX_NAME_BYTES. */
 static int32_t edit_distance(const char *a, const char *b)
 {
 	int32_t row[MAX_NAME_BYTES + 1];
@@ -64,15 +64,15 @@
 			int32_t above = row[j];
 			int32_t change = a[i - 1] == b[j - 1] ? 0 : 1;
 
-			row[j] = least(above + 1, row[j - 1] + 1,
-				       diagonal + change);
+			row[j] = min_of_three(above + 1, row[j - 1] + 1,
+					      diagonal + change);
 			diagonal = above;
 		}
 	}
 	return row[b_length];
 }
 
-static int32_t least(int32_t a, int32_t b, int32_t c)
+static int32_t min_of_three(int32_t a, int32_t b, int32_t c)
 {
 	int32_t smaller = a < b ? a : b;
 
--- a/src/libwaxwinghollow/window.c
+++ b/src/libwaxwinghollow/window.c
@@ -9,25 +9,25 @@
 #define DAYS_OF_WEEK 7
 #define WEEKDAY_OF_EPOCH 3 /* 1970-01-01 was a Thursday; Monday is 0 */
 
-static bool applies(const wwh_window_t *window, const char *pool);
+static bool applies_to_pool(const wwh_window_t *window, const char *pool);
 static bool is_open_at(const wwh_window_t *window, int64_t minute);
-static int64_t next_change(const wwh_window_t *windows, int32_t count,
-			   const char *pool, int64_t now_ms);
-static int64_t next_edge(const wwh_window_t *window, int64_t minute);
+static int64_t next_pool_boundary(const wwh_window_t *windows, int32_t count,
+				  const char *pool, int64_t now_ms);
+static int64_t next_boundary(const wwh_window_t *window, int64_t minute);
 
 bool wwh_window_is_open(const wwh_window_t *windows, int32_t count,
 			const char *pool, int64_t now_ms)
 {
-	bool any = false;
+	bool has_window = false;
 
 	for (int32_t i = 0; i < count; i++) {
-		if (!applies(&windows[i], pool))
+		if (!applies_to_pool(&windows[i], pool))
 			continue;
-		any = true;
+		has_window = true;
 		if (is_open_at(&windows[i], now_ms / MINUTE_MS))
 			return true;
 	}
-	return !any;
+	return !has_window;
 }
 
 int64_t wwh_window_end_of_work(const wwh_window_t *windows, int32_t count,
@@ -38,7 +38,8 @@
 	int64_t now_ms = start_ms;
 
 	while (now_ms < last_ms) {
-		int64_t next_ms = next_change(windows, count, pool, now_ms);
+		int64_t next_ms =
+			next_pool_boundary(windows, count, pool, now_ms);
 
 		if (wwh_window_is_open(windows, count, pool, now_ms)) {
 			if (next_ms - now_ms >= work_ms)
@@ -50,21 +51,24 @@
 	return -1;
 }
 
-/* The next begin or end of a window of the pool. */
-static int64_t next_change(const wwh_window_t *windows, int32_t count,
-			   const char *pool, int64_t now_ms)
+/*
+ * The next time at which a window of the pool may begin or end; days of the
+ * week on which the window stays closed are included.
+ */
+static int64_t next_pool_boundary(const wwh_window_t *windows, int32_t count,
+				  const char *pool, int64_t now_ms)
 {
 	int64_t next = INT64_MAX / MINUTE_MS;
 
 	for (int32_t i = 0; i < count; i++) {
-		if (applies(&windows[i], pool))
-			next = MIN(next,
-				   next_edge(&windows[i], now_ms / MINUTE_MS));
+		if (applies_to_pool(&windows[i], pool))
+			next = MIN(next, next_boundary(&windows[i],
+						       now_ms / MINUTE_MS));
 	}
 	return next * MINUTE_MS;
 }
 
-static int64_t next_edge(const wwh_window_t *window, int64_t minute)
+static int64_t next_boundary(const wwh_window_t *window, int64_t minute)
 {
 	int64_t next = INT64_MAX / MINUTE_MS;
 	int64_t today = minute / DAY_MINUTES;
@@ -82,13 +86,13 @@
 	return next;
 }
 
-static bool applies(const wwh_window_t *window, const char *pool)
+static bool applies_to_pool(const wwh_window_t *window, const char *pool)
 {
 	return strcmp(window->pool, "*") == 0 ||
 	       strcmp(window->pool, pool) == 0;
 }
 
-/* A window that began on an earlier day may still be open. */
+/* Earlier days are checked too, as a window may extend past midnight. */
 static bool is_open_at(const wwh_window_t *window, int64_t minute)
 {
 	int64_t days_back =
