--- a/src/test_placement/test_placement.c
+++ b/src/test_placement/test_placement.c
@@ -18,31 +18,33 @@
 	wwh_placement_t *placement;
 	GArray *decisions;
 	int32_t next_id;
-} bench_t;
+} fixture_t;
 
-/* One pool of four workers with 32 cores, in two zones. */
-static void bench_init(bench_t *bench)
+/* One pool of four workers with 32 cores each, in two zones. */
+static void fixture_init(fixture_t *fixture)
 {
-	fleet_fixture_t fixture = fleet_fixture_bounce();
-
-	*bench = (bench_t){ 0 };
-	fixture.workers = 4;
-	fixture.per_rack = 1;
-	fixture.zones = 2;
-	fixture.pools = 1;
-	bench->view = fleet_fixture_view(&fixture);
-	wwh_placement_options_defaults(&bench->options);
-	bench->decisions = g_array_new(FALSE, FALSE, sizeof(wwh_place_t));
+	fleet_fixture_t fleet = fleet_fixture_bounce();
+
+	*fixture = (fixture_t){ 0 };
+	fleet.workers = 4;
+	fleet.per_rack = 1;
+	fleet.zones = 2;
+	fleet.pools = 1;
+	fixture->view = fleet_fixture_view(&fleet);
+	wwh_placement_options_defaults(&fixture->options);
+	fixture->decisions =
+		g_array_new(FALSE, FALSE, sizeof(wwh_placement_decision_t));
 }
 
-static void bench_finish(bench_t *bench)
+static void fixture_finish(fixture_t *fixture)
 {
-	wwh_placement_delete(bench->placement);
-	wwh_fleet_view_delete(bench->view);
-	g_array_free(bench->decisions, TRUE);
+	wwh_placement_delete(fixture->placement);
+	wwh_fleet_view_delete(fixture->view);
+	g_array_free(fixture->decisions, TRUE);
 }
 
-static wwh_fleet_job_t *add_job(bench_t *bench, int32_t cores, int32_t worker)
+static wwh_fleet_job_t *add_job(fixture_t *fixture, int32_t cores,
+				int32_t worker)
 {
 	char id[24];
 	wwh_fleet_job_t job = { .id = id,
@@ -56,354 +58,367 @@
 				.report = WWH_FLEET_UNKNOWN,
 				.queued_ms = NOW_MS };
 
-	g_snprintf(id, sizeof(id), "job%04d", bench->next_id++);
-	return wwh_fleet_job(bench->view,
-			     wwh_fleet_view_add_job(bench->view, &job));
+	g_snprintf(id, sizeof(id), "job%04d", fixture->next_id++);
+	return wwh_fleet_job(fixture->view,
+			     wwh_fleet_view_add_job(fixture->view, &job));
 }
 
-static void run_pass(bench_t *bench)
+static void run_pass(fixture_t *fixture)
 {
-	wwh_fleet_view_seal(bench->view);
-	bench->placement =
-		wwh_placement_new(bench->view, &bench->options, NOW_MS);
-	wwh_placement_pass(bench->placement, 0, bench->decisions);
+	wwh_fleet_view_seal(fixture->view);
+	fixture->placement =
+		wwh_placement_new(fixture->view, &fixture->options, NOW_MS);
+	wwh_placement_pass(fixture->placement, 0, fixture->decisions);
 }
 
-static const wwh_place_t *decision(const bench_t *bench, guint index)
+static const wwh_placement_decision_t *decision(const fixture_t *fixture,
+						guint index)
 {
-	assert_true(index < bench->decisions->len);
-	return &g_array_index(bench->decisions, wwh_place_t, index);
+	assert_true(index < fixture->decisions->len);
+	return &g_array_index(fixture->decisions, wwh_placement_decision_t,
+			      index);
 }
 
 /*
- * A team submits a job for 64 cores to workers of 32. It is told that no
- * worker has the cores; the job behind it starts in the same pass.
+ * A job for 64 cores can never run on workers with 32. It is reported as
+ * impossible because of its cores, and the job behind it starts in the same
+ * pass.
  */
-static void an_impossible_job_is_told_and_blocks_nobody(void **unused)
+static void impossible_job_is_reported_and_blocks_no_other(void **unused)
 {
-	bench_t bench;
+	fixture_t fixture;
 
 	(void)unused;
-	bench_init(&bench);
-	add_job(&bench, 64, WWH_FLEET_NONE);
-	add_job(&bench, 4, WWH_FLEET_NONE);
-	run_pass(&bench);
-	assert_int_equal(decision(&bench, 0)->kind, WWH_PLACE_IMPOSSIBLE);
-	assert_int_equal(decision(&bench, 0)->reason, WWH_REASON_CORES);
-	assert_int_equal(decision(&bench, 1)->kind, WWH_PLACE_START);
-	assert_int_equal(decision(&bench, 1)->job, 1);
-	bench_finish(&bench);
+	fixture_init(&fixture);
+	add_job(&fixture, 64, WWH_FLEET_NONE);
+	add_job(&fixture, 4, WWH_FLEET_NONE);
+	run_pass(&fixture);
+	assert_int_equal(decision(&fixture, 0)->kind, WWH_PLACEMENT_IMPOSSIBLE);
+	assert_int_equal(decision(&fixture, 0)->reason, WWH_REASON_CORES);
+	assert_int_equal(decision(&fixture, 1)->kind, WWH_PLACEMENT_START);
+	assert_int_equal(decision(&fixture, 1)->job, 1);
+	fixture_finish(&fixture);
 }
 
 /*
- * Four workers are full by what their jobs declared. The jobs use an eighth
- * of it, so a fifth job starts at once; declared sizes alone would have made
- * it wait. A job that started a moment ago still counts as declared.
+ * Four workers are full by the declared sizes of their jobs, which use an
+ * eighth of them. A fifth job starts at once where a job has run long enough
+ * for its observed use to count; declared sizes alone would make it wait. Jobs
+ * that started one second ago still count with their declared size, so a sixth
+ * job waits.
  */
-static void observed_use_stands_in_for_declared_sizes(void **unused)
+static void observed_use_replaces_declared_size(void **unused)
 {
-	bench_t bench;
+	fixture_t fixture;
 
 	(void)unused;
-	bench_init(&bench);
+	fixture_init(&fixture);
 	for (int32_t i = 0; i < 4; i++) {
-		wwh_fleet_job_t *job = add_job(&bench, 32, i);
+		wwh_fleet_job_t *job = add_job(&fixture, 32, i);
 
 		job->used = (wwh_load_t){ 4000, 512, 0 };
 		job->started_ms = i == 0 ? NOW_MS - 60000 : NOW_MS - 1000;
 	}
-	add_job(&bench, 27, WWH_FLEET_NONE);
-	add_job(&bench, 27, WWH_FLEET_NONE);
-	run_pass(&bench);
-	assert_int_equal(decision(&bench, 0)->kind, WWH_PLACE_START);
-	assert_int_equal(decision(&bench, 0)->worker, 0);
-	assert_int_equal(decision(&bench, 1)->kind, WWH_PLACE_WAIT);
-	assert_int_equal(decision(&bench, 1)->reason, WWH_REASON_NO_ROOM);
-	bench_finish(&bench);
+	add_job(&fixture, 27, WWH_FLEET_NONE);
+	add_job(&fixture, 27, WWH_FLEET_NONE);
+	run_pass(&fixture);
+	assert_int_equal(decision(&fixture, 0)->kind, WWH_PLACEMENT_START);
+	assert_int_equal(decision(&fixture, 0)->worker, 0);
+	assert_int_equal(decision(&fixture, 1)->kind, WWH_PLACEMENT_WAIT);
+	assert_int_equal(decision(&fixture, 1)->reason, WWH_REASON_NO_ROOM);
+	fixture_finish(&fixture);
 }
 
 /*
- * Bulk fills the pool. An urgent job comes: bulk of one worker is throttled
- * and the urgent job starts in the same pass; nothing is stopped.
+ * Bulk jobs fill the pool when an urgent job arrives. A bulk job of one worker
+ * is throttled and the urgent job starts in the same pass; no job is stopped.
  */
-static void urgent_work_starts_by_throttling_bulk(void **unused)
+static void urgent_job_throttles_bulk_and_starts(void **unused)
 {
-	bench_t bench;
+	fixture_t fixture;
 
 	(void)unused;
-	bench_init(&bench);
+	fixture_init(&fixture);
 	for (int32_t i = 0; i < 8; i++)
-		add_job(&bench, 16, i / 2);
-	add_job(&bench, 8, WWH_FLEET_NONE)->urgent = true;
-	run_pass(&bench);
-	assert_int_equal(bench.decisions->len, 2);
-	assert_int_equal(decision(&bench, 0)->kind, WWH_PLACE_THROTTLE);
-	assert_int_equal(decision(&bench, 0)->cpu_millicores, 4000);
-	assert_int_equal(decision(&bench, 1)->kind, WWH_PLACE_START);
-	assert_int_equal(decision(&bench, 1)->worker,
-			 decision(&bench, 0)->worker);
-	bench_finish(&bench);
+		add_job(&fixture, 16, i / 2);
+	add_job(&fixture, 8, WWH_FLEET_NONE)->urgent = true;
+	run_pass(&fixture);
+	assert_int_equal(fixture.decisions->len, 2);
+	assert_int_equal(decision(&fixture, 0)->kind, WWH_PLACEMENT_THROTTLE);
+	assert_int_equal(decision(&fixture, 0)->cpu_millicores, 4000);
+	assert_int_equal(decision(&fixture, 1)->kind, WWH_PLACEMENT_START);
+	assert_int_equal(decision(&fixture, 1)->worker,
+			 decision(&fixture, 0)->worker);
+	fixture_finish(&fixture);
 }
 
-static void memory_for_urgent_work_comes_from_a_checkpoint(void **unused)
+static void urgent_job_gets_memory_by_checkpointing_bulk(void **unused)
 {
-	bench_t bench;
+	fixture_t fixture;
 	wwh_fleet_job_t *urgent;
 
 	(void)unused;
-	bench_init(&bench);
+	fixture_init(&fixture);
 	for (int32_t i = 0; i < 8; i++) {
-		wwh_fleet_job_t *job = add_job(&bench, 1, i / 2);
+		wwh_fleet_job_t *job = add_job(&fixture, 1, i / 2);
 
 		job->declared.memory_mb = 64 * 1024;
 		job->idempotent = i == 5;
 	}
-	urgent = add_job(&bench, 1, WWH_FLEET_NONE);
+	urgent = add_job(&fixture, 1, WWH_FLEET_NONE);
 	urgent->urgent = true;
 	urgent->declared.memory_mb = 8 * 1024;
-	run_pass(&bench);
-	assert_int_equal(bench.decisions->len, 2);
-	assert_int_equal(decision(&bench, 0)->kind, WWH_PLACE_CHECKPOINT);
-	assert_int_equal(decision(&bench, 1)->kind, WWH_PLACE_START);
-	bench_finish(&bench);
+	run_pass(&fixture);
+	assert_int_equal(fixture.decisions->len, 2);
+	assert_int_equal(decision(&fixture, 0)->kind, WWH_PLACEMENT_CHECKPOINT);
+	assert_int_equal(decision(&fixture, 1)->kind, WWH_PLACEMENT_START);
+	fixture_finish(&fixture);
 }
 
-static void an_overloaded_worker_is_throttled_before_all(void **unused)
+static void largest_excess_on_overloaded_worker_is_throttled(void **unused)
 {
-	bench_t bench;
+	fixture_t fixture;
 	wwh_fleet_job_t *job;
 
 	(void)unused;
-	bench_init(&bench);
-	job = add_job(&bench, 8, 0);
+	fixture_init(&fixture);
+	job = add_job(&fixture, 8, 0);
 	job->used = (wwh_load_t){ 30000, 1024, 0 };
-	job = add_job(&bench, 8, 0);
+	job = add_job(&fixture, 8, 0);
 	job->used = (wwh_load_t){ 8000, 1024, 0 };
-	run_pass(&bench);
-	assert_int_equal(bench.decisions->len, 1);
-	assert_int_equal(decision(&bench, 0)->kind, WWH_PLACE_THROTTLE);
-	assert_int_equal(decision(&bench, 0)->job, 0);
-	assert_int_equal(decision(&bench, 0)->cpu_millicores, 8000);
-	bench_finish(&bench);
+	run_pass(&fixture);
+	assert_int_equal(fixture.decisions->len, 1);
+	assert_int_equal(decision(&fixture, 0)->kind, WWH_PLACEMENT_THROTTLE);
+	assert_int_equal(decision(&fixture, 0)->job, 0);
+	assert_int_equal(decision(&fixture, 0)->cpu_millicores, 8000);
+	fixture_finish(&fixture);
 }
 
-static void a_group_is_spread_over_zones_and_workers_leave_alone(void **unused)
+static void group_is_spread_over_zones_and_skips_leaving_worker(void **unused)
 {
-	bench_t bench;
+	fixture_t fixture;
 
 	(void)unused;
-	bench_init(&bench);
+	fixture_init(&fixture);
 	for (int32_t i = 0; i < 4; i++) {
-		wwh_fleet_job_t *job = add_job(&bench, 20, WWH_FLEET_NONE);
+		wwh_fleet_job_t *job = add_job(&fixture, 20, WWH_FLEET_NONE);
 
 		job->group = "replicas";
 	}
-	wwh_fleet_worker(bench.view, 0)->state = WWH_FLEET_OUT;
-	wwh_fleet_worker(bench.view, 0)->grant = 7;
-	run_pass(&bench);
+	wwh_fleet_worker(fixture.view, 0)->state = WWH_FLEET_OUT;
+	wwh_fleet_worker(fixture.view, 0)->grant = 7;
+	run_pass(&fixture);
 	for (guint i = 0; i < 2; i++) {
-		assert_int_equal(decision(&bench, i)->kind, WWH_PLACE_START);
-		assert_int_not_equal(decision(&bench, i)->worker, 0);
+		assert_int_equal(decision(&fixture, i)->kind,
+				 WWH_PLACEMENT_START);
+		assert_int_not_equal(decision(&fixture, i)->worker, 0);
 	}
 	assert_int_not_equal(
-		wwh_fleet_worker(bench.view, decision(&bench, 0)->worker)->zone,
-		wwh_fleet_worker(bench.view, decision(&bench, 1)->worker)
+		wwh_fleet_worker(fixture.view, decision(&fixture, 0)->worker)
+			->zone,
+		wwh_fleet_worker(fixture.view, decision(&fixture, 1)->worker)
 			->zone);
-	assert_int_equal(decision(&bench, 3)->kind, WWH_PLACE_WAIT);
-	bench_finish(&bench);
+	assert_int_equal(decision(&fixture, 3)->kind, WWH_PLACEMENT_WAIT);
+	fixture_finish(&fixture);
 }
 
 /*
- * Bulk fills one zone's workers nearly, those of the other are empty. The
- * first of a group goes where it is fullest, the next one to the other zone,
- * though it was placed a moment ago only and nothing reports it yet.
+ * Bulk jobs nearly fill the workers of one zone; those of the other are empty.
+ * The first job of a group goes to the fullest worker. The second goes to the
+ * other zone, although the first was placed in the same pass and the view does
+ * not contain it yet.
  */
-static void a_group_that_is_just_placed_is_spread(void **unused)
+static void group_is_spread_within_one_pass(void **unused)
 {
-	bench_t bench;
+	fixture_t fixture;
 	int32_t zones[2];
 
 	(void)unused;
-	bench_init(&bench);
+	fixture_init(&fixture);
 	for (int32_t i = 0; i < 4; i++) {
-		if (wwh_fleet_worker(bench.view, i)->zone == 0)
-			add_job(&bench, 24, i);
+		if (wwh_fleet_worker(fixture.view, i)->zone == 0)
+			add_job(&fixture, 24, i);
 	}
 	for (int32_t i = 0; i < 2; i++)
-		add_job(&bench, 4, WWH_FLEET_NONE)->group = "replicas";
-	run_pass(&bench);
+		add_job(&fixture, 4, WWH_FLEET_NONE)->group = "replicas";
+	run_pass(&fixture);
 	for (guint i = 0; i < 2; i++) {
-		assert_int_equal(decision(&bench, i)->kind, WWH_PLACE_START);
-		zones[i] = wwh_fleet_worker(bench.view,
-					    decision(&bench, i)->worker)
+		assert_int_equal(decision(&fixture, i)->kind,
+				 WWH_PLACEMENT_START);
+		zones[i] = wwh_fleet_worker(fixture.view,
+					    decision(&fixture, i)->worker)
 				   ->zone;
 	}
 	assert_int_equal(zones[0], 0);
 	assert_int_equal(zones[1], 1);
-	bench_finish(&bench);
+	fixture_finish(&fixture);
 }
 
-static void a_group_is_spread_from_where_it_runs(void **unused)
+static void group_is_spread_away_from_running_members(void **unused)
 {
-	bench_t bench;
+	fixture_t fixture;
 
 	(void)unused;
-	bench_init(&bench);
+	fixture_init(&fixture);
 	for (int32_t i = 0; i < 4; i++) {
-		if (wwh_fleet_worker(bench.view, i)->zone == 0)
-			add_job(&bench, 24, i)->group = "replicas";
+		if (wwh_fleet_worker(fixture.view, i)->zone == 0)
+			add_job(&fixture, 24, i)->group = "replicas";
 	}
-	add_job(&bench, 4, WWH_FLEET_NONE)->group = "replicas";
-	run_pass(&bench);
-	assert_int_equal(decision(&bench, 0)->kind, WWH_PLACE_START);
+	add_job(&fixture, 4, WWH_FLEET_NONE)->group = "replicas";
+	run_pass(&fixture);
+	assert_int_equal(decision(&fixture, 0)->kind, WWH_PLACEMENT_START);
 	assert_int_equal(
-		wwh_fleet_worker(bench.view, decision(&bench, 0)->worker)->zone,
+		wwh_fleet_worker(fixture.view, decision(&fixture, 0)->worker)
+			->zone,
 		1);
-	bench_finish(&bench);
+	fixture_finish(&fixture);
 }
 
 /*
- * A wave has been at one worker, which is empty and in the zone where the
- * group runs. The job goes there all the same: on any other it would move
- * again when the wave comes.
+ * One worker is already maintained; it is nearly empty and in the zone where
+ * the group runs. The job still goes there: on any other worker it would move
+ * again when the wave reaches that worker.
  */
-static void a_job_goes_where_the_wave_has_been(void **unused)
+static void maintained_worker_is_preferred(void **unused)
 {
-	bench_t bench;
+	fixture_t fixture;
 
 	(void)unused;
-	bench_init(&bench);
+	fixture_init(&fixture);
 	for (int32_t i = 0; i < 4; i++) {
 		if (i != 2)
-			add_job(&bench, 24, i);
+			add_job(&fixture, 24, i);
 	}
-	add_job(&bench, 1, 2)->group = "replicas";
-	add_job(&bench, 4, WWH_FLEET_NONE)->group = "replicas";
-	wwh_fleet_worker(bench.view, 2)->maintained = true;
-	run_pass(&bench);
-	assert_int_equal(decision(&bench, 0)->kind, WWH_PLACE_START);
-	assert_int_equal(decision(&bench, 0)->worker, 2);
-	bench_finish(&bench);
+	add_job(&fixture, 1, 2)->group = "replicas";
+	add_job(&fixture, 4, WWH_FLEET_NONE)->group = "replicas";
+	wwh_fleet_worker(fixture.view, 2)->maintained = true;
+	run_pass(&fixture);
+	assert_int_equal(decision(&fixture, 0)->kind, WWH_PLACEMENT_START);
+	assert_int_equal(decision(&fixture, 0)->worker, 2);
+	fixture_finish(&fixture);
 }
 
-/* The pool has room for two: the urgent job, and the one that waits longest. */
-static void urgent_work_then_the_longest_wait(void **unused)
+/* The pool has room for two jobs: the urgent and the longest waiting one. */
+static void urgent_jobs_go_first_then_longest_wait(void **unused)
 {
-	bench_t bench;
+	fixture_t fixture;
 
 	(void)unused;
-	bench_init(&bench);
+	fixture_init(&fixture);
 	for (int32_t i = 0; i < 4; i++)
-		add_job(&bench, i < 2 ? 32 : 16, i);
-	add_job(&bench, 16, WWH_FLEET_NONE);
-	add_job(&bench, 16, WWH_FLEET_NONE)->queued_ms = NOW_MS - 2000;
-	add_job(&bench, 16, WWH_FLEET_NONE)->urgent = true;
-	run_pass(&bench);
-	assert_int_equal(decision(&bench, 0)->kind, WWH_PLACE_START);
-	assert_int_equal(decision(&bench, 0)->job, 6);
-	assert_int_equal(decision(&bench, 1)->kind, WWH_PLACE_START);
-	assert_int_equal(decision(&bench, 1)->job, 5);
-	assert_int_equal(decision(&bench, 2)->kind, WWH_PLACE_WAIT);
-	assert_int_equal(decision(&bench, 2)->job, 4);
-	bench_finish(&bench);
+		add_job(&fixture, i < 2 ? 32 : 16, i);
+	add_job(&fixture, 16, WWH_FLEET_NONE);
+	add_job(&fixture, 16, WWH_FLEET_NONE)->queued_ms = NOW_MS - 2000;
+	add_job(&fixture, 16, WWH_FLEET_NONE)->urgent = true;
+	run_pass(&fixture);
+	assert_int_equal(decision(&fixture, 0)->kind, WWH_PLACEMENT_START);
+	assert_int_equal(decision(&fixture, 0)->job, 6);
+	assert_int_equal(decision(&fixture, 1)->kind, WWH_PLACEMENT_START);
+	assert_int_equal(decision(&fixture, 1)->job, 5);
+	assert_int_equal(decision(&fixture, 2)->kind, WWH_PLACEMENT_WAIT);
+	assert_int_equal(decision(&fixture, 2)->job, 4);
+	fixture_finish(&fixture);
 }
 
 /*
- * One team sends forty jobs, another one. The first gets its quota and no
- * more; the second starts although it came last.
+ * One team submits forty jobs, another team one. The first team gets no more
+ * than its quota; the job of the second starts although it was submitted last.
  */
-static void one_team_does_not_take_the_pool(void **unused)
+static void team_quota_limits_starts(void **unused)
 {
 	wwh_team_t teams[] = {
 		{ .id = (char *)"many", .cores = 16, .memory_mb = 65536 },
 		{ .id = (char *)"few", .cores = 16, .memory_mb = 65536 },
 	};
-	bench_t bench;
+	fixture_t fixture;
 	int32_t starts = 0;
 
 	(void)unused;
-	bench_init(&bench);
-	bench.options.teams = teams;
-	bench.options.team_count = 2;
+	fixture_init(&fixture);
+	fixture.options.teams = teams;
+	fixture.options.team_count = 2;
 	for (int32_t i = 0; i < 40; i++)
-		add_job(&bench, 4, WWH_FLEET_NONE)->team = "many";
-	add_job(&bench, 4, WWH_FLEET_NONE)->team = "few";
-	run_pass(&bench);
+		add_job(&fixture, 4, WWH_FLEET_NONE)->team = "many";
+	add_job(&fixture, 4, WWH_FLEET_NONE)->team = "few";
+	run_pass(&fixture);
 	for (guint i = 0; i < 40; i++)
-		starts += decision(&bench, i)->kind == WWH_PLACE_START;
+		starts += decision(&fixture, i)->kind == WWH_PLACEMENT_START;
 	assert_int_equal(starts, 4);
-	assert_int_equal(decision(&bench, 39)->reason, WWH_REASON_QUOTA);
-	assert_int_equal(decision(&bench, 40)->kind, WWH_PLACE_START);
-	bench_finish(&bench);
+	assert_int_equal(decision(&fixture, 39)->reason, WWH_REASON_QUOTA);
+	assert_int_equal(decision(&fixture, 40)->kind, WWH_PLACEMENT_START);
+	fixture_finish(&fixture);
 }
 
 /*
- * A team may hold three million cores of a large fleet. Counted in millicores
- * that is more than 32 bits hold: the quota turned negative, and each of the
- * team's jobs was told that it can never run.
+ * A quota of three million cores exceeds 32 bits when counted in millicores. It
+ * once overflowed to a negative quota, and each job of the team was reported as
+ * impossible.
  */
-static void a_quota_of_millions_of_cores_holds(void **unused)
+static void quota_of_millions_of_cores_does_not_overflow(void **unused)
 {
 	wwh_team_t team = { .id = (char *)"team",
 			    .cores = 3000000,
 			    .memory_mb = 65536 };
-	bench_t bench;
+	fixture_t fixture;
 
 	(void)unused;
-	bench_init(&bench);
-	bench.options.teams = &team;
-	bench.options.team_count = 1;
-	add_job(&bench, 4, WWH_FLEET_NONE);
-	run_pass(&bench);
-	assert_int_equal(decision(&bench, 0)->kind, WWH_PLACE_START);
-	bench_finish(&bench);
+	fixture_init(&fixture);
+	fixture.options.teams = &team;
+	fixture.options.team_count = 1;
+	add_job(&fixture, 4, WWH_FLEET_NONE);
+	run_pass(&fixture);
+	assert_int_equal(decision(&fixture, 0)->kind, WWH_PLACEMENT_START);
+	fixture_finish(&fixture);
 }
 
-/* Small jobs keep coming; the large one that waits gets a worker kept. */
-static void a_large_job_is_not_starved(void **unused)
+/* One worker is reserved for a large job that waits while small jobs start. */
+static void worker_is_reserved_for_large_waiting_job(void **unused)
 {
-	bench_t bench;
+	fixture_t fixture;
 	wwh_fleet_job_t *large;
 	int32_t starts = 0;
 
 	(void)unused;
-	bench_init(&bench);
+	fixture_init(&fixture);
 	for (int32_t i = 0; i < 4; i++)
-		add_job(&bench, 16, i);
-	large = add_job(&bench, 32, WWH_FLEET_NONE);
+		add_job(&fixture, 16, i);
+	large = add_job(&fixture, 32, WWH_FLEET_NONE);
 	large->queued_ms = NOW_MS - 600000;
 	for (int32_t i = 0; i < 10; i++)
-		add_job(&bench, 8, WWH_FLEET_NONE);
-	run_pass(&bench);
-	for (guint i = 0; i < bench.decisions->len; i++)
-		starts += decision(&bench, i)->kind == WWH_PLACE_START;
-	assert_int_equal(starts, 6); /* on three of the four workers */
-	bench_finish(&bench);
+		add_job(&fixture, 8, WWH_FLEET_NONE);
+	run_pass(&fixture);
+	for (guint i = 0; i < fixture.decisions->len; i++)
+		starts += decision(&fixture, i)->kind == WWH_PLACEMENT_START;
+	assert_int_equal(starts,
+			 6); /* two on each of the three workers not reserved */
+	fixture_finish(&fixture);
 }
 
-static void an_unknown_run_is_waited_for(void **unused)
+static void job_with_unknown_run_waits_for_lease_expiry(void **unused)
 {
-	bench_t bench;
+	fixture_t fixture;
 	wwh_fleet_job_t *job;
 
 	(void)unused;
-	bench_init(&bench);
-	job = add_job(&bench, 4, WWH_FLEET_NONE);
+	fixture_init(&fixture);
+	job = add_job(&fixture, 4, WWH_FLEET_NONE);
 	job->renewed_ms = NOW_MS - 10000;
-	assert_int_equal(wwh_placement_safe_ms(job, &bench.options),
+	assert_int_equal(wwh_placement_earliest_rerun_ms(job, &fixture.options),
 			 NOW_MS - 10000 + 35000);
-	run_pass(&bench);
-	assert_int_equal(decision(&bench, 0)->reason, WWH_REASON_LEASE);
+	run_pass(&fixture);
+	assert_int_equal(decision(&fixture, 0)->reason, WWH_REASON_LEASE);
 	job->idempotent = true;
-	assert_int_equal(wwh_placement_safe_ms(job, &bench.options), 0);
-	bench_finish(&bench);
+	assert_int_equal(wwh_placement_earliest_rerun_ms(job, &fixture.options),
+			 0);
+	fixture_finish(&fixture);
 }
 
 /*
- * Worker "bad" fails each task, which then ends well elsewhere: it is found.
- * Task "poison" fails on every worker: it is found, and no worker is blamed.
+ * Worker "bad" fails tasks that succeed on other workers, so the worker is bad.
+ * Task "poison" fails on every worker, so the task is bad and those workers are
+ * not.
  */
-static void failures_are_blamed_by_comparison(void **unused)
+static void failures_are_attributed_by_comparison(void **unused)
 {
 	wwh_outcomes_t *outcomes = wwh_outcomes_new();
 
@@ -427,8 +442,8 @@
 	wwh_outcomes_delete(outcomes);
 }
 
-/* A service that all tasks need is down: every worker fails everything. */
-static void a_fault_that_is_everywhere_empties_no_pool(void **unused)
+/* A service that all tasks need is down, so every worker fails each task. */
+static void common_failure_marks_no_worker_bad(void **unused)
 {
 	wwh_outcomes_t *outcomes = wwh_outcomes_new();
 
@@ -453,24 +468,25 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(an_impossible_job_is_told_and_blocks_nobody),
-		cmocka_unit_test(observed_use_stands_in_for_declared_sizes),
-		cmocka_unit_test(urgent_work_starts_by_throttling_bulk),
 		cmocka_unit_test(
-			memory_for_urgent_work_comes_from_a_checkpoint),
-		cmocka_unit_test(an_overloaded_worker_is_throttled_before_all),
+			impossible_job_is_reported_and_blocks_no_other),
+		cmocka_unit_test(observed_use_replaces_declared_size),
+		cmocka_unit_test(urgent_job_throttles_bulk_and_starts),
+		cmocka_unit_test(urgent_job_gets_memory_by_checkpointing_bulk),
 		cmocka_unit_test(
-			a_group_is_spread_over_zones_and_workers_leave_alone),
-		cmocka_unit_test(a_group_that_is_just_placed_is_spread),
-		cmocka_unit_test(a_group_is_spread_from_where_it_runs),
-		cmocka_unit_test(a_job_goes_where_the_wave_has_been),
-		cmocka_unit_test(urgent_work_then_the_longest_wait),
-		cmocka_unit_test(one_team_does_not_take_the_pool),
-		cmocka_unit_test(a_quota_of_millions_of_cores_holds),
-		cmocka_unit_test(a_large_job_is_not_starved),
-		cmocka_unit_test(an_unknown_run_is_waited_for),
-		cmocka_unit_test(failures_are_blamed_by_comparison),
-		cmocka_unit_test(a_fault_that_is_everywhere_empties_no_pool),
+			largest_excess_on_overloaded_worker_is_throttled),
+		cmocka_unit_test(
+			group_is_spread_over_zones_and_skips_leaving_worker),
+		cmocka_unit_test(group_is_spread_within_one_pass),
+		cmocka_unit_test(group_is_spread_away_from_running_members),
+		cmocka_unit_test(maintained_worker_is_preferred),
+		cmocka_unit_test(urgent_jobs_go_first_then_longest_wait),
+		cmocka_unit_test(team_quota_limits_starts),
+		cmocka_unit_test(quota_of_millions_of_cores_does_not_overflow),
+		cmocka_unit_test(worker_is_reserved_for_large_waiting_job),
+		cmocka_unit_test(job_with_unknown_run_waits_for_lease_expiry),
+		cmocka_unit_test(failures_are_attributed_by_comparison),
+		cmocka_unit_test(common_failure_marks_no_worker_bad),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
