--- a/include/waxwinghollow/budget.h
+++ b/include/waxwinghollow/budget.h
@@ -6,76 +6,90 @@
  *	budget - whether a worker of a pool may be taken out now
  *
  * USE
- *	A wwh_tally_t counts one pool from the view: who is out by plan, who
- *	has failed, in which racks and zones. Planner and conductor ask it
- *	before each worker. The reducer has the last word on the log; the
- *	tally keeps the conductor from asking for what would be refused, and
- *	adds the reserve.
+ *	A wwh_pool_budget_t counts the members of one pool in the view that
+ *	are out by plan, failed or quarantined, in total and for each rack and
+ *	zone. The planner and the conductor consult it before they take out a
+ *	worker. The reducer makes the final decision when it applies the log;
+ *	this check keeps the conductor from appending requests that the
+ *	reducer would refuse, and additionally keeps the reserve.
  *
- *	Answers: failures that come together with a wave. Without the reserve
- *	a wave uses the whole budget and the first failure during it breaks
- *	the pool's promise. With it, a worker is taken out only if the loss of
- *	any one domain of the kind that the rule names would still be within
- *	the budget:
+ *	Answers: failures that coincide with a wave. Without the reserve a
+ *	wave uses the whole budget, and the first failure during it exceeds
+ *	the budget. With the reserve, a worker is taken out only if the loss
+ *	of any one domain of the kind that the rule names would still be
+ *	within the budget:
  *
- *	    out + failed + (serving members of the worst domain) <= budget
+ *	    out + failed + (serving members of the largest domain) <= budget
  *
- *	The sum counts a member once: one that is out in the domain that
- *	fails is not lost again. So planned work in one domain at a time costs
- *	less reserve than the same work spread out.
+ *	The sum counts a member once: a member that is already out is not
+ *	lost again when its domain fails. Planned work in one domain at a time
+ *	therefore needs less reserve than the same work spread over several.
  *
  * ORDER OF CALLS
- *	wwh_tally_new, any of the others, wwh_tally_delete.
+ *	wwh_pool_budget_new, any of the others, wwh_pool_budget_delete.
  */
 
 #include "waxwinghollow/fleet_view.h"
 
-/* Which limit stands in the way of taking one more worker out. */
+/* The constraint that prevents taking out one more worker. */
 typedef enum {
-	WWH_BINDING_NONE = 0,
-	WWH_BINDING_COUNT, /* lose_count */
-	WWH_BINDING_PERCENT, /* lose_percent */
-	WWH_BINDING_RACK, /* lose_per_rack */
-	WWH_BINDING_ZONE, /* lose_per_zone */
-	WWH_BINDING_RESERVE, /* the failure to survive would not fit */
-	WWH_BINDING_WINDOW, /* no wave window is open */
-	WWH_BINDING_STATE, /* the worker isn't serving */
-	WWH_BINDING_WORKERS, /* no worker is left to take */
-	WWH_BINDING_KIND_COUNT
-} wwh_binding_t;
+	WWH_CONSTRAINT_NONE = 0,
+	WWH_CONSTRAINT_LOSE_COUNT,
+	WWH_CONSTRAINT_LOSE_PERCENT,
+	WWH_CONSTRAINT_LOSE_PER_RACK,
+	WWH_CONSTRAINT_LOSE_PER_ZONE,
+	WWH_CONSTRAINT_RESERVE, /* the reserve would not fit */
+	WWH_CONSTRAINT_WINDOW, /* no wave window is open */
+	WWH_CONSTRAINT_WORKER_STATE, /* the worker is not serving */
+	WWH_CONSTRAINT_NO_WORKERS, /* no serving worker is left */
+	WWH_CONSTRAINT_KIND_COUNT
+} wwh_constraint_t;
 
-/* Names of wwh_binding_t, in the same order. */
-extern const char *const wwh_binding_names[WWH_BINDING_KIND_COUNT];
+/* Names of wwh_constraint_t, in the same order. */
+extern const char *const wwh_constraint_names[WWH_CONSTRAINT_KIND_COUNT];
 
-typedef struct wwh_tally wwh_tally_t;
+typedef struct wwh_pool_budget wwh_pool_budget_t;
 
-/* How many of size workers may be out at once, by plan or by failure. */
+/*
+ * The number of workers, of a pool of size workers, that may be out at once by
+ * plan or by failure.
+ */
 int32_t wwh_budget_limit(const wwh_pool_t *rule, int32_t size);
 
-wwh_tally_t *wwh_tally_new(const wwh_fleet_view_t *view, int32_t pool);
-void wwh_tally_delete(wwh_tally_t *tally);
+wwh_pool_budget_t *wwh_pool_budget_new(const wwh_fleet_view_t *view,
+				       int32_t pool);
+void wwh_pool_budget_delete(wwh_pool_budget_t *budget);
 
-/* NONE, or what stands against taking the serving member out now. */
-wwh_binding_t wwh_tally_allows(const wwh_tally_t *tally, int32_t worker);
+/*
+ * Returns WWH_CONSTRAINT_NONE if the serving member may be taken out now, else
+ * the constraint that prevents it.
+ */
+wwh_constraint_t wwh_pool_budget_allows(const wwh_pool_budget_t *budget,
+					int32_t worker);
 
 /*
- * The same with another reserve. A rehearsal is itself the failure that the
- * larger reserve is for, and keeps only a worker's.
+ * The same check with a reserve other than the rule's. A rehearsal is itself
+ * the failure that a rack or zone reserve provides for, so it keeps only the
+ * reserve of one worker.
  */
-wwh_binding_t wwh_tally_allows_with(const wwh_tally_t *tally, int32_t worker,
-				    wwh_domain_t reserve);
+wwh_constraint_t
+wwh_pool_budget_allows_with_reserve(const wwh_pool_budget_t *budget,
+				    int32_t worker, wwh_domain_t reserve);
 
-/* Count the member as out, or as serving again. */
-void wwh_tally_take(wwh_tally_t *tally, int32_t worker);
-void wwh_tally_give_back(wwh_tally_t *tally, int32_t worker);
+/* Count the member as out, or as serving again; the view is not changed. */
+void wwh_pool_budget_mark_out(wwh_pool_budget_t *budget, int32_t worker);
+void wwh_pool_budget_mark_serving(wwh_pool_budget_t *budget, int32_t worker);
 
-int32_t wwh_tally_lost(const wwh_tally_t *tally); /* out and failed */
-int32_t wwh_tally_limit(const wwh_tally_t *tally);
+/* Members that are out, failed or quarantined. */
+int32_t wwh_pool_budget_lost(const wwh_pool_budget_t *budget);
+/* The number of members that may be lost at once. */
+int32_t wwh_pool_budget_limit(const wwh_pool_budget_t *budget);
 
-/* Serving members in the worst domain of that kind. */
-int32_t wwh_tally_worst(const wwh_tally_t *tally, wwh_domain_t domain);
+/* The number of serving members in the domain of that kind with the most. */
+int32_t wwh_pool_budget_largest_domain(const wwh_pool_budget_t *budget,
+				       wwh_domain_t domain);
 
-/* Whether what is out and failed now is within every limit of the rule. */
-bool wwh_tally_holds(const wwh_tally_t *tally);
+/* Whether the members lost now are within every limit of the rule. */
+bool wwh_pool_budget_is_met(const wwh_pool_budget_t *budget);
 
 #endif
--- a/src/libwaxwinghollow/budget.c
+++ b/src/libwaxwinghollow/budget.c
@@ -2,35 +2,36 @@
 
 #include <assert.h>
 
-/* Members of one rack or zone that belong to the pool. */
+/* Counts of the pool's members in one rack or zone. */
 typedef struct {
 	int32_t lost;
 	int32_t serving;
 } domain_count_t;
 
-struct wwh_tally {
+struct wwh_pool_budget {
 	const wwh_fleet_view_t *view;
 	const wwh_fleet_pool_t *pool;
 	int32_t limit;
 	int32_t lost;
 	int32_t serving;
-	GHashTable *rack_places; /* rack + 1 to place + 1; looked up only */
+	GHashTable
+		*rack_positions; /* rack + 1 to position + 1; never iterated */
 	GArray *racks; /* of domain_count_t */
 	domain_count_t *zones; /* by zone index */
 };
 
-const char *const wwh_binding_names[WWH_BINDING_KIND_COUNT] = {
+const char *const wwh_constraint_names[WWH_CONSTRAINT_KIND_COUNT] = {
 	"none",		 "lose_count",	  "lose_percent",
 	"lose_per_rack", "lose_per_zone", "reserve",
 	"window",	 "state",	  "workers",
 };
 
-static domain_count_t *rack_of(const wwh_tally_t *tally, int32_t worker);
-static domain_count_t *zone_of(const wwh_tally_t *tally, int32_t worker);
-static void add_rack(wwh_tally_t *tally, int32_t rack);
-static void count(wwh_tally_t *tally, int32_t worker, int32_t lost,
-		  int32_t serving);
-static wwh_binding_t total_binding(const wwh_tally_t *tally);
+static domain_count_t *rack_of(const wwh_pool_budget_t *budget, int32_t worker);
+static domain_count_t *zone_of(const wwh_pool_budget_t *budget, int32_t worker);
+static void add_rack(wwh_pool_budget_t *budget, int32_t rack);
+static void add_to_counts(wwh_pool_budget_t *budget, int32_t worker,
+			  int32_t lost, int32_t serving);
+static wwh_constraint_t total_constraint(const wwh_pool_budget_t *budget);
 
 int32_t wwh_budget_limit(const wwh_pool_t *rule, int32_t size)
 {
@@ -39,175 +40,181 @@
 	return MIN(rule->lose_count, share);
 }
 
-wwh_tally_t *wwh_tally_new(const wwh_fleet_view_t *view, int32_t pool)
+wwh_pool_budget_t *wwh_pool_budget_new(const wwh_fleet_view_t *view,
+				       int32_t pool)
 {
-	wwh_tally_t *tally = g_new0(wwh_tally_t, 1);
+	wwh_pool_budget_t *budget = g_new0(wwh_pool_budget_t, 1);
 
-	tally->view = view;
-	tally->pool = wwh_fleet_pool(view, pool);
-	tally->limit = wwh_budget_limit(&tally->pool->rule, tally->pool->size);
-	tally->rack_places = g_hash_table_new(NULL, NULL);
-	tally->racks = g_array_new(FALSE, TRUE, sizeof(domain_count_t));
-	tally->zones = g_new0(domain_count_t, wwh_fleet_zone_count(view) + 1);
-	for (int32_t i = 0; i < tally->pool->size; i++) {
+	budget->view = view;
+	budget->pool = wwh_fleet_pool(view, pool);
+	budget->limit =
+		wwh_budget_limit(&budget->pool->rule, budget->pool->size);
+	budget->rack_positions = g_hash_table_new(NULL, NULL);
+	budget->racks = g_array_new(FALSE, TRUE, sizeof(domain_count_t));
+	budget->zones = g_new0(domain_count_t, wwh_fleet_zone_count(view) + 1);
+	for (int32_t i = 0; i < budget->pool->size; i++) {
 		int32_t member = wwh_fleet_member(view, pool, i);
 		const wwh_fleet_worker_t *worker =
 			wwh_fleet_worker(view, member);
 		bool lost = wwh_fleet_is_lost(worker);
 
-		add_rack(tally, worker->rack);
-		count(tally, member, lost ? 1 : 0, lost ? 0 : 1);
+		add_rack(budget, worker->rack);
+		add_to_counts(budget, member, lost ? 1 : 0, lost ? 0 : 1);
 	}
-	return tally;
+	return budget;
 }
 
-void wwh_tally_delete(wwh_tally_t *tally)
+void wwh_pool_budget_delete(wwh_pool_budget_t *budget)
 {
-	if (!tally)
+	if (!budget)
 		return;
-	g_hash_table_destroy(tally->rack_places);
-	g_array_free(tally->racks, TRUE);
-	g_free(tally->zones);
-	g_free(tally);
+	g_hash_table_destroy(budget->rack_positions);
+	g_array_free(budget->racks, TRUE);
+	g_free(budget->zones);
+	g_free(budget);
 }
 
-wwh_binding_t wwh_tally_allows(const wwh_tally_t *tally, int32_t worker)
+wwh_constraint_t wwh_pool_budget_allows(const wwh_pool_budget_t *budget,
+					int32_t worker)
 {
-	return wwh_tally_allows_with(tally, worker, tally->pool->rule.reserve);
+	return wwh_pool_budget_allows_with_reserve(budget, worker,
+						   budget->pool->rule.reserve);
 }
 
-wwh_binding_t wwh_tally_allows_with(const wwh_tally_t *tally, int32_t worker,
-				    wwh_domain_t reserve)
+wwh_constraint_t
+wwh_pool_budget_allows_with_reserve(const wwh_pool_budget_t *budget,
+				    int32_t worker, wwh_domain_t reserve)
 {
-	const wwh_pool_t *rule = &tally->pool->rule;
-	domain_count_t *rack = rack_of(tally, worker);
-	domain_count_t *zone = zone_of(tally, worker);
-	int32_t worst;
+	const wwh_pool_t *rule = &budget->pool->rule;
+	domain_count_t *rack = rack_of(budget, worker);
+	domain_count_t *zone = zone_of(budget, worker);
+	int32_t largest;
 
-	if (tally->lost >= tally->limit)
-		return total_binding(tally);
+	if (budget->lost >= budget->limit)
+		return total_constraint(budget);
 	if (rule->lose_per_rack > 0 && rack->lost >= rule->lose_per_rack)
-		return WWH_BINDING_RACK;
+		return WWH_CONSTRAINT_LOSE_PER_RACK;
 	if (rule->lose_per_zone > 0 && zone->lost >= rule->lose_per_zone)
-		return WWH_BINDING_ZONE;
-	/* The worker itself is out by then, and can't be lost again. */
+		return WWH_CONSTRAINT_LOSE_PER_ZONE;
+	/* The worker is already out when the domain fails; count it once. */
 	rack->serving--;
 	zone->serving--;
-	worst = wwh_tally_worst(tally, reserve);
+	largest = wwh_pool_budget_largest_domain(budget, reserve);
 	rack->serving++;
 	zone->serving++;
-	if (reserve == WWH_DOMAIN_WORKER && tally->serving <= 1)
-		worst = 0;
-	if (tally->lost + 1 + worst > tally->limit)
-		return WWH_BINDING_RESERVE;
-	return WWH_BINDING_NONE;
+	if (reserve == WWH_DOMAIN_WORKER && budget->serving <= 1)
+		largest = 0;
+	if (budget->lost + 1 + largest > budget->limit)
+		return WWH_CONSTRAINT_RESERVE;
+	return WWH_CONSTRAINT_NONE;
 }
 
-void wwh_tally_take(wwh_tally_t *tally, int32_t worker)
+void wwh_pool_budget_mark_out(wwh_pool_budget_t *budget, int32_t worker)
 {
-	count(tally, worker, 1, -1);
-	assert(tally->serving >= 0);
+	add_to_counts(budget, worker, 1, -1);
+	assert(budget->serving >= 0);
 }
 
-void wwh_tally_give_back(wwh_tally_t *tally, int32_t worker)
+void wwh_pool_budget_mark_serving(wwh_pool_budget_t *budget, int32_t worker)
 {
-	count(tally, worker, -1, 1);
-	assert(tally->lost >= 0);
+	add_to_counts(budget, worker, -1, 1);
+	assert(budget->lost >= 0);
 }
 
-int32_t wwh_tally_lost(const wwh_tally_t *tally)
+int32_t wwh_pool_budget_lost(const wwh_pool_budget_t *budget)
 {
-	return tally->lost;
+	return budget->lost;
 }
 
-int32_t wwh_tally_limit(const wwh_tally_t *tally)
+int32_t wwh_pool_budget_limit(const wwh_pool_budget_t *budget)
 {
-	return tally->limit;
+	return budget->limit;
 }
 
-int32_t wwh_tally_worst(const wwh_tally_t *tally, wwh_domain_t domain)
+int32_t wwh_pool_budget_largest_domain(const wwh_pool_budget_t *budget,
+				       wwh_domain_t domain)
 {
-	int32_t zone_count = wwh_fleet_zone_count(tally->view);
-	int32_t worst = 0;
+	int32_t zone_count = wwh_fleet_zone_count(budget->view);
+	int32_t largest = 0;
 
 	if (domain == WWH_DOMAIN_WORKER)
-		return MIN(tally->serving, 1);
+		return MIN(budget->serving, 1);
 	if (domain == WWH_DOMAIN_RACK) {
-		for (guint i = 0; i < tally->racks->len; i++) {
-			worst = MAX(worst, g_array_index(tally->racks,
-							 domain_count_t, i)
-						   .serving);
+		for (guint i = 0; i < budget->racks->len; i++) {
+			largest = MAX(largest, g_array_index(budget->racks,
+							     domain_count_t, i)
+						       .serving);
 		}
-		return worst;
+		return largest;
 	}
 	for (int32_t i = 0; i < zone_count; i++)
-		worst = MAX(worst, tally->zones[i].serving);
-	return worst;
+		largest = MAX(largest, budget->zones[i].serving);
+	return largest;
 }
 
-bool wwh_tally_holds(const wwh_tally_t *tally)
+bool wwh_pool_budget_is_met(const wwh_pool_budget_t *budget)
 {
-	const wwh_pool_t *rule = &tally->pool->rule;
-	int32_t zone_count = wwh_fleet_zone_count(tally->view);
+	const wwh_pool_t *rule = &budget->pool->rule;
+	int32_t zone_count = wwh_fleet_zone_count(budget->view);
 
-	if (tally->lost > tally->limit)
+	if (budget->lost > budget->limit)
 		return false;
-	for (guint i = 0; rule->lose_per_rack > 0 && i < tally->racks->len;
+	for (guint i = 0; rule->lose_per_rack > 0 && i < budget->racks->len;
 	     i++) {
-		if (g_array_index(tally->racks, domain_count_t, i).lost >
+		if (g_array_index(budget->racks, domain_count_t, i).lost >
 		    rule->lose_per_rack)
 			return false;
 	}
 	for (int32_t i = 0; rule->lose_per_zone > 0 && i < zone_count; i++) {
-		if (tally->zones[i].lost > rule->lose_per_zone)
+		if (budget->zones[i].lost > rule->lose_per_zone)
 			return false;
 	}
 	return true;
 }
 
-static domain_count_t *rack_of(const wwh_tally_t *tally, int32_t worker)
+static domain_count_t *rack_of(const wwh_pool_budget_t *budget, int32_t worker)
 {
-	int32_t rack = wwh_fleet_worker(tally->view, worker)->rack;
-	int32_t place = GPOINTER_TO_INT(g_hash_table_lookup(
-		tally->rack_places, GINT_TO_POINTER(rack + 1)));
+	int32_t rack = wwh_fleet_worker(budget->view, worker)->rack;
+	int32_t position = GPOINTER_TO_INT(g_hash_table_lookup(
+		budget->rack_positions, GINT_TO_POINTER(rack + 1)));
 
-	assert(place > 0);
-	return &g_array_index(tally->racks, domain_count_t, place - 1);
+	assert(position > 0);
+	return &g_array_index(budget->racks, domain_count_t, position - 1);
 }
 
-static domain_count_t *zone_of(const wwh_tally_t *tally, int32_t worker)
+static domain_count_t *zone_of(const wwh_pool_budget_t *budget, int32_t worker)
 {
-	return &tally->zones[wwh_fleet_worker(tally->view, worker)->zone];
+	return &budget->zones[wwh_fleet_worker(budget->view, worker)->zone];
 }
 
-static void add_rack(wwh_tally_t *tally, int32_t rack)
+static void add_rack(wwh_pool_budget_t *budget, int32_t rack)
 {
 	gpointer key = GINT_TO_POINTER(rack + 1);
 
-	if (g_hash_table_contains(tally->rack_places, key))
+	if (g_hash_table_contains(budget->rack_positions, key))
 		return;
-	g_array_set_size(tally->racks, tally->racks->len + 1);
-	g_hash_table_insert(tally->rack_places, key,
-			    GINT_TO_POINTER((gint)tally->racks->len));
+	g_array_set_size(budget->racks, budget->racks->len + 1);
+	g_hash_table_insert(budget->rack_positions, key,
+			    GINT_TO_POINTER((gint)budget->racks->len));
 }
 
-static void count(wwh_tally_t *tally, int32_t worker, int32_t lost,
-		  int32_t serving)
+static void add_to_counts(wwh_pool_budget_t *budget, int32_t worker,
+			  int32_t lost, int32_t serving)
 {
-	domain_count_t *rack = rack_of(tally, worker);
-	domain_count_t *zone = zone_of(tally, worker);
+	domain_count_t *rack = rack_of(budget, worker);
+	domain_count_t *zone = zone_of(budget, worker);
 
 	rack->lost += lost;
 	zone->lost += lost;
-	tally->lost += lost;
+	budget->lost += lost;
 	rack->serving += serving;
 	zone->serving += serving;
-	tally->serving += serving;
+	budget->serving += serving;
 }
 
-static wwh_binding_t total_binding(const wwh_tally_t *tally)
+static wwh_constraint_t total_constraint(const wwh_pool_budget_t *budget)
 {
-	return tally->limit == tally->pool->rule.lose_count
-		       ? WWH_BINDING_COUNT
-		       : WWH_BINDING_PERCENT;
+	return budget->limit == budget->pool->rule.lose_count
+		       ? WWH_CONSTRAINT_LOSE_COUNT
+		       : WWH_CONSTRAINT_LOSE_PERCENT;
 }
--- a/src/libwaxwinghollow/conductor_job.c
+++ b/src/libwaxwinghollow/conductor_job.c
@@ -302,16 +302,17 @@
 	const wwh_fleet_view_t *view = conductor->view;
 	int32_t index = wwh_fleet_find_worker(view, worker);
 	char *key = g_strdup_printf("quarantine/%s", worker);
-	wwh_tally_t *tally = NULL;
+	wwh_pool_budget_t *tally = NULL;
 	wwh_record_t record;
 
 	if (index != WWH_FLEET_NONE &&
 	    wwh_fleet_worker(view, index)->pool != WWH_FLEET_NONE &&
 	    !wwh_fleet_is_lost(wwh_fleet_worker(view, index)) &&
 	    wwh_outcomes_worker_is_bad(conductor->outcomes, worker))
-		tally = wwh_tally_new(view,
-				      wwh_fleet_worker(view, index)->pool);
-	if (tally && wwh_tally_allows(tally, index) == WWH_BINDING_NONE) {
+		tally = wwh_pool_budget_new(
+			view, wwh_fleet_worker(view, index)->pool);
+	if (tally &&
+	    wwh_pool_budget_allows(tally, index) == WWH_CONSTRAINT_NONE) {
 		wwh_conductor_record(conductor, &record,
 				     WWH_RECORD_WORKER_QUARANTINE);
 		wwh_record_set(&record.body.worker.worker, worker);
@@ -321,7 +322,7 @@
 			wwh_conductor_tell(conductor, "worker %s: quarantined",
 					   worker);
 	}
-	wwh_tally_delete(tally);
+	wwh_pool_budget_delete(tally);
 	g_free(key);
 }
 
--- a/src/libwaxwinghollow/plan_pool.c
+++ b/src/libwaxwinghollow/plan_pool.c
@@ -3,190 +3,211 @@
 #include <assert.h>
 
 /*
- * How many of the next workers are tried when the first is held up by its
- * own rack or zone. More than a rack holds of one pool, so that the next
- * rack is always seen.
+ * The number of workers that are tried when the first is blocked by the limit
+ * of its own rack or zone. It exceeds the workers of one pool in a rack, so
+ * that a worker of the next rack is always among them.
  */
-#define LOOK_AHEAD 64
-#define SMALL_COUNT 16 /* up to here every number out at once is tried */
+#define MAX_LOOKAHEAD_WORKERS 64
+#define EXHAUSTIVE_MAX_OUT 16 /* every number up to this one is simulated */
 
 typedef struct {
 	int32_t worker;
 	int64_t end_ms;
-} turn_t;
+} maintenance_t;
 
 typedef struct {
-	const wwh_plan_pool_work_t *work;
-	wwh_tally_t *tally;
-	int32_t *waiting; /* places in order */
+	const wwh_pool_planner_t *planner;
+	wwh_pool_budget_t *budget;
+	int32_t *waiting; /* positions in planner->order */
 	int32_t waiting_count;
-	GArray *out; /* of turn_t */
+	GArray *out; /* of maintenance_t */
 	int64_t now_ms;
-	wwh_plan_speed_t speed;
-} play_t;
+	wwh_plan_simulation_t result;
+} simulation_t;
 
-static void find_speeds(wwh_plan_pool_work_t *work);
-static bool start_next(play_t *play, GArray *steps);
-static int32_t find_allowed(play_t *play);
-static void end_next(play_t *play);
-static void add_step(const play_t *play, int32_t place, GArray *steps);
+static void simulate_concurrency_levels(wwh_pool_planner_t *planner);
+static bool start_next(simulation_t *simulation, GArray *steps);
+static int32_t find_allowed(simulation_t *simulation);
+static void end_earliest(simulation_t *simulation);
+static void add_step(const simulation_t *simulation, int32_t position,
+		     GArray *steps);
 
-void wwh_plan_pool_init(wwh_plan_pool_work_t *work,
+void wwh_plan_pool_init(wwh_pool_planner_t *planner,
 			const wwh_fleet_view_t *view, int32_t pool,
 			const wwh_plan_options_t *options)
 {
 	int32_t size = wwh_fleet_pool(view, pool)->size;
 
-	work->view = view;
-	work->options = options;
-	work->pool = pool;
-	work->order = g_new0(int32_t, size + 1);
-	work->order_count = wwh_plan_order(view, pool, options, work->order);
-	work->turn_ms = g_new0(int64_t, size + 1);
-	for (int32_t i = 0; i < work->order_count; i++) {
+	planner->view = view;
+	planner->options = options;
+	planner->pool = pool;
+	planner->order = g_new0(int32_t, size + 1);
+	planner->order_count =
+		wwh_plan_order(view, pool, options, planner->order);
+	planner->maintenance_ms = g_new0(int64_t, size + 1);
+	for (int32_t i = 0; i < planner->order_count; i++) {
 		const wwh_fleet_worker_t *worker =
-			wwh_fleet_worker(view, work->order[i]);
+			wwh_fleet_worker(view, planner->order[i]);
 
 		assert(!wwh_fleet_is_lost(worker));
-		work->turn_ms[i] =
+		planner->maintenance_ms[i] =
 			options->service_ms +
-			wwh_plan_wait_ms(view, work->order[i], options);
+			wwh_plan_wait_ms(view, planner->order[i], options);
 		if (worker->job_count > 0)
-			work->turn_ms[i] += options->checkpoint_ms;
+			planner->maintenance_ms[i] += options->checkpoint_ms;
 	}
-	work->speeds = g_array_new(FALSE, FALSE, sizeof(wwh_plan_speed_t));
-	find_speeds(work);
+	planner->simulations =
+		g_array_new(FALSE, FALSE, sizeof(wwh_plan_simulation_t));
+	simulate_concurrency_levels(planner);
 }
 
-void wwh_plan_pool_finish(wwh_plan_pool_work_t *work)
+void wwh_plan_pool_finish(wwh_pool_planner_t *planner)
 {
-	g_free(work->order);
-	g_free(work->turn_ms);
-	g_array_free(work->speeds, TRUE);
+	g_free(planner->order);
+	g_free(planner->maintenance_ms);
+	g_array_free(planner->simulations, TRUE);
 }
 
-wwh_plan_speed_t wwh_plan_pool_play(const wwh_plan_pool_work_t *work,
-				    int32_t asked, GArray *steps)
+wwh_plan_simulation_t wwh_plan_pool_simulate(const wwh_pool_planner_t *planner,
+					     int32_t max_out, GArray *steps)
 {
-	play_t play = {
-		.work = work,
-		.tally = wwh_tally_new(work->view, work->pool),
-		.waiting = g_new0(int32_t, work->order_count + 1),
-		.waiting_count = work->order_count,
-		.out = g_array_new(FALSE, FALSE, sizeof(turn_t)),
-		.speed = { .asked = asked, .binding = WWH_BINDING_WORKERS },
+	simulation_t simulation = {
+		.planner = planner,
+		.budget = wwh_pool_budget_new(planner->view, planner->pool),
+		.waiting = g_new0(int32_t, planner->order_count + 1),
+		.waiting_count = planner->order_count,
+		.out = g_array_new(FALSE, FALSE, sizeof(maintenance_t)),
+		.result = { .max_out = max_out,
+			    .limited_by = WWH_CONSTRAINT_NO_WORKERS },
 	};
 
-	for (int32_t i = 0; i < work->order_count; i++)
-		play.waiting[i] = i;
+	for (int32_t i = 0; i < planner->order_count; i++)
+		simulation.waiting[i] = i;
 	for (;;) {
-		while ((int32_t)play.out->len < asked &&
-		       start_next(&play, steps))
+		while ((int32_t)simulation.out->len < max_out &&
+		       start_next(&simulation, steps))
 			continue;
-		if (play.out->len == 0)
+		if (simulation.out->len == 0)
 			break;
-		end_next(&play);
+		end_earliest(&simulation);
 	}
-	play.speed.duration_ms = play.now_ms;
-	play.speed.left = play.waiting_count;
-	wwh_tally_delete(play.tally);
-	g_array_free(play.out, TRUE);
-	g_free(play.waiting);
-	return play.speed;
+	simulation.result.duration_ms = simulation.now_ms;
+	simulation.result.blocked_workers = simulation.waiting_count;
+	wwh_pool_budget_delete(simulation.budget);
+	g_array_free(simulation.out, TRUE);
+	g_free(simulation.waiting);
+	return simulation.result;
 }
 
-/* Each number out at once that ends sooner than the one before. */
-static void find_speeds(wwh_plan_pool_work_t *work)
+/*
+ * Simulates rising numbers of workers out at once until the limits allow no
+ * more, and keeps the result of each number that can be reached.
+ */
+static void simulate_concurrency_levels(wwh_pool_planner_t *planner)
 {
-	int32_t asked = 1;
+	int32_t max_out = 1;
 
-	while (asked <= work->order_count) {
-		wwh_plan_speed_t speed = wwh_plan_pool_play(work, asked, NULL);
+	while (max_out <= planner->order_count) {
+		wwh_plan_simulation_t result =
+			wwh_plan_pool_simulate(planner, max_out, NULL);
 
-		if (speed.peak < asked && work->speeds->len > 0) {
-			wwh_plan_speed_t *last =
-				&g_array_index(work->speeds, wwh_plan_speed_t,
-					       work->speeds->len - 1);
+		if (result.peak_out < max_out &&
+		    planner->simulations->len > 0) {
+			wwh_plan_simulation_t *last = &g_array_index(
+				planner->simulations, wwh_plan_simulation_t,
+				planner->simulations->len - 1);
 
-			last->binding = speed.binding;
-			if (speed.peak <= last->peak)
+			last->limited_by = result.limited_by;
+			if (result.peak_out <= last->peak_out)
 				break;
 		}
-		g_array_append_val(work->speeds, speed);
-		if (speed.peak < asked)
+		g_array_append_val(planner->simulations, result);
+		if (result.peak_out < max_out)
 			break;
-		asked += asked < SMALL_COUNT ? 1 : asked / 4;
+		max_out += max_out < EXHAUSTIVE_MAX_OUT ? 1 : max_out / 4;
 	}
 }
 
-static bool start_next(play_t *play, GArray *steps)
+static bool start_next(simulation_t *simulation, GArray *steps)
 {
-	const wwh_plan_pool_work_t *work = play->work;
-	int32_t at = find_allowed(play);
-	int32_t place;
-	turn_t turn;
+	const wwh_pool_planner_t *planner = simulation->planner;
+	int32_t waiting_index = find_allowed(simulation);
+	int32_t position;
+	maintenance_t maintenance;
 
-	if (at < 0)
+	if (waiting_index < 0)
 		return false;
-	place = play->waiting[at];
-	turn.worker = work->order[place];
-	turn.end_ms = play->now_ms + work->turn_ms[place];
-	wwh_tally_take(play->tally, turn.worker);
-	g_array_append_val(play->out, turn);
-	play->speed.peak = MAX(play->speed.peak, (int32_t)play->out->len);
+	position = simulation->waiting[waiting_index];
+	maintenance.worker = planner->order[position];
+	maintenance.end_ms =
+		simulation->now_ms + planner->maintenance_ms[position];
+	wwh_pool_budget_mark_out(simulation->budget, maintenance.worker);
+	g_array_append_val(simulation->out, maintenance);
+	simulation->result.peak_out =
+		MAX(simulation->result.peak_out, (int32_t)simulation->out->len);
 	if (steps)
-		add_step(play, place, steps);
-	play->waiting_count--;
-	for (int32_t i = at; i < play->waiting_count; i++)
-		play->waiting[i] = play->waiting[i + 1];
+		add_step(simulation, position, steps);
+	simulation->waiting_count--;
+	for (int32_t i = waiting_index; i < simulation->waiting_count; i++)
+		simulation->waiting[i] = simulation->waiting[i + 1];
 	return true;
 }
 
-/* The place in waiting of the first worker that may go; -1: none. */
-static int32_t find_allowed(play_t *play)
+/*
+ * Returns the index in waiting of the first worker that may be taken out, or -1
+ * if there is none.
+ */
+static int32_t find_allowed(simulation_t *simulation)
 {
-	int32_t tries = MIN(play->waiting_count, LOOK_AHEAD);
+	int32_t lookahead =
+		MIN(simulation->waiting_count, MAX_LOOKAHEAD_WORKERS);
 
-	for (int32_t i = 0; i < tries; i++) {
-		int32_t worker = play->work->order[play->waiting[i]];
-		wwh_binding_t binding = wwh_tally_allows(play->tally, worker);
+	for (int32_t i = 0; i < lookahead; i++) {
+		int32_t worker =
+			simulation->planner->order[simulation->waiting[i]];
+		wwh_constraint_t constraint =
+			wwh_pool_budget_allows(simulation->budget, worker);
 
-		if (binding == WWH_BINDING_NONE)
+		if (constraint == WWH_CONSTRAINT_NONE)
 			return i;
-		play->speed.binding = binding;
-		if (binding != WWH_BINDING_RACK && binding != WWH_BINDING_ZONE)
+		simulation->result.limited_by = constraint;
+		if (constraint != WWH_CONSTRAINT_LOSE_PER_RACK &&
+		    constraint != WWH_CONSTRAINT_LOSE_PER_ZONE)
 			return -1;
 	}
 	return -1;
 }
 
-static void end_next(play_t *play)
+static void end_earliest(simulation_t *simulation)
 {
 	guint first = 0;
-	turn_t turn;
+	maintenance_t maintenance;
 
-	for (guint i = 1; i < play->out->len; i++) {
-		if (g_array_index(play->out, turn_t, i).end_ms <
-		    g_array_index(play->out, turn_t, first).end_ms)
+	for (guint i = 1; i < simulation->out->len; i++) {
+		if (g_array_index(simulation->out, maintenance_t, i).end_ms <
+		    g_array_index(simulation->out, maintenance_t, first).end_ms)
 			first = i;
 	}
-	turn = g_array_index(play->out, turn_t, first);
-	g_array_remove_index(play->out, first);
-	wwh_tally_give_back(play->tally, turn.worker);
-	play->now_ms = turn.end_ms;
+	maintenance = g_array_index(simulation->out, maintenance_t, first);
+	g_array_remove_index(simulation->out, first);
+	wwh_pool_budget_mark_serving(simulation->budget, maintenance.worker);
+	simulation->now_ms = maintenance.end_ms;
 }
 
-static void add_step(const play_t *play, int32_t place, GArray *steps)
+static void add_step(const simulation_t *simulation, int32_t position,
+		     GArray *steps)
 {
-	const wwh_plan_pool_work_t *work = play->work;
-	int32_t done = work->order_count - play->waiting_count;
+	const wwh_pool_planner_t *planner = simulation->planner;
+	int32_t done = planner->order_count - simulation->waiting_count;
 	wwh_plan_step_t step = {
-		.worker = work->order[place],
-		.batch = done / play->speed.asked,
-		.start_ms = play->now_ms,
-		.end_ms = play->now_ms + work->turn_ms[place],
-		.wait_ms = wwh_plan_wait_ms(work->view, work->order[place],
-					    work->options),
+		.worker = planner->order[position],
+		.batch = done / simulation->result.max_out,
+		.start_ms = simulation->now_ms,
+		.end_ms =
+			simulation->now_ms + planner->maintenance_ms[position],
+		.wait_ms = wwh_plan_wait_ms(planner->view,
+					    planner->order[position],
+					    planner->options),
 	};
 
 	g_array_append_val(steps, step);
--- a/src/libwaxwinghollow/plan_report.c
+++ b/src/libwaxwinghollow/plan_report.c
@@ -13,7 +13,7 @@
 } batch_t;
 
 static void collect_batch(const wwh_plan_t *plan, const wwh_fleet_view_t *view,
-			  int32_t *at, batch_t *batch);
+			  int32_t *step_index, batch_t *batch);
 static void add_pool_json(JsonBuilder *builder, const wwh_plan_pool_t *pool,
 			  const wwh_fleet_view_t *view);
 static void add_step_json(JsonBuilder *builder, const wwh_plan_step_t *step,
@@ -26,7 +26,7 @@
 {
 	const wwh_plan_totals_t *totals = wwh_plan_totals(plan);
 	GString *text = g_string_new(NULL);
-	int32_t at = 0;
+	int32_t step_index = 0;
 
 	g_string_append_printf(
 		text,
@@ -35,8 +35,8 @@
 		"limit %s\n",
 		totals->workers, totals->skipped,
 		totals->duration_ms / MINUTE_MS, totals->held_back,
-		totals->moves, totals->again, totals->stranded,
-		wwh_binding_names[totals->binding]);
+		totals->moves, totals->moves_again, totals->moves_without_room,
+		wwh_constraint_names[totals->limited_by]);
 	g_string_append(text, "pool                 workers  at once  of most  "
 			      "limit           held back  moves  minutes\n");
 	for (int32_t i = 0; i < wwh_plan_pool_count(plan); i++) {
@@ -46,14 +46,15 @@
 			text, "%-20s %7d  %7d  %7d  %-14s %10d  %5d  %7lld%s\n",
 			wwh_fleet_pool(view, pool->pool)->id, pool->workers,
 			pool->out_at_once, pool->most_at_once,
-			wwh_binding_names[pool->binding], pool->held_back,
+			wwh_constraint_names[pool->limited_by], pool->held_back,
 			pool->moves, (long long)pool->duration_ms / MINUTE_MS,
 			pool->blocked ? "  blocked" : "");
 	}
-	for (int32_t number = 1; at < wwh_plan_step_count(plan); number++) {
+	for (int32_t number = 1; step_index < wwh_plan_step_count(plan);
+	     number++) {
 		batch_t batch = { .zones = g_string_new(NULL) };
 
-		collect_batch(plan, view, &at, &batch);
+		collect_batch(plan, view, &step_index, &batch);
 		g_string_append_printf(
 			text,
 			"batch %d: %d workers in%s, minute %lld to %lld, "
@@ -80,10 +81,10 @@
 	add_int(builder, "end_ms", totals->end_ms);
 	add_int(builder, "held_back", totals->held_back);
 	add_int(builder, "moves", totals->moves);
-	add_int(builder, "moves_again", totals->again);
-	add_int(builder, "moves_without_room", totals->stranded);
+	add_int(builder, "moves_again", totals->moves_again);
+	add_int(builder, "moves_without_room", totals->moves_without_room);
 	add_int(builder, "batches", totals->batches);
-	add_string(builder, "limit", wwh_binding_names[totals->binding]);
+	add_string(builder, "limit", wwh_constraint_names[totals->limited_by]);
 	json_builder_set_member_name(builder, "pools");
 	json_builder_begin_array(builder);
 	for (int32_t i = 0; i < wwh_plan_pool_count(plan); i++)
@@ -102,16 +103,19 @@
 	return text;
 }
 
-/* Sums the steps of the batch at *at and moves *at behind them. */
+/*
+ * Sums the steps of the batch that begins at *step_index and advances
+ * *step_index past them.
+ */
 static void collect_batch(const wwh_plan_t *plan, const wwh_fleet_view_t *view,
-			  int32_t *at, batch_t *batch)
+			  int32_t *step_index, batch_t *batch)
 {
-	int32_t number = wwh_plan_step(plan, *at)->batch;
+	int32_t number = wwh_plan_step(plan, *step_index)->batch;
 	bool *seen = g_new0(bool, wwh_fleet_zone_count(view) + 1);
 
-	batch->start_ms = wwh_plan_step(plan, *at)->start_ms;
-	while (*at < wwh_plan_step_count(plan)) {
-		const wwh_plan_step_t *step = wwh_plan_step(plan, *at);
+	batch->start_ms = wwh_plan_step(plan, *step_index)->start_ms;
+	while (*step_index < wwh_plan_step_count(plan)) {
+		const wwh_plan_step_t *step = wwh_plan_step(plan, *step_index);
 		int32_t zone = wwh_fleet_worker(view, step->worker)->zone;
 
 		if (step->batch != number)
@@ -123,7 +127,7 @@
 			g_string_append_printf(batch->zones, " %s",
 					       wwh_fleet_zone(view, zone)->id);
 		seen[zone] = true;
-		(*at)++;
+		(*step_index)++;
 	}
 	g_free(seen);
 }
@@ -137,7 +141,7 @@
 	add_int(builder, "skipped", pool->skipped);
 	add_int(builder, "out_at_once", pool->out_at_once);
 	add_int(builder, "most_at_once", pool->most_at_once);
-	add_string(builder, "limit", wwh_binding_names[pool->binding]);
+	add_string(builder, "limit", wwh_constraint_names[pool->limited_by]);
 	add_int(builder, "held_back", pool->held_back);
 	add_int(builder, "moves", pool->moves);
 	add_int(builder, "duration_ms", pool->duration_ms);
--- a/src/libwaxwinghollow/planner.c
+++ b/src/libwaxwinghollow/planner.c
@@ -18,18 +18,18 @@
 
 static int compare_times(gconstpointer a, gconstpointer b);
 static int compare_steps(gconstpointer a, gconstpointer b);
-static GArray *candidate_times(const wwh_plan_pool_work_t *works,
-			       int32_t count);
-static const wwh_plan_speed_t *speed_for(const wwh_plan_pool_work_t *work,
-					 int64_t time_ms);
-static int32_t reserve_of(const wwh_plan_pool_work_t *work);
-static double cost_of(const wwh_plan_pool_work_t *works, int32_t count,
+static GArray *candidate_end_times(const wwh_pool_planner_t *planners,
+				   int32_t count);
+static const wwh_plan_simulation_t *
+simulation_for(const wwh_pool_planner_t *planner, int64_t time_ms);
+static int32_t reserve_workers(const wwh_pool_planner_t *planner);
+static double cost_of(const wwh_pool_planner_t *planners, int32_t count,
 		      const int32_t *reserves, int64_t time_ms);
-static int64_t best_time(const wwh_plan_pool_work_t *works, int32_t count,
-			 double *cost);
-static void add_pool(wwh_plan_t *plan, const wwh_plan_pool_work_t *work,
+static int64_t best_end_time(const wwh_pool_planner_t *planners, int32_t count,
+			     double *cost);
+static void add_pool(wwh_plan_t *plan, const wwh_pool_planner_t *planner,
 		     int64_t time_ms);
-static void sum_up(wwh_plan_t *plan);
+static void sum_totals(wwh_plan_t *plan);
 
 void wwh_plan_options_defaults(wwh_plan_options_t *options)
 {
@@ -48,8 +48,8 @@
 {
 	wwh_plan_t *plan = g_new0(wwh_plan_t, 1);
 	int32_t pool_count = wwh_fleet_pool_count(view);
-	wwh_plan_pool_work_t *works =
-		g_new0(wwh_plan_pool_work_t, pool_count + 1);
+	wwh_pool_planner_t *planners =
+		g_new0(wwh_pool_planner_t, pool_count + 1);
 	int32_t count = 0;
 	int64_t time_ms;
 
@@ -60,16 +60,16 @@
 	for (int32_t i = 0; i < pool_count; i++) {
 		if (options->pool != WWH_FLEET_NONE && options->pool != i)
 			continue;
-		wwh_plan_pool_init(&works[count++], view, i, &plan->options);
+		wwh_plan_pool_init(&planners[count++], view, i, &plan->options);
 	}
-	time_ms = best_time(works, count, &plan->totals.cost);
+	time_ms = best_end_time(planners, count, &plan->totals.cost);
 	for (int32_t i = 0; i < count; i++)
-		add_pool(plan, &works[i], time_ms);
+		add_pool(plan, &planners[i], time_ms);
 	g_array_sort(plan->steps, compare_steps);
-	sum_up(plan);
+	sum_totals(plan);
 	for (int32_t i = 0; i < count; i++)
-		wwh_plan_pool_finish(&works[i]);
-	g_free(works);
+		wwh_plan_pool_finish(&planners[i]);
+	g_free(planners);
 	return plan;
 }
 
@@ -129,57 +129,64 @@
 	return (left->worker > right->worker) - (left->worker < right->worker);
 }
 
-/* Every time at which some pool can end, each once, rising. */
-static GArray *candidate_times(const wwh_plan_pool_work_t *works, int32_t count)
+/* The distinct times at which some pool can end, in ascending order. */
+static GArray *candidate_end_times(const wwh_pool_planner_t *planners,
+				   int32_t count)
 {
 	GArray *times = g_array_new(FALSE, FALSE, sizeof(int64_t));
-	guint kept = 0;
+	guint unique_count = 0;
 
 	for (int32_t i = 0; i < count; i++) {
-		for (guint s = 0; s < works[i].speeds->len; s++)
-			g_array_append_val(times,
-					   g_array_index(works[i].speeds,
-							 wwh_plan_speed_t, s)
-						   .duration_ms);
+		for (guint s = 0; s < planners[i].simulations->len; s++)
+			g_array_append_val(
+				times, g_array_index(planners[i].simulations,
+						     wwh_plan_simulation_t, s)
+					       .duration_ms);
 	}
 	g_array_sort(times, compare_times);
 	for (guint i = 0; i < times->len; i++) {
 		int64_t time_ms = g_array_index(times, int64_t, i);
 
-		if (kept == 0 ||
-		    g_array_index(times, int64_t, kept - 1) != time_ms)
-			g_array_index(times, int64_t, kept++) = time_ms;
+		if (unique_count == 0 ||
+		    g_array_index(times, int64_t, unique_count - 1) != time_ms)
+			g_array_index(times, int64_t, unique_count++) = time_ms;
 	}
-	g_array_set_size(times, kept);
+	g_array_set_size(times, unique_count);
 	return times;
 }
 
-/* The slowest speed that ends by time_ms, else the fastest; NULL: no turns. */
-static const wwh_plan_speed_t *speed_for(const wwh_plan_pool_work_t *work,
-					 int64_t time_ms)
+/*
+ * The slowest simulation that ends by time_ms, else the fastest; NULL if the
+ * pool has no worker to maintain.
+ */
+static const wwh_plan_simulation_t *
+simulation_for(const wwh_pool_planner_t *planner, int64_t time_ms)
 {
-	const wwh_plan_speed_t *speed = NULL;
+	const wwh_plan_simulation_t *simulation = NULL;
 
-	for (guint i = 0; i < work->speeds->len; i++) {
-		speed = &g_array_index(work->speeds, wwh_plan_speed_t, i);
-		if (speed->duration_ms <= time_ms)
-			return speed;
+	for (guint i = 0; i < planner->simulations->len; i++) {
+		simulation = &g_array_index(planner->simulations,
+					    wwh_plan_simulation_t, i);
+		if (simulation->duration_ms <= time_ms)
+			return simulation;
 	}
-	return speed;
+	return simulation;
 }
 
-static int32_t reserve_of(const wwh_plan_pool_work_t *work)
+static int32_t reserve_workers(const wwh_pool_planner_t *planner)
 {
-	wwh_tally_t *tally = wwh_tally_new(work->view, work->pool);
-	int32_t reserve = wwh_tally_worst(
-		tally, wwh_fleet_pool(work->view, work->pool)->rule.reserve);
+	wwh_pool_budget_t *budget =
+		wwh_pool_budget_new(planner->view, planner->pool);
+	int32_t reserve = wwh_pool_budget_largest_domain(
+		budget,
+		wwh_fleet_pool(planner->view, planner->pool)->rule.reserve);
 
-	wwh_tally_delete(tally);
+	wwh_pool_budget_delete(budget);
 	return reserve;
 }
 
-/* In points; see the head of planner.h. */
-static double cost_of(const wwh_plan_pool_work_t *works, int32_t count,
+/* The cost in points, as defined in planner.h. */
+static double cost_of(const wwh_pool_planner_t *planners, int32_t count,
 		      const int32_t *reserves, int64_t time_ms)
 {
 	int64_t held_back = 0;
@@ -187,37 +194,40 @@
 	int64_t end_ms = 0;
 
 	for (int32_t i = 0; i < count; i++) {
-		const wwh_plan_speed_t *speed = speed_for(&works[i], time_ms);
+		const wwh_plan_simulation_t *simulation =
+			simulation_for(&planners[i], time_ms);
 
-		workers += wwh_fleet_pool(works[i].view, works[i].pool)->size;
-		if (!speed)
+		workers += wwh_fleet_pool(planners[i].view, planners[i].pool)
+				   ->size;
+		if (!simulation)
 			continue;
-		held_back += speed->peak + reserves[i];
-		end_ms = MAX(end_ms, speed->duration_ms);
+		held_back += simulation->peak_out + reserves[i];
+		end_ms = MAX(end_ms, simulation->duration_ms);
 	}
 	if (workers == 0)
 		return 0.0;
-	return works[0].options->buffer_weight * 100.0 * (double)held_back /
+	return planners[0].options->buffer_weight * 100.0 * (double)held_back /
 		       (double)workers +
 	       (double)end_ms / HOUR_MS;
 }
 
-static int64_t best_time(const wwh_plan_pool_work_t *works, int32_t count,
-			 double *cost)
+static int64_t best_end_time(const wwh_pool_planner_t *planners, int32_t count,
+			     double *cost)
 {
 	int32_t *reserves = g_new0(int32_t, count + 1);
-	GArray *times = candidate_times(works, count);
+	GArray *times = candidate_end_times(planners, count);
 	int64_t best_ms = 0;
 
 	*cost = 0.0;
 	for (int32_t i = 0; i < count; i++)
-		reserves[i] = reserve_of(&works[i]);
+		reserves[i] = reserve_workers(&planners[i]);
 	for (guint i = 0; i < times->len; i++) {
 		int64_t time_ms = g_array_index(times, int64_t, i);
-		double found = cost_of(works, count, reserves, time_ms);
+		double candidate_cost =
+			cost_of(planners, count, reserves, time_ms);
 
-		if (i == 0 || found < *cost) {
-			*cost = found;
+		if (i == 0 || candidate_cost < *cost) {
+			*cost = candidate_cost;
 			best_ms = time_ms;
 		}
 	}
@@ -226,40 +236,44 @@
 	return best_ms;
 }
 
-static void add_pool(wwh_plan_t *plan, const wwh_plan_pool_work_t *work,
+static void add_pool(wwh_plan_t *plan, const wwh_pool_planner_t *planner,
 		     int64_t time_ms)
 {
 	const wwh_plan_options_t *options = &plan->options;
-	const wwh_fleet_pool_t *item = wwh_fleet_pool(plan->view, work->pool);
-	const wwh_plan_speed_t *speed = speed_for(work, time_ms);
+	const wwh_fleet_pool_t *item =
+		wwh_fleet_pool(plan->view, planner->pool);
+	const wwh_plan_simulation_t *simulation =
+		simulation_for(planner, time_ms);
 	guint first = plan->steps->len;
-	wwh_plan_pool_t pool = { .pool = work->pool, .skipped = item->size };
+	wwh_plan_pool_t pool = { .pool = planner->pool, .skipped = item->size };
 
 	for (int32_t i = 0; i < item->size; i++) {
 		const wwh_fleet_worker_t *worker = wwh_fleet_worker(
 			plan->view,
-			wwh_fleet_member(plan->view, work->pool, i));
+			wwh_fleet_member(plan->view, planner->pool, i));
 
 		if (!wwh_fleet_is_lost(worker) || worker->maintained)
 			pool.skipped--;
 	}
-	pool.held_back = reserve_of(work);
-	if (speed) {
-		const wwh_plan_speed_t *last = &g_array_index(
-			work->speeds, wwh_plan_speed_t, work->speeds->len - 1);
-
-		wwh_plan_pool_play(work, speed->asked, plan->steps);
-		pool.out_at_once = speed->peak;
-		pool.most_at_once = last->peak;
-		pool.binding = last->binding;
-		pool.held_back += speed->peak;
-		pool.duration_ms = speed->duration_ms;
-		pool.blocked = speed->left > 0;
+	pool.held_back = reserve_workers(planner);
+	if (simulation) {
+		const wwh_plan_simulation_t *last = &g_array_index(
+			planner->simulations, wwh_plan_simulation_t,
+			planner->simulations->len - 1);
+
+		wwh_plan_pool_simulate(planner, simulation->max_out,
+				       plan->steps);
+		pool.out_at_once = simulation->peak_out;
+		pool.most_at_once = last->peak_out;
+		pool.limited_by = last->limited_by;
+		pool.held_back += simulation->peak_out;
+		pool.duration_ms = simulation->duration_ms;
+		pool.blocked = simulation->blocked_workers > 0;
 	}
 	pool.workers = (int32_t)(plan->steps->len - first);
 	if (pool.workers > 0)
 		wwh_plan_pool_move_jobs(
-			work,
+			planner,
 			&g_array_index(plan->steps, wwh_plan_step_t, first),
 			pool.workers);
 	for (guint i = first; i < plan->steps->len; i++) {
@@ -267,8 +281,8 @@
 			&g_array_index(plan->steps, wwh_plan_step_t, i);
 
 		pool.moves += step->moves;
-		pool.again += step->again;
-		pool.stranded += step->stranded;
+		pool.moves_again += step->moves_again;
+		pool.moves_without_room += step->moves_without_room;
 	}
 	pool.end_ms = wwh_window_end_of_work(options->windows,
 					     options->window_count, item->id,
@@ -276,7 +290,7 @@
 	g_array_append_val(plan->pools, pool);
 }
 
-static void sum_up(wwh_plan_t *plan)
+static void sum_totals(wwh_plan_t *plan)
 {
 	wwh_plan_totals_t *totals = &plan->totals;
 
@@ -290,8 +304,8 @@
 		totals->skipped += pool->skipped;
 		totals->held_back += pool->held_back;
 		totals->moves += pool->moves;
-		totals->again += pool->again;
-		totals->stranded += pool->stranded;
+		totals->moves_again += pool->moves_again;
+		totals->moves_without_room += pool->moves_without_room;
 		totals->blocked_pools += pool->blocked ? 1 : 0;
 		totals->duration_ms =
 			MAX(totals->duration_ms, pool->duration_ms);
@@ -303,7 +317,7 @@
 		    (totals->slowest_pool == WWH_FLEET_NONE ||
 		     pool->duration_ms >= totals->duration_ms)) {
 			totals->slowest_pool = pool->pool;
-			totals->binding = pool->binding;
+			totals->limited_by = pool->limited_by;
 		}
 	}
 	for (guint i = 0; i < plan->steps->len; i++) {
--- a/src/test_planner/test_planner.c
+++ b/src/test_planner/test_planner.c
@@ -13,15 +13,19 @@
 
 #define MINUTE_MS INT64_C(60000)
 
-/* Replays the plan's turns against a recount of each pool from scratch. */
-static void check_plan(wwh_fleet_view_t *view, const wwh_plan_t *plan)
+/*
+ * Checks the budget at the start of each step of the plan, with the pool
+ * counted anew from the view and the steps.
+ */
+static void assert_plan_within_budget(wwh_fleet_view_t *view,
+				      const wwh_plan_t *plan)
 {
 	for (int32_t i = 0; i < wwh_plan_step_count(plan); i++) {
 		int64_t now_ms = wwh_plan_step(plan, i)->start_ms;
 		int32_t pool =
 			wwh_fleet_worker(view, wwh_plan_step(plan, i)->worker)
 				->pool;
-		wwh_tally_t *tally = wwh_tally_new(view, pool);
+		wwh_pool_budget_t *budget = wwh_pool_budget_new(view, pool);
 
 		for (int32_t j = 0; j < wwh_plan_step_count(plan); j++) {
 			const wwh_plan_step_t *step = wwh_plan_step(plan, j);
@@ -29,17 +33,18 @@
 			if (wwh_fleet_worker(view, step->worker)->pool ==
 				    pool &&
 			    step->start_ms <= now_ms && step->end_ms > now_ms)
-				wwh_tally_take(tally, step->worker);
+				wwh_pool_budget_mark_out(budget, step->worker);
 		}
-		assert_true(wwh_tally_holds(tally));
-		assert_true(wwh_tally_lost(tally) +
-				    wwh_tally_worst(tally, WWH_DOMAIN_RACK) <=
-			    wwh_tally_limit(tally));
-		wwh_tally_delete(tally);
+		assert_true(wwh_pool_budget_is_met(budget));
+		assert_true(wwh_pool_budget_lost(budget) +
+				    wwh_pool_budget_largest_domain(
+					    budget, WWH_DOMAIN_RACK) <=
+			    wwh_pool_budget_limit(budget));
+		wwh_pool_budget_delete(budget);
 	}
 }
 
-static void every_worker_has_one_turn_within_the_budget(void **unused)
+static void each_worker_is_maintained_once_within_budget(void **unused)
 {
 	fleet_fixture_t fixtures[] = { fleet_fixture_bounce(),
 				       fleet_fixture_peachtree() };
@@ -62,13 +67,13 @@
 			assert_false(seen[worker]);
 			seen[worker] = true;
 		}
-		check_plan(view, plan);
+		assert_plan_within_budget(view, plan);
 		wwh_plan_delete(plan);
 		wwh_fleet_view_delete(view);
 	}
 }
 
-static void jobs_move_once_onto_maintained_workers(void **unused)
+static void jobs_move_once_to_maintained_workers(void **unused)
 {
 	fleet_fixture_t fixture = fleet_fixture_bounce();
 	wwh_fleet_view_t *view = fleet_fixture_view(&fixture);
@@ -83,14 +88,17 @@
 	plan = wwh_plan_new(view, &options);
 	totals = wwh_plan_totals(plan);
 	assert_int_equal(totals->moves, wwh_fleet_job_count(view));
-	assert_int_equal(totals->again, 0);
-	assert_int_equal(totals->stranded, 0);
+	assert_int_equal(totals->moves_again, 0);
+	assert_int_equal(totals->moves_without_room, 0);
 	wwh_plan_delete(plan);
 	wwh_fleet_view_delete(view);
 }
 
-/* Peachtree would wait for its jobs, Bounce Meitheal would rather not. */
-static void the_weights_choose_between_waiting_and_moving(void **unused)
+/*
+ * A high move_weight waits for jobs to end; a high buffer_weight, or a
+ * drain_limit_ms shorter than the wait, moves them.
+ */
+static void weights_decide_between_waiting_and_moving(void **unused)
 {
 	fleet_fixture_t fixture = fleet_fixture_peachtree();
 	wwh_fleet_view_t *view = fleet_fixture_view(&fixture);
@@ -115,10 +123,10 @@
 }
 
 /*
- * A rack of the pool has failed. What may still be taken out shrinks by as
- * many, so that the loss of a second rack would stay within the budget.
+ * Three workers of the pool have failed. The number that may still be taken out
+ * shrinks by three, so that the loss of a rack would stay within the budget.
  */
-static void failures_leave_less_room(void **unused)
+static void failures_reduce_room_for_planned_work(void **unused)
 {
 	fleet_fixture_t fixture = fleet_fixture_bounce();
 	wwh_fleet_view_t *view = fleet_fixture_view(&fixture);
@@ -130,7 +138,7 @@
 	assert_int_equal(capacity.limit, 4);
 	assert_int_equal(capacity.reserve_workers, 1);
 	assert_int_equal(capacity.room, 3);
-	assert_int_equal(capacity.binding, WWH_BINDING_RESERVE);
+	assert_int_equal(capacity.limited_by, WWH_CONSTRAINT_RESERVE);
 	assert_true(capacity.survives);
 	for (int32_t i = 0; i < 3; i++)
 		wwh_fleet_worker(view, wwh_fleet_member(view, 0, i))->state =
@@ -148,7 +156,7 @@
 	wwh_fleet_view_delete(view);
 }
 
-static void a_smaller_reserve_is_shown_with_its_risk(void **unused)
+static void smaller_reserve_is_reported_with_its_risk(void **unused)
 {
 	fleet_fixture_t fixture = fleet_fixture_bounce();
 	wwh_capacity_option_t options[WWH_DOMAIN_COUNT];
@@ -158,7 +166,7 @@
 
 	(void)unused;
 	fixture.racks_by_pool = true;
-	fixture.workers = 80; /* four racks a pool */
+	fixture.workers = 80; /* four racks for each pool */
 	fixture.rule.lose_count = 6;
 	view = fleet_fixture_view(&fixture);
 	wwh_fleet_view_seal(view);
@@ -182,11 +190,11 @@
 	wwh_fleet_view_delete(view);
 }
 
-static void limits_of_racks_and_zones_bind(void **unused)
+static void rack_limit_prevents_taking_out(void **unused)
 {
 	fleet_fixture_t fixture = fleet_fixture_bounce();
 	wwh_fleet_view_t *view;
-	wwh_tally_t *tally;
+	wwh_pool_budget_t *budget;
 
 	(void)unused;
 	fixture.racks_by_pool = true;
@@ -196,16 +204,18 @@
 	fixture.rule.lose_per_rack = 2;
 	view = fleet_fixture_view(&fixture);
 	wwh_fleet_view_seal(view);
-	tally = wwh_tally_new(view, 0);
-	wwh_tally_take(tally, wwh_fleet_member(view, 0, 0));
-	wwh_tally_take(tally, wwh_fleet_member(view, 0, 1));
-	assert_int_equal(wwh_tally_allows(tally, wwh_fleet_member(view, 0, 2)),
-			 WWH_BINDING_RACK);
-	assert_int_equal(wwh_tally_allows(tally, wwh_fleet_member(view, 0, 4)),
-			 WWH_BINDING_NONE);
-	wwh_tally_take(tally, wwh_fleet_member(view, 0, 2));
-	assert_false(wwh_tally_holds(tally));
-	wwh_tally_delete(tally);
+	budget = wwh_pool_budget_new(view, 0);
+	wwh_pool_budget_mark_out(budget, wwh_fleet_member(view, 0, 0));
+	wwh_pool_budget_mark_out(budget, wwh_fleet_member(view, 0, 1));
+	assert_int_equal(
+		wwh_pool_budget_allows(budget, wwh_fleet_member(view, 0, 2)),
+		WWH_CONSTRAINT_LOSE_PER_RACK);
+	assert_int_equal(
+		wwh_pool_budget_allows(budget, wwh_fleet_member(view, 0, 4)),
+		WWH_CONSTRAINT_NONE);
+	wwh_pool_budget_mark_out(budget, wwh_fleet_member(view, 0, 2));
+	assert_false(wwh_pool_budget_is_met(budget));
+	wwh_pool_budget_delete(budget);
 	wwh_fleet_view_delete(view);
 }
 
@@ -229,13 +239,13 @@
 				       monday_ms + 25 * 60 * MINUTE_MS - 1));
 	assert_false(wwh_window_is_open(windows, 1, "p",
 					monday_ms + 25 * 60 * MINUTE_MS));
-	/* 150 minutes of work: the rest is done a week later. */
+	/* Of 150 minutes of work, the last 30 are done a week later. */
 	assert_int_equal(wwh_window_end_of_work(windows, 1, "p", monday_ms,
 						150 * MINUTE_MS),
 			 monday_ms + (7 * 1440 + 23 * 60 + 30) * MINUTE_MS);
 }
 
-static void the_target_is_planned_whole(void **unused)
+static void target_fleet_is_planned_completely(void **unused)
 {
 	fleet_fixture_t fixture = fleet_fixture_target();
 	wwh_fleet_view_t *view = fleet_fixture_view(&fixture);
@@ -268,14 +278,14 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(every_worker_has_one_turn_within_the_budget),
-		cmocka_unit_test(jobs_move_once_onto_maintained_workers),
-		cmocka_unit_test(the_weights_choose_between_waiting_and_moving),
-		cmocka_unit_test(failures_leave_less_room),
-		cmocka_unit_test(a_smaller_reserve_is_shown_with_its_risk),
-		cmocka_unit_test(limits_of_racks_and_zones_bind),
+		cmocka_unit_test(each_worker_is_maintained_once_within_budget),
+		cmocka_unit_test(jobs_move_once_to_maintained_workers),
+		cmocka_unit_test(weights_decide_between_waiting_and_moving),
+		cmocka_unit_test(failures_reduce_room_for_planned_work),
+		cmocka_unit_test(smaller_reserve_is_reported_with_its_risk),
+		cmocka_unit_test(rack_limit_prevents_taking_out),
 		cmocka_unit_test(windows_open_by_weekday_and_past_midnight),
-		cmocka_unit_test(the_target_is_planned_whole),
+		cmocka_unit_test(target_fleet_is_planned_completely),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
