--- a/include/waxwinghollow/scheduler.h
+++ b/include/waxwinghollow/scheduler.h
@@ -324,17 +324,17 @@
 /* Accepted jobs of a queue of which no task has started. */
 int32_t wwh_scheduler_pending(wwh_scheduler_t *scheduler, const char *queue);
 
-void wwh_scheduler_upstream_seen(wwh_scheduler_t *scheduler,
-				 const wwh_upstream_info_t *info,
-				 int64_t now_ms);
+void wwh_scheduler_upstream_announced(wwh_scheduler_t *scheduler,
+				      const wwh_upstream_info_t *info,
+				      int64_t now_ms);
 /*
  * It is announced, and what the announcement says can't be read: it gets no new
  * work until it is seen again, and what it runs goes on.
  */
 void wwh_scheduler_upstream_unreadable(wwh_scheduler_t *scheduler,
 				       const char *id, int64_t now_ms);
-void wwh_scheduler_upstream_left(wwh_scheduler_t *scheduler, const char *id,
-				 int64_t now_ms);
+void wwh_scheduler_upstream_withdrawn(wwh_scheduler_t *scheduler,
+				      const char *id, int64_t now_ms);
 /* It was seen, and what was read of it last could be read. */
 bool wwh_scheduler_upstream_listed(const wwh_scheduler_t *scheduler,
 				   const char *id);
@@ -342,11 +342,12 @@
  * Its incarnation has terminated for sure: nothing runs there any more. why lives as long as
  * the scheduler. What it has said before still counts if it is heard soon.
  */
-void wwh_scheduler_upstream_gone(wwh_scheduler_t *scheduler, const char *id,
-				 const char *why, int64_t now_ms);
+void wwh_scheduler_upstream_terminated(wwh_scheduler_t *scheduler,
+				       const char *id, const char *why,
+				       int64_t now_ms);
 
 /* A list of hosts is asked for: it has to show each upstream that answers now. */
-void wwh_scheduler_incarnations_asked(wwh_scheduler_t *scheduler);
+void wwh_scheduler_incarnations_requested(wwh_scheduler_t *scheduler);
 /*
  * A whole list of what hosts run, asked for after the takeover: incarnations is a set
  * of ids. An upstream of the holder before that is in neither list is over, and
@@ -356,15 +357,18 @@
 				       GHashTable *incarnations,
 				       int64_t now_ms);
 
-void wwh_scheduler_polled(wwh_scheduler_t *scheduler, const char *upstream,
-			  const wwh_poll_answer_t *answer, int64_t sent_ms,
-			  int64_t now_ms);
+void wwh_scheduler_handle_poll_answer(wwh_scheduler_t *scheduler,
+				      const char *upstream,
+				      const wwh_poll_answer_t *answer,
+				      int64_t sent_ms, int64_t now_ms);
 /* refused: nobody listens there, as against silence */
-void wwh_scheduler_poll_failed(wwh_scheduler_t *scheduler, const char *upstream,
-			       bool refused, int64_t now_ms);
+void wwh_scheduler_handle_poll_failure(wwh_scheduler_t *scheduler,
+				       const char *upstream, bool refused,
+				       int64_t now_ms);
 /* Another incarnation answered the poll: that of this id has terminated. */
-void wwh_scheduler_poll_found_other(wwh_scheduler_t *scheduler, const char *id,
-				    int64_t now_ms);
+void wwh_scheduler_handle_poll_other_incarnation(wwh_scheduler_t *scheduler,
+						 const char *id,
+						 int64_t now_ms);
 
 void wwh_scheduler_start_ended(wwh_scheduler_t *scheduler, const char *upstream,
 			       const char *task, int64_t run,
@@ -421,8 +425,8 @@
 						const char *upstream);
 
 /* For wwh_pool_sizing_wanted. */
-wwh_pool_figures_t wwh_scheduler_pool_figures(wwh_scheduler_t *scheduler,
-					      const char *pool);
+wwh_pool_demand_t wwh_scheduler_pool_demand(wwh_scheduler_t *scheduler,
+					    const char *pool);
 
 typedef struct {
 	int32_t jobs;
--- a/src/libwaxwinghollow/scheduler.c
+++ b/src/libwaxwinghollow/scheduler.c
@@ -157,7 +157,7 @@
 			g_clear_pointer(&job, wwh_job_delete);
 		}
 		if (job == NULL) {
-			sched_job_lose(scheduler, key, true);
+			sched_job_mark_lost(scheduler, key, true);
 			return false;
 		}
 		age_ms = MAX(0, wall_ms - job->accepted_wall_ms);
@@ -167,13 +167,13 @@
 		if (sched_progress_restore(scheduler, key, value, size,
 					   message))
 			return true;
-		sched_job_lose(scheduler, key, false);
+		sched_job_mark_lost(scheduler, key, false);
 		return false;
 	case WWH_KEEP_UPSTREAM:
 		if (sched_upstream_restore(scheduler, key, value, size,
 					   message))
 			return true;
-		sched_upstream_lose_record(scheduler, key);
+		sched_upstream_add_unlocated(scheduler, key);
 		return false;
 	default:
 		return true;
@@ -258,7 +258,7 @@
 	if (job == NULL && wwh_scheduler_job_lost(scheduler, id)) {
 		job = sched_job_add_ended(scheduler, id);
 		job->state = WWH_PROGRESS_QUEUED;
-		sched_job_found(scheduler, id);
+		sched_job_clear_lost(scheduler, id);
 	}
 	if (job == NULL)
 		return false;
@@ -330,8 +330,8 @@
 		return;
 	}
 	if (result == WWH_ORDER_OTHER_LIFE) {
-		wwh_scheduler_upstream_gone(scheduler, upstream, "restarted",
-					    now_ms);
+		wwh_scheduler_upstream_terminated(scheduler, upstream,
+						  "restarted", now_ms);
 		return;
 	}
 	refuse_start(scheduler, task, result);
@@ -345,8 +345,8 @@
 
 	scheduler->now_ms = MAX(scheduler->now_ms, now_ms);
 	if (result == WWH_ORDER_OTHER_LIFE) {
-		wwh_scheduler_upstream_gone(scheduler, upstream, "restarted",
-					    now_ms);
+		wwh_scheduler_upstream_terminated(scheduler, upstream,
+						  "restarted", now_ms);
 		return;
 	}
 	task = task_of_order(scheduler, upstream, name, run);
--- a/src/test_scheduler/rig.h
+++ b/src/test_scheduler/rig.h
@@ -257,7 +257,7 @@
 		.leaving = leaving,
 	};
 
-	wwh_scheduler_upstream_seen(rig->scheduler, &info, rig->now_ms);
+	wwh_scheduler_upstream_announced(rig->scheduler, &info, rig->now_ms);
 }
 
 /* The newest poll at id that wasn't answered; fails when there is none. */
@@ -303,8 +303,8 @@
 		.ended_in_full = true,
 	};
 
-	wwh_scheduler_polled(rig->scheduler, id, &answer, poll.sent_ms,
-			     rig->now_ms);
+	wwh_scheduler_handle_poll_answer(rig->scheduler, id, &answer,
+					 poll.sent_ms, rig->now_ms);
 	wwh_scheduler_check(rig->scheduler);
 	return poll;
 }
--- a/src/test_scheduler/test_backlog.c
+++ b/src/test_scheduler/test_backlog.c
@@ -93,7 +93,7 @@
 	wwh_job_t *job = rig_job(JOB_B, 1, SMALL_MILLICORES);
 	int64_t record;
 
-	wwh_scheduler_upstream_seen(rig->scheduler, &info, rig->now_ms);
+	wwh_scheduler_upstream_announced(rig->scheduler, &info, rig->now_ms);
 	rig_run(rig, 1);
 	rig_answer_poll(rig, "l1", NULL, 0, NULL, 0);
 	rig_run(rig, 1);
--- a/src/test_scheduler/test_final_reports.c
+++ b/src/test_scheduler/test_final_reports.c
@@ -24,14 +24,14 @@
  * upstream is gone, and the answer with the end a moment later. It had started
  * the task again by then: it ran a second time after it was done.
  */
-void an_end_that_is_read_after_its_hosts_counts(void **state)
+void an_end_read_after_the_host_list_counts(void **state)
 {
 	rig_t *rig = *state;
 	rig_order_t order = run_one_task(rig);
 	wwh_ended_t ended = rig_ended(&order, 1, WWH_END_DONE);
 
-	wwh_scheduler_upstream_gone(rig->scheduler, order.upstream, "upkeep",
-				    rig->now_ms);
+	wwh_scheduler_upstream_terminated(rig->scheduler, order.upstream,
+					  "upkeep", rig->now_ms);
 	rig_run(rig, 20);
 	assert_int_equal(rig->starts->len, 1);
 	rig_answer_poll(rig, order.upstream, NULL, 0, &ended, 1);
@@ -47,7 +47,7 @@
  * end of a task and goes; a list of hosts without it is read before that answer.
  * The task ran a second time.
  */
-void an_inherited_end_that_is_read_after_its_hosts_counts(void **state)
+void an_inherited_end_read_after_the_host_list_counts(void **state)
 {
 	rig_t *rig = *state;
 	rig_order_t order = run_one_task(rig);
@@ -60,7 +60,7 @@
 	rig_announce(rig, other, AT_2, false);
 	rig_answer_poll(rig, other, NULL, 0, NULL, 0);
 	g_hash_table_add(lives, (gpointer)other);
-	wwh_scheduler_incarnations_asked(rig->scheduler);
+	wwh_scheduler_incarnations_requested(rig->scheduler);
 	wwh_scheduler_incarnations_listed(rig->scheduler, lives, rig->now_ms);
 	g_hash_table_destroy(lives);
 	rig_run(rig, 20);
@@ -76,13 +76,13 @@
 }
 
 /* The connection may be silent for good, and the task waits meanwhile. */
-void an_upstream_that_ended_is_heard_for_a_moment_only(void **state)
+void a_final_report_is_awaited_for_a_limited_time(void **state)
 {
 	rig_t *rig = *state;
 	rig_order_t order = run_one_task(rig);
 
-	wwh_scheduler_upstream_gone(rig->scheduler, order.upstream, "upkeep",
-				    rig->now_ms);
+	wwh_scheduler_upstream_terminated(rig->scheduler, order.upstream,
+					  "upkeep", rig->now_ms);
 	rig_run(rig, 200);
 	assert_int_equal(rig->starts->len, 2);
 	assert_string_not_equal(rig_order(rig->starts, 1)->upstream,
@@ -95,7 +95,7 @@
  * is written: nothing tells of the end, nor of an upstream to ask. The task ran
  * again, 32 of them on one day.
  */
-void an_upstream_is_forgotten_after_its_ends_are_kept(void **state)
+void an_upstream_record_is_deleted_after_its_ends_are_written(void **state)
 {
 	rig_t *rig = *state;
 	rig_order_t order = run_one_task(rig);
@@ -103,8 +103,8 @@
 	const char *other = strcmp(order.upstream, "u1") == 0 ? "u2" : "u1";
 
 	rig_answer_poll(rig, order.upstream, NULL, 0, &ended, 1);
-	wwh_scheduler_upstream_gone(rig->scheduler, order.upstream, "upkeep",
-				    rig->now_ms);
+	wwh_scheduler_upstream_terminated(rig->scheduler, order.upstream,
+					  "upkeep", rig->now_ms);
 	rig_run(rig, 20);
 	rig_take_over(rig);
 	rig_run(rig, 20);
@@ -118,17 +118,17 @@
 			 WWH_PROGRESS_COMPLETED);
 }
 
-void an_upstream_that_ended_without_a_word_is_not_waited_for(void **state)
+void a_terminated_upstream_is_removed_when_its_poll_fails(void **state)
 {
 	rig_t *rig = *state;
 	rig_order_t order = run_one_task(rig);
 
-	wwh_scheduler_upstream_gone(rig->scheduler, order.upstream, "upkeep",
-				    rig->now_ms);
+	wwh_scheduler_upstream_terminated(rig->scheduler, order.upstream,
+					  "upkeep", rig->now_ms);
 	rig_run(rig, 1);
 	(void)rig_take_poll(rig, order.upstream);
-	wwh_scheduler_poll_failed(rig->scheduler, order.upstream, false,
-				  rig->now_ms);
+	wwh_scheduler_handle_poll_failure(rig->scheduler, order.upstream, false,
+					  rig->now_ms);
 	rig_run(rig, 1);
 	assert_int_equal(rig->starts->len, 2);
 }
@@ -139,7 +139,7 @@
  * for good isn't asked ever more often; once it has answered, it has its usual
  * time again.
  */
-void a_first_answer_that_is_lost_is_asked_for_again_soon(void **state)
+void a_lost_first_answer_is_polled_for_again_soon(void **state)
 {
 	rig_t *rig = *state;
 	rig_order_t order = run_one_task(rig);
@@ -154,8 +154,8 @@
 		if (i == 0)
 			assert_in_range(poll.limit_ms, 100, 200);
 		rig->now_ms += poll.limit_ms;
-		wwh_scheduler_poll_failed(rig->scheduler, order.upstream, false,
-					  rig->now_ms);
+		wwh_scheduler_handle_poll_failure(
+			rig->scheduler, order.upstream, false, rig->now_ms);
 		rig_run(rig, 20);
 	}
 	assert_in_range(waited_ms, 2000, 3000);
--- a/src/test_scheduler/test_idle.c
+++ b/src/test_scheduler/test_idle.c
@@ -38,8 +38,9 @@
 		if (rig->now_ms - poll.sent_ms < poll.wait_ms)
 			continue;
 		g_array_remove_index_fast(rig->polls, i);
-		wwh_scheduler_polled(rig->scheduler, poll.upstream, &answer,
-				     poll.sent_ms, rig->now_ms);
+		wwh_scheduler_handle_poll_answer(rig->scheduler, poll.upstream,
+						 &answer, poll.sent_ms,
+						 rig->now_ms);
 		count++;
 	}
 	return count;
@@ -63,7 +64,7 @@
  * Guards against a holder whose processor goes into polls at upstreams that run
  * nothing.
  */
-void many_idle_upstreams_share_a_rate_of_polls(void **state)
+void polls_of_many_idle_upstreams_are_rate_limited(void **state)
 {
 	rig_t *rig = *state;
 
@@ -73,7 +74,7 @@
 }
 
 /* Guards against an ended upstream that is noticed late where polls cost little. */
-void few_idle_upstreams_are_polled_all_the_time(void **state)
+void few_idle_upstreams_are_polled_continuously(void **state)
 {
 	rig_t *rig = *state;
 
--- a/src/test_scheduler/test_jobs.c
+++ b/src/test_scheduler/test_jobs.c
@@ -325,7 +325,7 @@
 	static const int64_t needs[] = { 8001, INT64_MAX / 2, INT64_MAX };
 	static const char *const ids[] = { JOB_A, JOB_B, "00000000000000cc" };
 	rig_t *rig = *state;
-	wwh_pool_figures_t figures;
+	wwh_pool_demand_t figures;
 
 	for (size_t i = 0; i < G_N_ELEMENTS(needs); i++) {
 		wwh_job_t *job = rig_job(ids[i], 8, needs[i]);
@@ -334,12 +334,12 @@
 		job->steps[0].lasting = i == 1;
 		rig_submit(rig, job);
 	}
-	figures = wwh_scheduler_pool_figures(rig->scheduler, RIG_POOL);
+	figures = wwh_scheduler_pool_demand(rig->scheduler, RIG_POOL);
 	assert_int_equal(rig->starts->len, 0);
-	assert_int_equal(figures.work_left, 0);
-	assert_int_equal(figures.usable_now, 0);
-	assert_int_equal(figures.arrived_work, 0);
-	assert_int_equal(figures.arrived_usable, 0);
+	assert_int_equal(figures.remaining_work, 0);
+	assert_int_equal(figures.usable_millicores, 0);
+	assert_int_equal(figures.recent_work, 0);
+	assert_int_equal(figures.recent_millicores, 0);
 	assert_int_equal(figures.lasting, 0);
 }
 
@@ -348,12 +348,12 @@
 {
 	rig_t *rig = *state;
 	wwh_job_t *job = rig_job(JOB_A, 10000, 1000);
-	wwh_pool_figures_t figures;
+	wwh_pool_demand_t figures;
 
 	job->steps[0].estimate_ms = INT64_MAX;
 	rig_submit(rig, job);
-	figures = wwh_scheduler_pool_figures(rig->scheduler, RIG_POOL);
-	assert_true(figures.work_left > 0);
-	assert_true(figures.work_left < INT64_MAX / 1000);
-	assert_true(figures.arrived_work > 0);
+	figures = wwh_scheduler_pool_demand(rig->scheduler, RIG_POOL);
+	assert_true(figures.remaining_work > 0);
+	assert_true(figures.remaining_work < INT64_MAX / 1000);
+	assert_true(figures.recent_work > 0);
 }
--- a/src/test_scheduler/test_scheduler.c
+++ b/src/test_scheduler/test_scheduler.c
@@ -64,8 +64,8 @@
 			continue;
 		}
 		g_array_remove_index(rig->polls, 0);
-		wwh_scheduler_poll_failed(rig->scheduler, silent, false,
-					  rig->now_ms);
+		wwh_scheduler_handle_poll_failure(rig->scheduler, silent, false,
+						  rig->now_ms);
 	}
 }
 
