--- a/src/libwaxwinghollow/include/private/scheduler_policy.h
+++ b/src/libwaxwinghollow/include/private/scheduler_policy.h
@@ -3,25 +3,26 @@
 
 /*
  * NAME
- *	scheduler_policy - which task goes first and where, as arithmetic
+ *	scheduler_policy - order and placement of tasks, as pure functions
  *
  * USE
- *	Pure functions of figures; the scheduler and the placement of the
- *	product's own interface fill the figures in. Lower results go first.
+ *	The functions depend on their input alone. The scheduler and the
+ *	placement of the product's own interface fill the input in. Of two
+ *	results the lower one goes first.
  *
  * LOAD
- *	Queues ask for several times their mean for some seconds, more than
- *	their pool holds, and for next to nothing in between. At the peak most
- *	waiting jobs can't all be in time.
+ *	A queue requests several times its mean load for some seconds, more
+ *	than its pool can hold, and almost nothing in between. At such a peak
+ *	not all waiting jobs can meet their objective.
  */
 
 #include <stdbool.h>
 #include <stdint.h>
 
 /*
- * For work that nobody has given an objective. Work past its objective ranks
- * as late and gives way to newer work; with a bound that is ever reached, what
- * has waited longest would go last.
+ * The objective of work that was given none. Work past its objective ranks as
+ * late, after newer work. With a value that can be reached, the work that has
+ * waited longest would go last.
  */
 #define WWH_POLICY_NO_OBJECTIVE_MS (INT64_C(1) << 37) /* four years */
 
@@ -29,30 +30,33 @@
 	bool lasting;
 	int32_t priority; /* of its queue, 0 to 100; 0 goes first */
 	int64_t waited_ms; /* since it was due */
-	int64_t objective_ms; /* how long callers are content to wait */
-	int64_t remaining_ms; /* the longest chain of estimates left */
-} wwh_order_figures_t;
+	int64_t objective_ms; /* from due to the end, as callers expect */
+	int64_t remaining_ms; /* critical path of the remaining estimates */
+} wwh_policy_order_input_t;
 
 /*
- * Lasting tasks go first: they serve callers all the time, take a known and
- * small share of a pool, and each second away is lost to their users.
+ * Returns the key by which waiting tasks are sorted.
  *
- * Then jobs that can still be in time, by how soon they must end. Served in
- * order of arrival instead, a peak makes every job wait about as long, and
- * with more work than room nearly all end late; this way those that would
- * be late in any case give way to those that need not be.
+ * Lasting tasks go first: they serve callers all the time, use a known and
+ * small share of a pool, and each second of unavailability affects their users.
+ *
+ * Next come the jobs that can still meet their objective, by least slack. In
+ * order of arrival, all jobs of a peak would wait about equally long, and with
+ * more work than capacity nearly all would end late. By slack, jobs that are
+ * late in any case go after those that can still be in time.
  */
-int64_t wwh_policy_order(const wwh_order_figures_t *figures);
+int64_t wwh_policy_order_key(const wwh_policy_order_input_t *input);
 
-/* Whether a job that has waited so long is still of use to its caller. */
-bool wwh_policy_of_use(int64_t waited_ms, int64_t objective_ms);
+/* Whether the result of a job that has waited so long is still of use. */
+bool wwh_policy_is_useful(int64_t waited_ms, int64_t objective_ms);
 
 /*
- * The pace of fillers, in percent, where the slowest serving task beside them
- * is at tail_percent of its target. Over the target they stand still: what
- * is over for some seconds is harm done to its users. Near it they are
- * halved, well below it they are let go by steps, as what they do to a
- * serving task differs by image and shows only after a while.
+ * Returns the next pace of filler tasks in percent. tail_percent is the tail
+ * latency of the slowest serving task on the same host, in percent of its target.
+ * Near and above the target, fillers are paused, because some seconds above it
+ * already harm users. With growing distance below it, the pace is halved, kept
+ * and then raised in steps, because the effect of fillers on a serving task
+ * differs by image and shows only after a while.
  */
 int32_t wwh_policy_pace(int32_t pace, int32_t tail_percent);
 
@@ -60,28 +64,32 @@
 	int64_t free_millicores; /* before the task is placed */
 	int64_t need_millicores;
 	int64_t capacity_millicores;
-	bool data_elsewhere; /* the step's data is on another rack */
-	bool step_elsewhere; /* the step runs on another rack */
-	bool failed_here; /* this task's last run failed there */
-	int32_t fail_streak; /* failures in a row, of any task */
-	int32_t disturbed; /* tasks that it would disturb or that disturb it */
-	int32_t same_step; /* tasks of the step that are there */
-	int32_t lasting_here; /* lasting tasks of any step */
+	bool data_on_other_rack; /* the step's input data */
+	bool step_on_other_rack; /* other tasks of the step */
+	bool failed_on_host; /* its last failed or refused run was there */
+	int32_t fail_streak; /* consecutive failures of any tasks there */
+	int32_t interfering_tasks; /* there, fillers beside serving tasks */
+	int32_t same_step_on_host;
+	int32_t lasting_on_host; /* lasting tasks of any step */
 	bool lasting;
-	bool before_upkeep; /* a wave that runs has not been at the host */
-	int32_t group_in_zone; /* tasks of its group in the host's zone */
-} wwh_fit_figures_t;
+	bool wave_pending; /* the running wave has yet to reach the host */
+	int32_t group_tasks_in_zone; /* the task's group, the host's zone */
+} wwh_policy_fit_input_t;
 
 /*
- * Best fit: the fullest host that still has room, so that hosts become
- * empty and large tasks find one. Lasting tasks of one step are spread: the
- * loss of one host takes few of them away. Those of different steps share
- * hosts, so that the others can be moved without ending any of them.
+ * Returns the cost of placing the task on the host.
+ *
+ * Placement is best fit: the fullest host with enough free capacity is preferred,
+ * so that other hosts become empty and large tasks fit there. Lasting tasks of
+ * one step are spread, so that the loss of one host ends few of them. Lasting
+ * tasks of different steps share hosts, so that the other hosts can be moved
+ * without ending any of them.
  *
- * Hosts that a wave has been at go before all others: elsewhere a job moves
- * again when the wave comes. Then a group is spread over zones, before hosts
- * are filled: otherwise the loss of one zone takes all of it.
+ * Hosts that a wave has finished are preferred to all others: on the rest a job
+ * would move again when the wave reaches the host. Next, a group is spread over
+ * zones before hosts are filled, because otherwise the loss of one zone would
+ * end all of it.
  */
-int64_t wwh_policy_fit(const wwh_fit_figures_t *figures);
+int64_t wwh_policy_fit_cost(const wwh_policy_fit_input_t *input);
 
 #endif
--- a/src/libwaxwinghollow/scheduler_cordon.c
+++ b/src/libwaxwinghollow/scheduler_cordon.c
@@ -322,8 +322,8 @@
 			   wwh_pool_figures_t *figures)
 {
 	const sched_job_t *job = occurrence->job;
-	bool of_use = wwh_policy_of_use(scheduler->now_ms - occurrence->due_ms,
-					job->objective_ms);
+	bool of_use = wwh_policy_is_useful(
+		scheduler->now_ms - occurrence->due_ms, job->objective_ms);
 	int64_t most = figures->host_millicores > 0 ? figures->host_millicores
 						    : MOST_MILLICORES;
 
--- a/src/libwaxwinghollow/scheduler_place.c
+++ b/src/libwaxwinghollow/scheduler_place.c
@@ -198,7 +198,7 @@
 			       GArray *candidates)
 {
 	const wwh_job_t *spec = occurrence->job->spec;
-	wwh_order_figures_t figures = {
+	wwh_policy_order_input_t figures = {
 		.priority = spec->queue.priority,
 		.waited_ms = scheduler->now_ms - occurrence->due_ms,
 		.objective_ms = occurrence->job->objective_ms,
@@ -217,7 +217,7 @@
 		    !sched_step_is_ready(step))
 			continue;
 		figures.lasting = step->spec->lasting;
-		candidate.order = wwh_policy_order(&figures);
+		candidate.order = wwh_policy_order_key(&figures);
 		g_array_append_val(candidates, candidate);
 	}
 }
@@ -444,30 +444,31 @@
 	const sched_step_t *step = task->step;
 	const wwh_job_step_t *spec = step->spec;
 	const char *rack = upstream->info.rack;
-	wwh_fit_figures_t figures = {
+	wwh_policy_fit_input_t figures = {
 		.free_millicores = room_of(upstream).cpu_millicores,
 		.need_millicores = sched_step_taken(spec).cpu_millicores,
 		.capacity_millicores = upstream->info.size.cpu_millicores,
-		.failed_here = task->avoid == upstream,
+		.failed_on_host = task->avoid == upstream,
 		.fail_streak = upstream->fail_streak,
 		.lasting = spec->lasting,
 	};
 
 	if (spec->data_rack != NULL)
-		figures.data_elsewhere = g_strcmp0(rack, spec->data_rack) != 0;
+		figures.data_on_other_rack =
+			g_strcmp0(rack, spec->data_rack) != 0;
 	for (int32_t i = 0; spec->same_rack && i < spec->task_count; i++) {
 		const sched_upstream_t *other = step->tasks[i].upstream;
 
 		if (other != NULL)
-			figures.step_elsewhere =
+			figures.step_on_other_rack =
 				g_strcmp0(rack, other->info.rack) != 0;
 	}
 	if (spec->lasting) {
-		figures.same_step = tasks_of_step(upstream, step);
-		figures.lasting_here = lasting_on(upstream);
+		figures.same_step_on_host = tasks_of_step(upstream, step);
+		figures.lasting_on_host = lasting_on(upstream);
 	}
-	figures.disturbed = disturbed_by(upstream, spec);
-	return wwh_policy_fit(&figures);
+	figures.interfering_tasks = disturbed_by(upstream, spec);
+	return wwh_policy_fit_cost(&figures);
 }
 
 static int32_t tasks_of_step(const sched_upstream_t *upstream,
--- a/src/libwaxwinghollow/scheduler_policy.c
+++ b/src/libwaxwinghollow/scheduler_policy.c
@@ -2,32 +2,37 @@
 
 #include <glib.h>
 
-/* Ranks don't mix: no waiting time lifts a job into the rank above. */
+/* The steps are so large that no waiting time lifts a job into a higher rank. */
 #define RANK_STEP (INT64_C(1) << 48)
 #define PRIORITY_STEP (INT64_C(1) << 40)
 
 /*
- * Callers take an answer up to this many times as late as they are content
- * with; after that it is of no use to most of them.
+ * A result is still useful up to this many times the objective; after that it is
+ * of no use to most callers.
  */
 #define LATE_FACTOR 3
 
-/* Weights of wwh_policy_fit, in thousandths of a host's processor. */
+/* Weights of wwh_policy_fit_cost, in thousandths of a host's processor. */
 #define FIT_SCALE 1000
-#define DATA_ELSEWHERE 1500 /* takes up to twice as long: two hosts' worth */
-#define STEP_ELSEWHERE 1500
-#define FAILED_HERE 4000 /* any other host goes before it */
-#define FAILURE_IN_A_ROW 300
-#define DISTURBED 2500
+/* With data on another rack, a step takes up to twice as long, like two hosts. */
+#define DATA_ON_OTHER_RACK 1500
+#define STEP_ON_OTHER_RACK 1500
+#define FAILED_ON_HOST 4000 /* any other host is preferred */
+#define CONSECUTIVE_FAILURE 300
+#define INTERFERING_TASK 2500
 #define SAME_STEP_LASTING 2000
-#define FIRST_LASTING 1000
-#define GROUP_IN_ZONE (2 * FIT_SCALE) /* more than any two hosts differ by */
-#define BEFORE_UPKEEP (INT64_C(1) << 40) /* more than all the others */
+#define FIRST_LASTING_TASK 1000
+#define GROUP_TASK_IN_ZONE                                                     \
+	(2 * FIT_SCALE) /* more than the costs of any two hosts differ */
+#define WAVE_PENDING (INT64_C(1) << 40) /* more than all other costs together */
 
-/* Of a serving task's target: fillers stand still, are halved, are kept. */
+/*
+ * Tail latency of a serving task, in percent of its target, from which fillers
+ * are paused, their pace is halved, or it is kept. Below, it rises by PACE_STEP.
+ */
 #define PACE_STOP_PERCENT 97
 #define PACE_SLOW_PERCENT 85
-#define PACE_HOLD_PERCENT 70
+#define PACE_KEEP_PERCENT 70
 #define PACE_STEP 25
 
 typedef enum {
@@ -37,19 +42,19 @@
 	RANK_TOO_LATE,
 } rank_t;
 
-static rank_t rank_of(const wwh_order_figures_t *figures);
+static rank_t rank_of(const wwh_policy_order_input_t *input);
 
-int64_t wwh_policy_order(const wwh_order_figures_t *figures)
+int64_t wwh_policy_order_key(const wwh_policy_order_input_t *input)
 {
-	int64_t slack_ms = figures->objective_ms - figures->waited_ms -
-			   figures->remaining_ms;
+	int64_t slack_ms =
+		input->objective_ms - input->waited_ms - input->remaining_ms;
 
-	return (int64_t)rank_of(figures) * RANK_STEP +
-	       (int64_t)CLAMP(figures->priority, 0, 100) * PRIORITY_STEP +
+	return (int64_t)rank_of(input) * RANK_STEP +
+	       (int64_t)CLAMP(input->priority, 0, 100) * PRIORITY_STEP +
 	       CLAMP(slack_ms, -PRIORITY_STEP / 4, PRIORITY_STEP / 4);
 }
 
-bool wwh_policy_of_use(int64_t waited_ms, int64_t objective_ms)
+bool wwh_policy_is_useful(int64_t waited_ms, int64_t objective_ms)
 {
 	return waited_ms <= LATE_FACTOR * objective_ms;
 }
@@ -60,43 +65,43 @@
 		return 0;
 	if (tail_percent >= PACE_SLOW_PERCENT)
 		return pace / 2;
-	if (tail_percent >= PACE_HOLD_PERCENT)
+	if (tail_percent >= PACE_KEEP_PERCENT)
 		return pace;
 	return MIN(pace + PACE_STEP, 100);
 }
 
-int64_t wwh_policy_fit(const wwh_fit_figures_t *figures)
+int64_t wwh_policy_fit_cost(const wwh_policy_fit_input_t *input)
 {
-	int64_t left = figures->free_millicores - figures->need_millicores;
-	int64_t cost = left * FIT_SCALE / MAX(figures->capacity_millicores, 1);
+	int64_t left = input->free_millicores - input->need_millicores;
+	int64_t cost = left * FIT_SCALE / MAX(input->capacity_millicores, 1);
 
-	if (figures->lasting)
-		cost += SAME_STEP_LASTING * (int64_t)figures->same_step;
-	if (figures->lasting && figures->lasting_here == 0)
-		cost += FIRST_LASTING;
-	if (figures->data_elsewhere)
-		cost += DATA_ELSEWHERE;
-	if (figures->step_elsewhere)
-		cost += STEP_ELSEWHERE;
-	if (figures->failed_here)
-		cost += FAILED_HERE;
-	cost += (int64_t)figures->fail_streak * FAILURE_IN_A_ROW;
-	cost += (int64_t)figures->disturbed * DISTURBED;
-	cost += (int64_t)figures->group_in_zone * GROUP_IN_ZONE;
-	if (figures->before_upkeep)
-		cost += BEFORE_UPKEEP;
+	if (input->lasting)
+		cost += SAME_STEP_LASTING * (int64_t)input->same_step_on_host;
+	if (input->lasting && input->lasting_on_host == 0)
+		cost += FIRST_LASTING_TASK;
+	if (input->data_on_other_rack)
+		cost += DATA_ON_OTHER_RACK;
+	if (input->step_on_other_rack)
+		cost += STEP_ON_OTHER_RACK;
+	if (input->failed_on_host)
+		cost += FAILED_ON_HOST;
+	cost += (int64_t)input->fail_streak * CONSECUTIVE_FAILURE;
+	cost += (int64_t)input->interfering_tasks * INTERFERING_TASK;
+	cost += (int64_t)input->group_tasks_in_zone * GROUP_TASK_IN_ZONE;
+	if (input->wave_pending)
+		cost += WAVE_PENDING;
 	return cost;
 }
 
-static rank_t rank_of(const wwh_order_figures_t *figures)
+static rank_t rank_of(const wwh_policy_order_input_t *input)
 {
-	int64_t end_ms = figures->waited_ms + figures->remaining_ms;
+	int64_t end_ms = input->waited_ms + input->remaining_ms;
 
-	if (figures->lasting)
+	if (input->lasting)
 		return RANK_LASTING;
-	if (end_ms <= figures->objective_ms)
+	if (end_ms <= input->objective_ms)
 		return RANK_IN_TIME;
-	if (end_ms <= LATE_FACTOR * figures->objective_ms)
+	if (end_ms <= LATE_FACTOR * input->objective_ms)
 		return RANK_LATE;
 	return RANK_TOO_LATE;
 }
