--- a/include/waxwinghollow/scheduler.h
+++ b/include/waxwinghollow/scheduler.h
@@ -6,31 +6,33 @@
  *	scheduler - runs the jobs of a shard's pools on their upstreams
  *
  * USE
- *	Events and a clock go in, orders come out of callbacks; nothing here
- *	reads a clock, opens a connection or starts a thread. One process
- *	holds a shard at a time. It gets there by a claim on the store (see
- *	shard_claim.h), and its token fences the holder before it at every
- *	upstream.
+ *	The scheduler takes events and the current time as input and gives its
+ *	orders through callbacks. It reads no clock, opens no connection and
+ *	starts no thread. One process holds a shard at a time. It becomes the
+ *	holder by a claim on the store (see shard_claim.h), and its token
+ *	fences the previous holder at every upstream.
  *
- *	What must last are the records that go out through keep: one for each
- *	accepted job, one for what came of it, one for each upstream that may
- *	run something. A record counts once wwh_scheduler_set_durable has
- *	reached its number. Where tasks run is not kept: the upstreams know,
- *	and a new holder asks each of them.
+ *	The durable state is the records that are passed to write_record: one
+ *	for each accepted job, one for the progress of each job and one for
+ *	each upstream that may run a task. A record counts as durable once
+ *	wwh_scheduler_set_durable has reached its number. Which task runs where
+ *	is not recorded: a new holder polls each upstream for it.
  *
- *	A task runs once at a time because it is started again only when its
- *	last run is known to be over: the upstream listed its end, listed what
- *	runs without it after answering the start, confirmed a stop (which
- *	also refuses a start that arrives later), is gone, or its lease has
- *	surely lapsed.
+ *	A task never runs twice at the same time, because it is started again
+ *	only when its last run is known to have ended: the upstream reported
+ *	the end; or, after it answered the start, listed its running tasks
+ *	without this one; or confirmed a stop, after which it refuses a start
+ *	that arrives late; or has terminated; or its lease has certainly
+ *	lapsed.
  *
  * TIMES
- *	now_ms is a steady clock that goes on while the host is suspended.
- *	wall_ms is the time of day. remote_ms is an upstream's own clock.
+ *	now_ms is a monotonic clock that also advances while the host is
+ *	suspended. wall_ms is the time of day. remote_ms is the clock of an
+ *	upstream.
  *
  * ORDER OF CALLS
- *	wwh_scheduler_new; wwh_scheduler_restore for each kept record and
- *	wwh_scheduler_restored once; then events in any order and
+ *	wwh_scheduler_new; wwh_scheduler_restore for each stored record and
+ *	wwh_scheduler_finish_restore once; then events in any order and
  *	wwh_scheduler_run after each group of events; wwh_scheduler_delete.
  */
 
@@ -42,64 +44,64 @@
 #include "waxwinghollow/pool_sizing.h"
 #include "waxwinghollow/status.h"
 
-/* An upstream as it announces itself. */
+/* The announcement of an upstream. */
 typedef struct {
-	char *id; /* of one incarnation; a restart has another */
-	char *endpoint; /* IP number and port */
+	char *id; /* of this incarnation; it changes with each restart */
+	char *endpoint; /* IP address and port */
 	char *pool;
 	char *zone;
 	char *rack; /* NULL: unknown */
-	char **labels; /* NULL-ended */
+	char **labels; /* NULL-terminated */
 	wwh_load_t size;
-	bool leaving; /* gets no new work */
-	int64_t sequence; /* rises with each announcement */
+	bool leaving; /* receives no new tasks */
+	int64_t sequence; /* increases with each announcement */
 } wwh_upstream_info_t;
 
 void wwh_upstream_info_clear(wwh_upstream_info_t *info);
 void wwh_upstream_info_copy(wwh_upstream_info_t *to,
 			    const wwh_upstream_info_t *from);
 
-/* ID.OCCURRENCE.STEP.INDEX; a name on the wire and in logs. */
+/* A task's name on the wire and in logs: ID.OCCURRENCE.STEP.INDEX */
 #define WWH_TASK_NAME_BYTES 64
 
 typedef enum {
 	WWH_END_DONE = 0,
 	WWH_END_FAILED,
-	WWH_END_STOPPED, /* as ordered */
+	WWH_END_STOPPED, /* by a stop order */
 	WWH_END_LAPSED, /* its lease was not extended */
 	WWH_END_BROKEN, /* another member of its gang ended */
-	WWH_END_ALONE, /* the rest of its gang did not come */
+	WWH_END_ALONE, /* the other members of its gang did not start */
 	WWH_END_KIND_COUNT
 } wwh_end_kind_t;
 
 /* Names of wwh_end_kind_t, in the same order. */
 extern const char *const wwh_end_kind_names[WWH_END_KIND_COUNT];
 
-/* A row of what an upstream says is running. */
+/* A running task, as an upstream lists it in its answer to a poll. */
 typedef struct {
 	char task[WWH_TASK_NAME_BYTES];
 	int64_t run;
 	const char *checkpoint; /* "": none */
-	int32_t percent; /* of its work; of a lasting task: 100 at work */
-	int64_t tail_ms; /* of a task that serves, else 0 */
-} wwh_running_t;
+	int32_t percent; /* work done; a lasting task: 100 while available */
+	int64_t tail_ms; /* tail latency of a serving task; 0: doesn't serve */
+} wwh_running_task_t;
 
-/* A row of what ended; numbers rise by one in each incarnation of an upstream. */
+/* The end of a run, as an upstream lists it in its answer to a poll. */
 typedef struct {
-	int64_t number;
+	int64_t number; /* counts the ends of one incarnation */
 	char task[WWH_TASK_NAME_BYTES];
 	int64_t run;
 	wwh_end_kind_t kind;
 	const char *checkpoint;
-} wwh_ended_t;
+} wwh_ended_task_t;
 
 typedef struct {
 	int64_t remote_ms;
-	const wwh_running_t *running;
+	const wwh_running_task_t *running;
 	int32_t running_count;
-	const wwh_ended_t *ended;
+	const wwh_ended_task_t *ended;
 	int32_t ended_count;
-	bool ended_in_full; /* false: more ends are waiting to be listed */
+	bool ended_complete; /* false: the list of ends was truncated */
 } wwh_poll_answer_t;
 
 typedef struct {
@@ -109,7 +111,7 @@
 	int64_t run;
 	const char *payload;
 	const char *checkpoint;
-	const char *ticket; /* NULL: the queue asks for none */
+	const char *ticket; /* NULL: the queue requires none */
 	int64_t lease_until_remote_ms;
 } wwh_start_order_t;
 
@@ -125,8 +127,8 @@
 	const char *endpoint;
 	int64_t lease_until_remote_ms; /* 0: its clock isn't known yet */
 	int64_t ends_acked_upto;
-	int64_t wait_ms; /* it answers earlier when something ends */
-	int64_t limit_ms; /* beyond that; then it counts as unanswered */
+	int64_t wait_ms; /* the answer comes earlier when a run ends */
+	int64_t limit_ms; /* time after wait_ms until the poll has failed */
 } wwh_poll_order_t;
 
 typedef struct {
@@ -139,22 +141,22 @@
 
 typedef struct {
 	char step[WWH_TASK_NAME_BYTES]; /* ID.OCCURRENCE.STEP */
-	const char **upstreams; /* ids */
+	const char **upstreams; /* their ids */
 	int32_t upstream_count;
 } wwh_advice_order_t;
 
-/* What came of a start, a stop or a pace order. */
+/* The result of a start, a stop or a pace order. */
 typedef enum {
 	WWH_ORDER_DONE = 0,
-	WWH_ORDER_NOT_DONE, /* surely without effect, may be tried again */
-	WWH_ORDER_NO_ROOM, /* as the next ones: refused, nothing runs */
+	WWH_ORDER_NOT_DONE, /* certainly not carried out; may be retried */
+	WWH_ORDER_NO_ROOM, /* from here to BAD: refused, nothing was started */
 	WWH_ORDER_OLD_RUN,
-	WWH_ORDER_LATE, /* the lease in it was over on arrival */
+	WWH_ORDER_LATE, /* its lease had expired on arrival */
 	WWH_ORDER_NO_TICKET,
 	WWH_ORDER_BAD,
 	WWH_ORDER_FENCED, /* another holder has a higher token */
-	WWH_ORDER_OTHER_LIFE, /* the upstream has restarted */
-	WWH_ORDER_UNKNOWN, /* may be carried out, also seconds later */
+	WWH_ORDER_OTHER_INCARNATION, /* the upstream has restarted */
+	WWH_ORDER_UNKNOWN, /* may take effect, even seconds later */
 	WWH_ORDER_RESULT_COUNT
 } wwh_order_result_t;
 
@@ -162,47 +164,53 @@
 extern const char *const wwh_order_result_names[WWH_ORDER_RESULT_COUNT];
 
 /*
- * How long a holder that was overtaken may go on giving orders: until its next
- * poll at an upstream that the new holder has reached is refused. A poll waits
- * for at most 1 s, the next one follows within 0.25 s, and 0.15 s are for the
- * way.
+ * How long an overtaken holder may continue to give orders: until an upstream
+ * that the new holder has reached refuses its next poll. A poll waits for at
+ * most 1 s, the next one follows within 0.25 s, and 0.15 s are allowed for
+ * transmission.
  */
 #define WWH_OVERTAKEN_HOLDER_MS 1400
 
 typedef enum {
-	WWH_KEEP_JOB = 0, /* an accepted job, by its id */
-	WWH_KEEP_PROGRESS, /* what came of a job, by its id */
-	WWH_KEEP_UPSTREAM, /* may run something, by its id */
-	WWH_KEEP_WAVE, /* hosts of a wave that are done, by its number */
-	WWH_KEEP_KIND_COUNT
-} wwh_keep_kind_t;
+	WWH_SCHEDULER_RECORD_JOB = 0, /* an accepted job; key: its id */
+	WWH_SCHEDULER_RECORD_PROGRESS, /* key: the job's id */
+	WWH_SCHEDULER_RECORD_UPSTREAM, /* may run tasks; key: its id */
+	WWH_SCHEDULER_RECORD_WAVE, /* its finished hosts; key: its number */
+	WWH_SCHEDULER_RECORD_KIND_COUNT
+} wwh_scheduler_record_kind_t;
 
-/* Names of wwh_keep_kind_t, in the same order; single letters on the store. */
-extern const char *const wwh_keep_kind_names[WWH_KEEP_KIND_COUNT];
+/*
+ * Names of wwh_scheduler_record_kind_t, in the same order: the letter that begins
+ * a record's key on the store.
+ */
+extern const char
+	*const wwh_scheduler_record_kind_names[WWH_SCHEDULER_RECORD_KIND_COUNT];
 
-/* Where orders and records go. All return at once. */
+/* Callbacks for orders, records and decisions. None of them may block. */
 typedef struct {
 	void (*start)(const wwh_start_order_t *order, void *client_data);
 	void (*stop)(const wwh_stop_order_t *order, void *client_data);
 	void (*poll)(const wwh_poll_order_t *order, void *client_data);
 	void (*pace)(const wwh_pace_order_t *order, void *client_data);
 	void (*advise)(const wwh_advice_order_t *order, void *client_data);
-	/* value NULL drops the record. Returns the record's number. */
-	int64_t (*keep)(wwh_keep_kind_t kind, const char *key, GBytes *value,
-			void *client_data);
-	/* One decision: what, about whom, and why. */
+	/* A value of NULL deletes the record. Returns the record's number. */
+	int64_t (*write_record)(wwh_scheduler_record_kind_t kind,
+				const char *key, GBytes *value,
+				void *client_data);
+	/* Reports one decision: the event, its subject and the reason. */
 	void (*explain)(const char *event, const char *subject,
 			const char *detail, void *client_data);
 	void *client_data;
-} wwh_scheduler_calls_t;
+} wwh_scheduler_callbacks_t;
 
 typedef struct {
 	int64_t lease_max_ms; /* upstreams shorten longer leases to this */
-	int64_t lease_ms; /* what is asked for */
-	int64_t stop_limit_ms; /* a stop takes at most this */
-	int64_t forget_ms; /* ended jobs are answered for at least this long */
-	int64_t unavailable_after_ms; /* a lasting task away for this long */
-	int64_t holder_count; /* holders of this shard so far, this one too */
+	int64_t lease_ms; /* requested of upstreams */
+	int64_t stop_limit_ms; /* a stop takes no longer than this */
+	int64_t ended_job_retention_ms; /* the state stays available as long */
+	/* from an upstream's last answer until its lasting tasks are unavailable */
+	int64_t unavailable_after_ms;
+	int64_t holder_count; /* holders of this shard so far, with this one */
 } wwh_scheduler_options_t;
 
 wwh_scheduler_options_t wwh_scheduler_options_defaults(void);
@@ -210,29 +218,30 @@
 typedef struct wwh_scheduler wwh_scheduler_t;
 
 wwh_scheduler_t *wwh_scheduler_new(const wwh_scheduler_options_t *options,
-				   const wwh_scheduler_calls_t *calls);
+				   const wwh_scheduler_callbacks_t *callbacks);
 void wwh_scheduler_delete(wwh_scheduler_t *scheduler);
 
 /*
- * Jobs before progress. False: the record can't be read. What it said is lost,
- * and nothing is started or ended for it: of a job, or its progress, until its
- * caller cancels it (see wwh_scheduler_job_lost); of an upstream, until it has
- * announced itself and answered, or its lease is surely over.
+ * Restores one record. Records of jobs come before those of progress. Returns
+ * false if the record can't be read. Nothing is then started or ended on the
+ * strength of it: for a job or its progress, until the caller cancels the job
+ * (see wwh_scheduler_job_lost); for an upstream, until it has been announced
+ * and has answered a poll, or its lease has certainly lapsed.
  */
-bool wwh_scheduler_restore(wwh_scheduler_t *scheduler, wwh_keep_kind_t kind,
-			   const char *key, const uint8_t *value, size_t size,
-			   int64_t now_ms, int64_t wall_ms,
-			   wwh_message_t *message);
-void wwh_scheduler_restored(wwh_scheduler_t *scheduler, int64_t now_ms,
-			    int64_t wall_ms);
-
-/* A pool whose hosts are off and run nothing. */
+bool wwh_scheduler_restore(wwh_scheduler_t *scheduler,
+			   wwh_scheduler_record_kind_t kind, const char *key,
+			   const uint8_t *value, size_t size, int64_t now_ms,
+			   int64_t wall_ms, wwh_message_t *message);
+void wwh_scheduler_finish_restore(wwh_scheduler_t *scheduler, int64_t now_ms,
+				  int64_t wall_ms);
+
+/* Marks a pool as standby: its hosts are off and no task is started there. */
 void wwh_scheduler_set_standby(wwh_scheduler_t *scheduler, const char *pool,
 			       bool standby);
 
 /*
- * What a workspace may have at work over all pools; 0 in a part: no limit. Tasks
- * that run beyond a lowered limit run on.
+ * Limits the load of a workspace's running tasks, over all pools. A field of 0
+ * sets no limit. Tasks that exceed a lowered limit are not stopped.
  */
 void wwh_scheduler_clear_limits(wwh_scheduler_t *scheduler);
 void wwh_scheduler_limit_workspace(wwh_scheduler_t *scheduler,
@@ -240,57 +249,64 @@
 				   const wwh_load_t *limit);
 
 /*
- * While held, no task is started: what is known of the upstreams is too old. All
- * else goes on.
+ * While starts are held, no task is started, because the state of the upstreams
+ * is too old. All other work continues.
  */
 void wwh_scheduler_hold_starts(wwh_scheduler_t *scheduler, bool held);
 
 /*
- * Tasks that a new job of pool comes after, while the last pass left some to the
- * next one: they wait for the holder. 0: they wait for room, if at all.
+ * Estimates how many tasks are started before those of a new job of pool. They
+ * wait because the last pass deferred starts to the next one. Returns 0 if it
+ * deferred none in this pool: its tasks, if any, wait for free resources.
  */
 int32_t wwh_scheduler_backlog(const wwh_scheduler_t *scheduler,
 			      const char *pool);
 
-int32_t wwh_scheduler_upstreams(const wwh_scheduler_t *scheduler);
+int32_t wwh_scheduler_upstream_count(const wwh_scheduler_t *scheduler);
 
 /*
- * After a change of holder: how long the upstreams that haven't answered yet will
- * take, by those that have; 0: all have, or nothing was inherited.
+ * Estimates, after a change of holder, how long the inherited upstreams that
+ * haven't answered yet will take, from the rate of those that have. Returns 0
+ * if all have answered or none was inherited.
  */
 int64_t wwh_scheduler_recovery_ms(const wwh_scheduler_t *scheduler,
 				  int64_t now_ms);
 
-/* The last pass left something to the next one, in any pool. */
+/* Whether the last pass deferred starts to the next one, in any pool. */
 bool wwh_scheduler_is_behind(const wwh_scheduler_t *scheduler);
 
 /*
- * How long a job may wait for its first start and still end as soon as its callers
- * are content with, by its estimates; -1: it has no such time, as its tasks last or
- * it comes at set times.
+ * How long a job may wait for its first start and still meet its objective, by
+ * its estimates. Returns -1 for jobs without such a time: those with lasting
+ * tasks and those that repeat on a schedule.
  */
 int64_t wwh_scheduler_slack_ms(const wwh_job_t *job);
 
 typedef enum {
-	WWH_SUBMIT_ACCEPTED = 0, /* answer once record is durable */
-	WWH_SUBMIT_KNOWN, /* the same id was accepted before; as above */
+	WWH_SUBMIT_ACCEPTED = 0,
+	WWH_SUBMIT_KNOWN, /* a job of the same id was accepted before */
 	WWH_SUBMIT_RESULT_COUNT
 } wwh_submit_result_t;
 
-/* Takes job over. *record is what has to be durable before the answer. */
+/*
+ * Accepts job and takes ownership of it. The caller may be answered once the
+ * record of number *record is durable.
+ */
 wwh_submit_result_t wwh_scheduler_submit(wwh_scheduler_t *scheduler,
 					 wwh_job_t *job, int64_t now_ms,
 					 int64_t *record);
 
 /*
- * Whether nothing hangs on a job but its acceptance, which isn't durable: it
- * hasn't started and nobody has cancelled it. wwh_scheduler_take_back forgets
- * such a job, whose record must not become durable then.
+ * Whether an accepted job can still be discarded: its acceptance isn't durable,
+ * it hasn't started and nobody has cancelled it. wwh_scheduler_discard_job
+ * removes such a job. The caller makes sure that its record never becomes
+ * durable.
  */
-bool wwh_scheduler_untouched(const wwh_scheduler_t *scheduler, const char *id);
-void wwh_scheduler_take_back(wwh_scheduler_t *scheduler, const char *id);
+bool wwh_scheduler_job_is_discardable(const wwh_scheduler_t *scheduler,
+				      const char *id);
+void wwh_scheduler_discard_job(wwh_scheduler_t *scheduler, const char *id);
 
-/* False: there is no such job. */
+/* Returns false if there is no such job. */
 bool wwh_scheduler_cancel(wwh_scheduler_t *scheduler, const char *id,
 			  int64_t now_ms, int64_t *record);
 
@@ -307,50 +323,58 @@
 /* Names of wwh_job_progress_t, in the same order. */
 extern const char *const wwh_job_progress_names[WWH_PROGRESS_COUNT];
 
-/* Ends are shown once they are durable, never before. */
+/* The end of a job is reported only once it is durable. */
 wwh_job_progress_t wwh_scheduler_job_state(wwh_scheduler_t *scheduler,
 					   const char *id);
 
-/* Whose key handed the job in; NULL: nobody's, or there is no such job. */
+/*
+ * The workspace whose API key submitted the job. Returns NULL if the job has
+ * none or doesn't exist.
+ */
 const char *wwh_scheduler_job_workspace(const wwh_scheduler_t *scheduler,
 					const char *id);
 
 /*
- * A record of the job can't be read: whether it has ended, or what is left of
- * it, isn't known. Cancelling it makes an end of it.
+ * Whether a record of the job can't be read. It isn't known then whether the job
+ * has ended or which of its tasks are left. Cancelling the job ends it.
  */
 bool wwh_scheduler_job_lost(const wwh_scheduler_t *scheduler, const char *id);
 
-/* Accepted jobs of a queue of which no task has started. */
+/* Counts the accepted jobs of a queue none of whose tasks has started. */
 int32_t wwh_scheduler_pending(wwh_scheduler_t *scheduler, const char *queue);
 
 void wwh_scheduler_upstream_seen(wwh_scheduler_t *scheduler,
 				 const wwh_upstream_info_t *info,
 				 int64_t now_ms);
 /*
- * It is announced, and what the announcement says can't be read: it gets no new
- * work until it is seen again, and what it runs goes on.
+ * The announcement of the upstream can't be read. It receives no new tasks until
+ * a readable announcement arrives. The tasks that it runs continue.
  */
 void wwh_scheduler_upstream_unreadable(wwh_scheduler_t *scheduler,
 				       const char *id, int64_t now_ms);
 void wwh_scheduler_upstream_left(wwh_scheduler_t *scheduler, const char *id,
 				 int64_t now_ms);
-/* It was seen, and what was read of it last could be read. */
+/* Whether the upstream is announced and its latest announcement is readable. */
 bool wwh_scheduler_upstream_listed(const wwh_scheduler_t *scheduler,
 				   const char *id);
 /*
- * Its incarnation has terminated for sure: nothing runs there any more. why lives as long as
- * the scheduler. What it has said before still counts if it is heard soon.
+ * The incarnation of the upstream has certainly terminated, and none of its tasks
+ * runs any more. why must stay valid as long as the scheduler. An answer to a
+ * poll that is still in flight counts if it arrives soon.
  */
 void wwh_scheduler_upstream_gone(wwh_scheduler_t *scheduler, const char *id,
 				 const char *why, int64_t now_ms);
 
-/* A list of hosts is asked for: it has to show each upstream that answers now. */
+/*
+ * A list of hosts is about to be requested. It is believed only if it has each
+ * upstream that is announced and has answered by now.
+ */
 void wwh_scheduler_incarnations_asked(wwh_scheduler_t *scheduler);
 /*
- * A whole list of what hosts run, asked for after the takeover: incarnations is a set
- * of ids. An upstream of the holder before that is in neither list is over, and
- * one that is announced when lists have shown no host of it for a while.
+ * A complete list of the incarnations that hosts run, requested after the
+ * takeover, as a set of ids. An inherited upstream that hasn't answered has
+ * terminated if it is neither in the set nor announced; if it is announced, once
+ * it has been missing from the lists for a while.
  */
 void wwh_scheduler_incarnations_listed(wwh_scheduler_t *scheduler,
 				       GHashTable *incarnations,
@@ -359,58 +383,62 @@
 void wwh_scheduler_polled(wwh_scheduler_t *scheduler, const char *upstream,
 			  const wwh_poll_answer_t *answer, int64_t sent_ms,
 			  int64_t now_ms);
-/* refused: nobody listens there, as against silence */
+/* refused: the connection was refused, rather than left without an answer */
 void wwh_scheduler_poll_failed(wwh_scheduler_t *scheduler, const char *upstream,
 			       bool refused, int64_t now_ms);
-/* Another incarnation answered the poll: that of this id has terminated. */
+/* Another incarnation answered the poll, so that of this id has terminated. */
 void wwh_scheduler_poll_found_other(wwh_scheduler_t *scheduler, const char *id,
 				    int64_t now_ms);
 
-void wwh_scheduler_start_ended(wwh_scheduler_t *scheduler, const char *upstream,
-			       const char *task, int64_t run,
-			       wwh_order_result_t result, int64_t now_ms);
-void wwh_scheduler_stop_ended(wwh_scheduler_t *scheduler, const char *upstream,
-			      const char *task, int64_t run,
-			      wwh_order_result_t result, int64_t now_ms);
-void wwh_scheduler_pace_ended(wwh_scheduler_t *scheduler, const char *upstream,
-			      const char *task, int64_t run,
-			      wwh_order_result_t result, int64_t now_ms);
+void wwh_scheduler_handle_start_result(wwh_scheduler_t *scheduler,
+				       const char *upstream, const char *task,
+				       int64_t run, wwh_order_result_t result,
+				       int64_t now_ms);
+void wwh_scheduler_handle_stop_result(wwh_scheduler_t *scheduler,
+				      const char *upstream, const char *task,
+				      int64_t run, wwh_order_result_t result,
+				      int64_t now_ms);
+void wwh_scheduler_handle_pace_result(wwh_scheduler_t *scheduler,
+				      const char *upstream, const char *task,
+				      int64_t run, wwh_order_result_t result,
+				      int64_t now_ms);
 
 typedef struct {
 	const char *upstream;
 	const char *ticket;
 } wwh_advice_ticket_t;
 
-/* count -1: no answer. */
-void wwh_scheduler_advised(wwh_scheduler_t *scheduler, const char *step,
-			   const wwh_advice_ticket_t *admitted, int32_t count,
-			   int64_t valid_ms, int64_t now_ms);
+/* A count of -1 means that the request for advice got no answer. */
+void wwh_scheduler_handle_advice(wwh_scheduler_t *scheduler, const char *step,
+				 const wwh_advice_ticket_t *admitted,
+				 int32_t count, int64_t valid_ms,
+				 int64_t now_ms);
 
 void wwh_scheduler_set_durable(wwh_scheduler_t *scheduler, int64_t record);
 
-/* Writes what changed; returns the number of the newest record. */
+/* Writes the records that changed. Returns the number of the newest record. */
 int64_t wwh_scheduler_flush(wwh_scheduler_t *scheduler, int64_t now_ms);
-bool wwh_scheduler_unflushed(const wwh_scheduler_t *scheduler);
+bool wwh_scheduler_has_unflushed(const wwh_scheduler_t *scheduler);
 
-/* Places tasks, repeats orders, lets leases lapse; gives orders. */
+/* Processes lapsed leases, resends stops, polls upstreams and starts tasks. */
 void wwh_scheduler_run(wwh_scheduler_t *scheduler, int64_t now_ms,
 		       int64_t wall_ms);
 
 /*
- * Upkeep and moves end everything on a host. wwh_scheduler_cordon asks to
- * empty an upstream and says whether it may be taken down now: nothing runs
- * there that must not be ended, and all ends heard of are durable.
- * wwh_scheduler_uncordon takes it back.
+ * Upkeep and moves end all tasks on a host. wwh_scheduler_cordon begins to empty
+ * an upstream and returns whether its host may be taken down now: it runs no
+ * task that must not be ended, and the ends received from it that change a
+ * job's progress are durable. wwh_scheduler_uncordon undoes the cordon.
  */
 bool wwh_scheduler_cordon(wwh_scheduler_t *scheduler, const char *upstream,
 			  bool urgent, int64_t now_ms);
 void wwh_scheduler_uncordon(wwh_scheduler_t *scheduler, const char *upstream);
 
-/* What a choice of hosts for upkeep or a move needs to know of one. */
+/* The state of an upstream by which hosts are chosen for upkeep and moves. */
 typedef struct {
 	bool known;
-	bool cordoned; /* empties itself for upkeep or a move */
-	bool leaving; /* by its own word */
+	bool cordoned; /* it is being emptied for upkeep or a move */
+	bool leaving; /* by its announcement */
 	int32_t tasks;
 	int32_t lasting;
 	int64_t busy_millicores;
@@ -420,7 +448,7 @@
 wwh_upstream_load_t wwh_scheduler_upstream_load(wwh_scheduler_t *scheduler,
 						const char *upstream);
 
-/* For wwh_pool_sizing_wanted. */
+/* Input of wwh_pool_sizing_wanted. */
 wwh_pool_figures_t wwh_scheduler_pool_figures(wwh_scheduler_t *scheduler,
 					      const char *pool);
 
@@ -428,18 +456,21 @@
 	int32_t jobs;
 	int32_t live_jobs;
 	int32_t upstreams;
-	int32_t unsettled; /* upstreams of holders before this one, not asked */
-	int32_t tasks_out; /* started and not known to be over */
+	int32_t unsettled; /* inherited upstreams that haven't answered */
+	int32_t tasks_outstanding; /* started and not known to have ended */
 	int32_t lost_jobs; /* see wwh_scheduler_job_lost */
 } wwh_scheduler_counts_t;
 
 wwh_scheduler_counts_t wwh_scheduler_counts(const wwh_scheduler_t *scheduler);
 
-/* One line for each pool, upstream and live job. */
+/* Writes one line for each upstream and each live job. */
 void wwh_scheduler_dump(wwh_scheduler_t *scheduler, GString *out,
 			int64_t now_ms);
 
-/* Aborts when an invariant is broken: one run of a task, room, order. */
+/*
+ * Aborts when an invariant is violated: task and step counts, the load and the
+ * tasks of each upstream, attempts, acknowledged ends.
+ */
 void wwh_scheduler_check(const wwh_scheduler_t *scheduler);
 
 #endif
--- a/src/bench/bench_scheduler.c
+++ b/src/bench/bench_scheduler.c
@@ -38,7 +38,7 @@
 static void answer_one(rig_t *rig, int32_t number)
 {
 	wwh_poll_answer_t answer = { .remote_ms = rig->now_ms + 5000,
-				     .ended_in_full = false };
+				     .ended_complete = false };
 	char id[16];
 
 	snprintf(id, sizeof(id), "u%d", number);
--- a/src/libwaxwinghollow/include/private/scheduler_state.h
+++ b/src/libwaxwinghollow/include/private/scheduler_state.h
@@ -2,7 +2,8 @@
 #define WAXWINGHOLLOW_PRIVATE_SCHEDULER_STATE_H
 
 /*
- * What the scheduler's modules share. Calls go down in this order, never up:
+ * State and functions shared by the scheduler's modules. A module calls only
+ * modules that come after it in this list:
  * scheduler, scheduler_cordon, scheduler_place, scheduler_advice,
  * scheduler_watch, scheduler_pace, scheduler_upstream, scheduler_backlog,
  * scheduler_record, scheduler_job, scheduler_task.
@@ -13,8 +14,8 @@
 #include "waxwinghollow/workspace_quota.h"
 
 /*
- * Upstreams' clocks may run this much slower than ours, in thousandths; what
- * DESIGN promises of them. A lease of theirs then lasts longer here.
+ * The clock of an upstream may run slower than ours by this many thousandths, the
+ * bound that DESIGN guarantees. Its lease then lasts longer by our clock.
  */
 #define CLOCK_SLOW_PERMILLE 20
 #define PERMILLE 1000
@@ -50,7 +51,7 @@
 	TASK_EVENT_COUNT
 } sched_task_event_t;
 
-/* Runs that ended as failed; each counts once. */
+/* The runs that failed, each listed once. */
 typedef struct {
 	int64_t *runs; /* NULL: none */
 	int32_t count;
@@ -60,25 +61,26 @@
 	sched_step_t *step;
 	int32_t index;
 	wwh_chart_machine_t machine;
-	int64_t run; /* the highest that was ordered or seen */
-	sched_upstream_t *upstream; /* while it is out */
-	sched_upstream_t *avoid; /* where it failed last; compared only */
+	int64_t run; /* the highest that was ordered or listed */
+	sched_upstream_t *upstream; /* set while a run is outstanding */
+	/* Where it failed last. It may be deleted by now: compare only. */
+	sched_upstream_t *avoided_upstream;
 	char *checkpoint; /* NULL: none */
 	sched_failures_t failures;
-	int64_t changed_ms; /* when it got into its state */
+	int64_t changed_ms; /* when its state changed last */
 	int64_t retry_ms; /* not placed before this */
 	int64_t stop_sent_ms; /* 0: no stop was ordered */
 	int64_t stop_confirmed_ms; /* 0: not confirmed */
 	bool order_in_flight;
-	bool inherited; /* may run at an upstream that wasn't asked yet */
+	bool inherited; /* may run at an upstream that hasn't answered yet */
 	int32_t percent; /* as listed last */
 	int64_t percent_ms; /* when percent changed last */
-	int64_t away_ms; /* lasting: not at work since; 0: at work */
-	int32_t fails_in_a_row; /* lasting: without being at work for long */
+	int64_t unavailable_since_ms; /* of a lasting task; 0: available */
+	int32_t consecutive_failures; /* lasting: 0 again once long available */
 	int64_t adopted_ms; /* 0: this holder started it */
 	int64_t tail_ms; /* as listed last */
-	int32_t pace; /* percent of its work that is ordered */
-	int32_t pace_wanted;
+	int32_t pace; /* in percent; confirmed by the upstream */
+	int32_t pace_wanted; /* as ordered last */
 	int64_t pace_sent_ms;
 } sched_task_t;
 
@@ -93,83 +95,87 @@
 	int32_t number;
 	sched_task_t *tasks;
 	int32_t done;
-	int32_t out;
+	int32_t outstanding;
 	int64_t gang_run;
 	sched_failures_t gang_failures;
 	GHashTable *tickets; /* upstream id to sched_ticket_t; NULL: none yet */
-	GHashTable *asked; /* upstream ids that advice was asked on */
+	GHashTable *advice_requested; /* set of upstream ids */
 	bool advice_in_flight;
-	int64_t advice_after_ms;
+	int64_t next_advice_ms;
 };
 
 struct sched_occurrence {
 	sched_job_t *job;
 	int64_t number;
 	int64_t due_wall_ms;
-	int64_t due_ms; /* the same on the steady clock */
+	int64_t due_ms; /* due_wall_ms on the monotonic clock */
 	sched_step_t *steps;
 	int32_t steps_done;
 };
 
 struct sched_job {
 	char id[WWH_JOB_ID_CHARS + 1];
-	wwh_job_t *spec; /* NULL once it has ended and nothing is out */
+	wwh_job_t *spec; /* NULL once ended with no run outstanding */
 	char *workspace; /* NULL: none */
 	sched_pool_t *pool;
-	wwh_job_progress_t state; /* QUEUED stands for all that is live */
+	wwh_job_progress_t state; /* WWH_PROGRESS_QUEUED: live, also started */
 	bool started;
-	bool dirty;
-	int64_t kept; /* record of its acceptance */
-	int64_t end_kept; /* record of its end */
+	bool dirty; /* its progress must be written */
+	int64_t record_number; /* of the record of its acceptance */
+	int64_t end_record_number; /* INT64_MAX: its end isn't written yet */
 	int64_t ended_ms;
 	int64_t accepted_ms;
-	int64_t chain_ms; /* the longest chain of estimates */
-	int64_t objective_ms; /* how long callers are content to wait */
-	GPtrArray *occurrences; /* that are due, owned; NULL once over */
-	int64_t next_occurrence; /* the first that isn't in occurrences */
+	int64_t critical_path_ms; /* of its estimates */
+	int64_t objective_ms; /* from due to the end, as callers expect */
+	GPtrArray *occurrences; /* those opened, owned; NULL with spec */
+	int64_t next_occurrence; /* the first that isn't opened */
 	int64_t occurrences_done;
-	int32_t out;
+	int32_t outstanding;
 };
 
 struct sched_upstream {
 	wwh_upstream_info_t info;
 	sched_pool_t *pool;
 	bool listed; /* it is announced */
-	bool unreadable; /* and what the announcement says can't be read */
-	bool settled; /* it answered this holder */
-	bool in_sight; /* both, when the last list of hosts was asked for */
-	bool inherited; /* a holder before may have started tasks on it */
-	bool cordoned; /* empties itself */
-	bool ending; /* may be taken down at any moment */
-	const char *gone_why; /* it has terminated, by this sign; NULL: not */
-	int64_t gone_ms;
-	bool kept_asked;
-	int64_t kept; /* record that names it; valid with kept_asked */
-	int64_t without_host_ms; /* lists show no host of it since; 0: one */
-	int64_t gone_without_answer_ms; /* inherited: surely lapsed then */
-	/* As its record says; no holder that finds it asks for more. */
-	int64_t kept_lease_ms;
-	/* What holders before this one may have asked for; 0: none. */
-	int64_t inherited_until_remote_ms;
+	bool unreadable; /* its latest announcement can't be read */
+	bool settled; /* it has answered this holder */
+	/* Announced and settled when the last list of hosts was requested. */
+	bool expected_in_host_list;
+	bool inherited; /* a previous holder may have started tasks on it */
+	bool cordoned; /* it is being emptied */
+	bool ending; /* its host may be taken down at any moment */
+	const char *termination_reason; /* NULL: it hasn't terminated */
+	int64_t terminated_ms;
+	bool record_written;
+	int64_t record_number; /* of its record; valid with record_written */
+	int64_t without_host_ms; /* missing from host lists since; 0: it isn't */
+	/* Inherited, without an answer: its lease has certainly lapsed then. */
+	int64_t inherited_lease_end_ms;
+	/* From its record. No holder requests a longer lease. */
+	int64_t recorded_lease_ms;
+	/* The longest that previous holders may have requested; 0: none. */
+	int64_t inherited_lease_until_remote_ms;
 	bool poll_in_flight;
 	int64_t next_poll_ms;
-	int64_t idle_gap_ms; /* from the last answer to the next poll; 0: usual */
-	int64_t answered_ms; /* the last answer to a poll */
-	int32_t failed_polls; /* since then */
-	int32_t refused_polls; /* in a row */
-	int64_t clock_base_ms; /* answered at, on the own clock ... */
-	int64_t clock_base_remote_ms; /* ... and on its clock; 0: unknown */
-	int64_t lease_until_remote_ms; /* the longest that was ever sent */
-	int64_t lapsed_ms; /* its lease is surely over then */
-	bool lapse_done;
+	int64_t idle_gap_ms; /* from an answer to the next poll; 0: usual */
+	int64_t answered_ms; /* its last answer to a poll */
+	int32_t failed_polls; /* since its last answer */
+	int32_t refused_polls; /* consecutive */
+	/* Its last answer by our clock, and its own clock then; 0: unknown. */
+	int64_t clock_base_ms;
+	int64_t clock_base_remote_ms;
+	int64_t lease_until_remote_ms; /* the latest that was ever sent */
+	int64_t lease_end_ms; /* it has certainly lapsed then; 0: no lease */
+	bool lease_end_handled;
+	/* Numbers of its ends: received, and the last that changes progress. */
 	int64_t ends_seen;
-	int64_t ends_needed; /* the last one that a job's progress hangs on */
-	int64_t ends_acked; /* durable */
-	int64_t ends_flushed;
+	int64_t last_progress_end;
+	int64_t ends_acked; /* durable here */
+	int64_t ends_flushed; /* covered by ends_flushed_record */
 	int64_t ends_flushed_record;
-	GPtrArray *tasks; /* sched_task_t that are out on it */
-	int32_t orphans; /* rows that no task here explains */
-	GHashTable *orphan_stops; /* task name to when a stop was sent */
+	GPtrArray *tasks; /* sched_task_t whose runs there are outstanding */
+	int32_t orphans; /* listed runs that match no outstanding task */
+	GHashTable *orphan_stops; /* task name to the time of the last stop */
 	wwh_load_t used;
 	int64_t next_pace_ms;
 	int32_t fail_streak;
@@ -177,9 +183,9 @@
 	int64_t backoff_until_ms;
 };
 
-/* A job of which a record can't be read. */
+/* A job with a record that can't be read. */
 typedef struct {
-	bool accepted; /* its own record is there, so it hasn't ended */
+	bool accepted; /* the record of its acceptance exists: not ended */
 	int64_t since_ms;
 } sched_lost_job_t;
 
@@ -187,48 +193,49 @@
 	char *name;
 	bool standby;
 	GPtrArray *upstreams; /* not owned */
-	int32_t unsettled; /* inherited upstreams that weren't asked yet */
-	int64_t taken_over_ms; /* with the inherited upstreams above */
-	int64_t longest_wait_ms; /* from then on, for the last of them */
-	bool dirty; /* something may be placed */
-	wwh_load_t
-		most_free; /* at least what the one with the most of it has */
+	int32_t unsettled; /* inherited upstreams that haven't answered */
+	int64_t taken_over_ms;
+	/* From taken_over_ms until the last inherited lease has lapsed. */
+	int64_t max_inherited_wait_ms;
+	bool dirty; /* a task may have become placeable */
+	/* Upper bounds of the free load, each field over all upstreams. */
+	wwh_load_t max_free;
 	int64_t next_try_ms;
-	bool cut_short; /* the last pass left something to the next one */
-	int32_t unstarted; /* tasks of its jobs, also of later steps */
+	bool has_deferred_starts; /* by the last pass, to the next one */
+	int32_t unstarted_tasks; /* of its jobs, also of steps not ready yet */
 };
 
 struct wwh_scheduler {
 	wwh_scheduler_options_t options;
-	wwh_scheduler_calls_t calls;
+	wwh_scheduler_callbacks_t callbacks;
 	wwh_chart_t *task_chart;
-	uint32_t out_tag;
+	uint32_t outstanding_tag;
 	GHashTable *jobs; /* id to sched_job_t, owned */
 	GHashTable *lost_jobs; /* id to sched_lost_job_t, owned */
-	GPtrArray *live; /* sched_job_t that haven't ended or are out */
-	GPtrArray *dirty; /* sched_job_t whose progress is to be kept */
+	GPtrArray *live; /* sched_job_t not ended or with runs outstanding */
+	GPtrArray *dirty; /* sched_job_t whose progress must be written */
 	GHashTable *pools; /* name to sched_pool_t, owned */
 	GHashTable *upstreams; /* id to sched_upstream_t, owned */
-	int64_t taken_over_ms; /* with the upstreams of the holder before */
-	int32_t inherited_upstreams; /* as many as there were then */
-	int32_t idle_upstreams; /* as counted last; polls at them are spaced by it */
+	int64_t taken_over_ms;
+	int32_t inherited_upstreams; /* their number at taken_over_ms */
+	int32_t idle_upstreams; /* as counted last; spaces the polls at them */
 	bool restored;
 	bool starts_held;
-	int32_t starts_left; /* of a pool's share in the pass in progress */
+	int32_t starts_left; /* of one pool, in the current pass */
 	wwh_workspace_quota_t *quota;
 	int64_t now_ms;
 	int64_t wall_ms;
-	bool ends_waiting; /* some end isn't covered by a flush yet */
+	bool has_unflushed_ends; /* a received end isn't flushed yet */
 	int64_t newest_record;
 	int64_t durable_record;
-	int64_t durable_ms; /* when it rose last */
-	int64_t next_forget_ms;
+	int64_t durable_ms; /* when durable_record last increased */
+	int64_t next_expiry_ms;
 };
 
-/* The pool of inherited upstreams whose pool isn't known. */
+/* The name of the pool that holds inherited upstreams of unknown pools. */
 #define SCHED_POOL_UNKNOWN ""
 
-/* scheduler_lost.c: records that can't be read */
+/* scheduler_lost.c: handles records that can't be read */
 void sched_job_lose(wwh_scheduler_t *scheduler, const char *id, bool accepted);
 void sched_job_found(wwh_scheduler_t *scheduler, const char *id);
 bool sched_task_is_lost(const wwh_scheduler_t *scheduler, const char *name);
@@ -242,39 +249,45 @@
 
 /* scheduler_task.c */
 sched_task_state_t sched_task_state(const sched_task_t *task);
-bool sched_task_is_out(const wwh_scheduler_t *scheduler,
-		       const sched_task_t *task);
+bool sched_task_is_outstanding(const wwh_scheduler_t *scheduler,
+			       const sched_task_t *task);
 void sched_task_name(const sched_task_t *task, char *name);
 bool sched_task_parse(const char *name, char *id, int64_t *occurrence,
 		      int32_t *step, int32_t *index);
-/* Puts a task that is to be started on upstream; the order goes out. */
+/* Assigns a waiting task to upstream and sends the start order. */
 void sched_task_start(wwh_scheduler_t *scheduler, sched_task_t *task,
 		      sched_upstream_t *upstream, int64_t run,
 		      const char *ticket);
-/* Takes up a task that runs at upstream though this holder didn't start it. */
+/* Adopts a task that a previous holder started at upstream. */
 void sched_task_adopt(wwh_scheduler_t *scheduler, sched_task_t *task,
 		      sched_upstream_t *upstream, int64_t run);
-/* A step of charts/task.json; leaving "out" frees its room. */
+/*
+ * Applies an event of charts/task.json. The task's load at the upstream is
+ * released when its state loses the tag "out".
+ */
 void sched_task_event(wwh_scheduler_t *scheduler, sched_task_t *task,
 		      sched_task_event_t event);
 void sched_task_order_stop(wwh_scheduler_t *scheduler, sched_task_t *task);
 void sched_task_set_checkpoint(sched_task_t *task, const char *checkpoint);
-/* The lease that is written into the records of upstreams. */
-int64_t sched_lease_asked_ms(const wwh_scheduler_t *scheduler);
-/* How long after a takeover the lease of a holder before may go on. */
-int64_t sched_lease_left_ms(int64_t lease_ms);
-/* Of the first answer of an inherited upstream. */
+/* The lease that this holder requests and writes into records of upstreams. */
+int64_t sched_lease_requested_ms(const wwh_scheduler_t *scheduler);
+/* How long after a takeover a lease from a previous holder may still last. */
+int64_t sched_lease_max_remaining_ms(int64_t lease_ms);
+/* Called at the first answer of an inherited upstream. */
 void sched_lease_inherit(sched_upstream_t *upstream, int64_t remote_ms);
-/* Until when upstream's lease may be asked for now, on its clock; 0: unknown */
-int64_t sched_lease_until(const wwh_scheduler_t *scheduler,
-			  sched_upstream_t *upstream);
-/* To be called when a newer reading of its clock has come. */
+/*
+ * Extends upstream's lease and returns its end by the upstream's clock; 0: that
+ * clock isn't known yet.
+ */
+int64_t sched_lease_extend(const wwh_scheduler_t *scheduler,
+			   sched_upstream_t *upstream);
+/* Called when a newer reading of upstream's clock has arrived. */
 void sched_lease_recompute(sched_upstream_t *upstream);
 void sched_explain(const wwh_scheduler_t *scheduler, const char *event,
 		   const char *subject, const char *format, ...)
 	__attribute__((format(printf, 4, 5)));
 
-/* scheduler_quota.c: whether the step's workspace may have count more tasks */
+/* scheduler_quota.c: whether the step's workspace may start count more tasks */
 bool sched_quota_allows(wwh_scheduler_t *scheduler, const sched_step_t *step,
 			int32_t count);
 
@@ -290,28 +303,28 @@
 sched_occurrence_t *sched_job_open_occurrence(wwh_scheduler_t *scheduler,
 					      sched_job_t *job);
 void sched_job_open_due(wwh_scheduler_t *scheduler, sched_job_t *job);
-void sched_job_touch(wwh_scheduler_t *scheduler, sched_job_t *job);
+void sched_job_mark_dirty(wwh_scheduler_t *scheduler, sched_job_t *job);
 void sched_job_end(wwh_scheduler_t *scheduler, sched_job_t *job,
 		   wwh_job_progress_t state);
 bool sched_step_is_ready(const sched_step_t *step);
-/* What a task of it takes away from others; fillers take no processor. */
-wwh_load_t sched_step_taken(const wwh_job_step_t *spec);
+/* The load that a task reserves on its host. Fillers reserve no processor. */
+wwh_load_t sched_step_reserved_load(const wwh_job_step_t *spec);
 void sched_step_task_done(wwh_scheduler_t *scheduler, sched_task_t *task);
-/* False: that run was counted before. */
+/* Returns false if that run was counted before. */
 bool sched_failures_add(sched_failures_t *failures, int64_t run);
 void sched_step_task_failed(wwh_scheduler_t *scheduler, sched_task_t *task,
 			    int64_t run);
-void sched_jobs_forget(wwh_scheduler_t *scheduler);
+void sched_jobs_expire(wwh_scheduler_t *scheduler);
 
-/* scheduler_backlog.c: what waits for the holder alone */
-/* Inherited upstreams that haven't answered yet, of all pools. */
+/* scheduler_backlog.c: work that waits for the holder, not for resources */
+/* Counts the inherited upstreams of all pools that haven't answered yet. */
 int32_t sched_count_unsettled(const wwh_scheduler_t *scheduler);
-/* It counts as waiting until the next pass counts all of them. */
-void sched_job_join_backlog(const wwh_scheduler_t *scheduler, sched_job_t *job);
+/* Counts the tasks of a new job as unstarted until the next pass recounts. */
+void sched_backlog_add_job(const wwh_scheduler_t *scheduler, sched_job_t *job);
 
 /* scheduler_record.c */
-/* Writes the progress of all jobs that have got on since the last time. */
-void sched_progress_keep(wwh_scheduler_t *scheduler);
+/* Writes the progress of all jobs whose progress changed since the last call. */
+void sched_progress_write(wwh_scheduler_t *scheduler);
 GBytes *sched_progress_encode(const sched_job_t *job, int64_t wall_ms);
 bool sched_progress_restore(wwh_scheduler_t *scheduler, const char *id,
 			    const uint8_t *value, size_t size,
@@ -324,7 +337,7 @@
 /* scheduler_upstream.c */
 sched_pool_t *sched_pool_get(wwh_scheduler_t *scheduler, const char *name);
 void sched_pool_delete(gpointer pool);
-/* One inherited upstream less to wait for. */
+/* Called when one inherited upstream of the pool has answered or terminated. */
 void sched_pool_settle_one(wwh_scheduler_t *scheduler, sched_pool_t *pool);
 sched_upstream_t *sched_upstream_find(const wwh_scheduler_t *scheduler,
 				      const char *id);
@@ -335,7 +348,7 @@
 			   sched_upstream_t *upstream, const char *why);
 void sched_upstreams_flushed(wwh_scheduler_t *scheduler);
 void sched_upstreams_durable(wwh_scheduler_t *scheduler);
-/* What is out on it is known to be over. */
+/* Marks the outstanding runs at upstream as lost: they have certainly ended. */
 void sched_upstream_lose_all(wwh_scheduler_t *scheduler,
 			     sched_upstream_t *upstream, const char *why);
 bool sched_upstream_usable(const wwh_scheduler_t *scheduler,
@@ -348,37 +361,37 @@
 bool sched_upstream_awaits_final_report(const wwh_scheduler_t *scheduler,
 					const sched_upstream_t *upstream);
 
-/* scheduler_poll.c: when upstreams are polled, and for how long */
+/* scheduler_poll.c: times of polls and their limits */
 int64_t sched_poll_gap_ms(const wwh_scheduler_t *scheduler,
 			  const sched_upstream_t *upstream);
-/* It answers and runs nothing. */
+/* Whether upstream answers polls and runs no task. */
 bool sched_upstream_is_idle(const sched_upstream_t *upstream);
-/* Between polls at one of many that run nothing; 0: the gap above. */
+/* The gap between polls at one of many idle upstreams; 0: the usual gap. */
 int64_t sched_poll_idle_gap_ms(const wwh_scheduler_t *scheduler,
 			       const sched_upstream_t *upstream);
 int64_t sched_poll_retry_ms(const sched_upstream_t *upstream);
-/* Of an upstream that has answered this holder before. */
+/* Polls an upstream that has answered this holder before. */
 void sched_poll_if_due(wwh_scheduler_t *scheduler, sched_upstream_t *upstream);
-/* Of all that haven't. */
+/* Polls the upstreams that haven't answered this holder yet. */
 void sched_poll_first(wwh_scheduler_t *scheduler);
 
-/* scheduler_watch.c: answers to polls are taken in, leases run out */
+/* scheduler_watch.c: processes answers to polls and lapsed leases */
 void sched_upstreams_run(wwh_scheduler_t *scheduler);
 
-/* scheduler_pace.c: after a poll has been taken in */
+/* scheduler_pace.c: called after each processed answer to a poll */
 void sched_pace(wwh_scheduler_t *scheduler, sched_upstream_t *upstream);
 
 /* scheduler_advice.c: tickets of queues whose policy names upstreams */
 bool sched_step_needs_advice(const sched_step_t *step);
-/* NULL: it has none that is good for an order now. */
-const char *sched_ticket_of(const wwh_scheduler_t *scheduler,
-			    const sched_step_t *step, const char *upstream);
-void sched_ticket_refused(sched_step_t *step, const char *upstream);
-void sched_ask_advice(wwh_scheduler_t *scheduler, sched_step_t *step);
+/* Returns NULL if the step has no ticket for upstream that is valid now. */
+const char *sched_ticket_find(const wwh_scheduler_t *scheduler,
+			      const sched_step_t *step, const char *upstream);
+void sched_ticket_discard(sched_step_t *step, const char *upstream);
+void sched_advice_request(wwh_scheduler_t *scheduler, sched_step_t *step);
 
 /* scheduler_place.c */
 void sched_place(wwh_scheduler_t *scheduler);
-/* Whether an upstream that takes new work has room for another such task. */
+/* Whether task fits on an upstream that takes new tasks. */
 bool sched_task_fits_elsewhere(wwh_scheduler_t *scheduler, sched_task_t *task);
 
 /* scheduler_cordon.c */
--- a/src/libwaxwinghollow/scheduler.c
+++ b/src/libwaxwinghollow/scheduler.c
@@ -13,12 +13,13 @@
 	"no-ticket", "bad",	 "fenced",  "other-life", "unknown",
 };
 
-const char *const wwh_keep_kind_names[WWH_KEEP_KIND_COUNT] = {
-	"J",
-	"P",
-	"U",
-	"W",
-};
+const char *const
+	wwh_scheduler_record_kind_names[WWH_SCHEDULER_RECORD_KIND_COUNT] = {
+		"J",
+		"P",
+		"U",
+		"W",
+	};
 
 const char *const wwh_job_progress_names[WWH_PROGRESS_COUNT] = {
 	"queued", "active", "completed", "failed", "cancelled", "unknown",
@@ -33,17 +34,17 @@
 	"stop",	 "done",     "ended",	"lost",	      "drop",
 };
 
-/* After a start that was refused without a lasting reason. */
+/* A task whose start was refused isn't started again before this has passed. */
 #define START_RETRY_MS 150
 #define NO_ROOM_BACKOFF_MS 200
 
-static void await_inherited(wwh_scheduler_t *scheduler);
+static void init_inherited_waits(wwh_scheduler_t *scheduler);
 static void explain_unsettled(wwh_scheduler_t *scheduler);
-static sched_task_t *task_of_order(wwh_scheduler_t *scheduler,
-				   const char *upstream, const char *name,
-				   int64_t run);
-static void refuse_start(wwh_scheduler_t *scheduler, sched_task_t *task,
-			 wwh_order_result_t result);
+static sched_task_t *find_ordered_task(wwh_scheduler_t *scheduler,
+				       const char *upstream, const char *name,
+				       int64_t run);
+static void handle_refused_start(wwh_scheduler_t *scheduler, sched_task_t *task,
+				 wwh_order_result_t result);
 static void stop_gang(wwh_scheduler_t *scheduler, sched_step_t *step);
 static void dump_upstream(const wwh_scheduler_t *scheduler,
 			  const sched_upstream_t *upstream, GString *out);
@@ -81,7 +82,7 @@
 		.lease_max_ms = 10000,
 		.lease_ms = 6000,
 		.stop_limit_ms = 400,
-		.forget_ms = 120000,
+		.ended_job_retention_ms = 120000,
 		.unavailable_after_ms = 4500,
 		.holder_count = 1,
 	};
@@ -90,7 +91,7 @@
 }
 
 wwh_scheduler_t *wwh_scheduler_new(const wwh_scheduler_options_t *options,
-				   const wwh_scheduler_calls_t *calls)
+				   const wwh_scheduler_callbacks_t *callbacks)
 {
 	static const wwh_chart_table_t table = {
 		.events = task_event_names,
@@ -102,12 +103,13 @@
 	wwh_message_t message;
 
 	scheduler->options = *options;
-	scheduler->calls = *calls;
-	/* the chart is linked in; a fault in it shows in every test */
+	scheduler->callbacks = *callbacks;
+	/* the chart is compiled in, so every test would find a fault in it */
 	if (wwh_chart_load("task", &table, &scheduler->task_chart, &message) !=
 	    WWH_STATUS_OK)
 		g_error("charts/task.json: %s", message.text);
-	scheduler->out_tag = wwh_chart_tag(scheduler->task_chart, "out");
+	scheduler->outstanding_tag =
+		wwh_chart_tag(scheduler->task_chart, "out");
 	scheduler->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 						sched_job_delete);
 	scheduler->lost_jobs =
@@ -137,23 +139,23 @@
 	g_free(scheduler);
 }
 
-bool wwh_scheduler_restore(wwh_scheduler_t *scheduler, wwh_keep_kind_t kind,
-			   const char *key, const uint8_t *value, size_t size,
-			   int64_t now_ms, int64_t wall_ms,
-			   wwh_message_t *message)
+bool wwh_scheduler_restore(wwh_scheduler_t *scheduler,
+			   wwh_scheduler_record_kind_t kind, const char *key,
+			   const uint8_t *value, size_t size, int64_t now_ms,
+			   int64_t wall_ms, wwh_message_t *message)
 {
 	wwh_job_t *job;
 	int64_t age_ms;
 
 	g_assert(!scheduler->restored);
-	/* ages in the records are told by the time of day */
+	/* records hold times of day, from which ages are computed */
 	scheduler->now_ms = now_ms;
 	scheduler->wall_ms = wall_ms;
 	switch (kind) {
-	case WWH_KEEP_JOB:
+	case WWH_SCHEDULER_RECORD_JOB:
 		job = wwh_job_decode(value, size, message);
 		if (job != NULL && strcmp(job->id, key) != 0) {
-			wwh_message_set(message, "it is of another job");
+			wwh_message_set(message, "record holds another job");
 			g_clear_pointer(&job, wwh_job_delete);
 		}
 		if (job == NULL) {
@@ -163,13 +165,13 @@
 		age_ms = MAX(0, wall_ms - job->accepted_wall_ms);
 		(void)sched_job_add(scheduler, job, scheduler->now_ms - age_ms);
 		return true;
-	case WWH_KEEP_PROGRESS:
+	case WWH_SCHEDULER_RECORD_PROGRESS:
 		if (sched_progress_restore(scheduler, key, value, size,
 					   message))
 			return true;
 		sched_job_lose(scheduler, key, false);
 		return false;
-	case WWH_KEEP_UPSTREAM:
+	case WWH_SCHEDULER_RECORD_UPSTREAM:
 		if (sched_upstream_restore(scheduler, key, value, size,
 					   message))
 			return true;
@@ -180,13 +182,13 @@
 	}
 }
 
-void wwh_scheduler_restored(wwh_scheduler_t *scheduler, int64_t now_ms,
-			    int64_t wall_ms)
+void wwh_scheduler_finish_restore(wwh_scheduler_t *scheduler, int64_t now_ms,
+				  int64_t wall_ms)
 {
 	scheduler->restored = true;
 	scheduler->now_ms = now_ms;
 	scheduler->wall_ms = wall_ms;
-	await_inherited(scheduler);
+	init_inherited_waits(scheduler);
 	for (guint i = 0; i < scheduler->live->len; i++) {
 		sched_job_t *job = g_ptr_array_index(scheduler->live, i);
 
@@ -212,39 +214,41 @@
 	scheduler->now_ms = MAX(scheduler->now_ms, now_ms);
 	if (job != NULL) {
 		wwh_job_delete(spec);
-		*record = job->kept;
+		*record = job->record_number;
 		return WWH_SUBMIT_KNOWN;
 	}
 	value = wwh_job_encode(spec);
 	job = sched_job_add(scheduler, spec, now_ms);
-	job->kept = scheduler->calls.keep(WWH_KEEP_JOB, job->id, value,
-					  scheduler->calls.client_data);
+	job->record_number = scheduler->callbacks.write_record(
+		WWH_SCHEDULER_RECORD_JOB, job->id, value,
+		scheduler->callbacks.client_data);
 	g_bytes_unref(value);
-	scheduler->newest_record = job->kept;
-	*record = job->kept;
-	sched_job_join_backlog(scheduler, job);
+	scheduler->newest_record = job->record_number;
+	*record = job->record_number;
+	sched_backlog_add_job(scheduler, job);
 	sched_explain(scheduler, "job-taken", job->id,
 		      "queue=%s pool=%s steps=%d record=%" G_GINT64_FORMAT,
 		      spec->queue.name, spec->queue.pool, spec->step_count,
-		      job->kept);
+		      job->record_number);
 	return WWH_SUBMIT_ACCEPTED;
 }
 
-bool wwh_scheduler_untouched(const wwh_scheduler_t *scheduler, const char *id)
+bool wwh_scheduler_job_is_discardable(const wwh_scheduler_t *scheduler,
+				      const char *id)
 {
 	const sched_job_t *job = sched_job_find(scheduler, id);
 
-	return job != NULL && job->kept > scheduler->durable_record &&
+	return job != NULL && job->record_number > scheduler->durable_record &&
 	       sched_job_is_live(job) && !job->started && !job->dirty;
 }
 
-void wwh_scheduler_take_back(wwh_scheduler_t *scheduler, const char *id)
+void wwh_scheduler_discard_job(wwh_scheduler_t *scheduler, const char *id)
 {
 	sched_job_t *job = sched_job_find(scheduler, id);
 
-	g_assert(wwh_scheduler_untouched(scheduler, id));
+	g_assert(wwh_scheduler_job_is_discardable(scheduler, id));
 	sched_explain(scheduler, "job-taken-back", id,
-		      "record=%" G_GINT64_FORMAT, job->kept);
+		      "record=%" G_GINT64_FORMAT, job->record_number);
 	g_ptr_array_remove_fast(scheduler->live, job);
 	g_hash_table_remove(scheduler->jobs, id);
 }
@@ -264,9 +268,9 @@
 		return false;
 	if (sched_job_is_live(job))
 		sched_job_end(scheduler, job, WWH_PROGRESS_CANCELLED);
-	if (job->end_kept == G_MAXINT64)
+	if (job->end_record_number == G_MAXINT64)
 		(void)wwh_scheduler_flush(scheduler, now_ms);
-	*record = job->end_kept;
+	*record = job->end_record_number;
 	return true;
 }
 
@@ -278,7 +282,7 @@
 	if (job == NULL)
 		return WWH_PROGRESS_UNKNOWN;
 	if (!sched_job_is_live(job) &&
-	    job->end_kept <= scheduler->durable_record)
+	    job->end_record_number <= scheduler->durable_record)
 		return job->state;
 	return job->started ? WWH_PROGRESS_ACTIVE : WWH_PROGRESS_QUEUED;
 }
@@ -304,14 +308,15 @@
 	return count;
 }
 
-void wwh_scheduler_start_ended(wwh_scheduler_t *scheduler, const char *upstream,
-			       const char *name, int64_t run,
-			       wwh_order_result_t result, int64_t now_ms)
+void wwh_scheduler_handle_start_result(wwh_scheduler_t *scheduler,
+				       const char *upstream, const char *name,
+				       int64_t run, wwh_order_result_t result,
+				       int64_t now_ms)
 {
 	sched_task_t *task;
 
 	scheduler->now_ms = MAX(scheduler->now_ms, now_ms);
-	task = task_of_order(scheduler, upstream, name, run);
+	task = find_ordered_task(scheduler, upstream, name, run);
 	if (task == NULL || sched_task_state(task) == TASK_STOPPING)
 		return;
 	task->order_in_flight = false;
@@ -329,27 +334,28 @@
 			task->upstream->next_poll_ms = scheduler->now_ms;
 		return;
 	}
-	if (result == WWH_ORDER_OTHER_LIFE) {
+	if (result == WWH_ORDER_OTHER_INCARNATION) {
 		wwh_scheduler_upstream_gone(scheduler, upstream, "restarted",
 					    now_ms);
 		return;
 	}
-	refuse_start(scheduler, task, result);
+	handle_refused_start(scheduler, task, result);
 }
 
-void wwh_scheduler_stop_ended(wwh_scheduler_t *scheduler, const char *upstream,
-			      const char *name, int64_t run,
-			      wwh_order_result_t result, int64_t now_ms)
+void wwh_scheduler_handle_stop_result(wwh_scheduler_t *scheduler,
+				      const char *upstream, const char *name,
+				      int64_t run, wwh_order_result_t result,
+				      int64_t now_ms)
 {
 	sched_task_t *task;
 
 	scheduler->now_ms = MAX(scheduler->now_ms, now_ms);
-	if (result == WWH_ORDER_OTHER_LIFE) {
+	if (result == WWH_ORDER_OTHER_INCARNATION) {
 		wwh_scheduler_upstream_gone(scheduler, upstream, "restarted",
 					    now_ms);
 		return;
 	}
-	task = task_of_order(scheduler, upstream, name, run);
+	task = find_ordered_task(scheduler, upstream, name, run);
 	if (task == NULL || sched_task_state(task) != TASK_STOPPING)
 		return;
 	task->order_in_flight = false;
@@ -360,14 +366,15 @@
 			MIN(task->upstream->next_poll_ms, scheduler->now_ms);
 }
 
-void wwh_scheduler_pace_ended(wwh_scheduler_t *scheduler, const char *upstream,
-			      const char *name, int64_t run,
-			      wwh_order_result_t result, int64_t now_ms)
+void wwh_scheduler_handle_pace_result(wwh_scheduler_t *scheduler,
+				      const char *upstream, const char *name,
+				      int64_t run, wwh_order_result_t result,
+				      int64_t now_ms)
 {
 	sched_task_t *task;
 
 	scheduler->now_ms = MAX(scheduler->now_ms, now_ms);
-	task = task_of_order(scheduler, upstream, name, run);
+	task = find_ordered_task(scheduler, upstream, name, run);
 	if (task != NULL && result == WWH_ORDER_DONE)
 		task->pace = task->pace_wanted;
 }
@@ -390,14 +397,14 @@
 int64_t wwh_scheduler_flush(wwh_scheduler_t *scheduler, int64_t now_ms)
 {
 	scheduler->now_ms = MAX(scheduler->now_ms, now_ms);
-	sched_progress_keep(scheduler);
+	sched_progress_write(scheduler);
 	sched_upstreams_flushed(scheduler);
 	return scheduler->newest_record;
 }
 
-bool wwh_scheduler_unflushed(const wwh_scheduler_t *scheduler)
+bool wwh_scheduler_has_unflushed(const wwh_scheduler_t *scheduler)
 {
-	return scheduler->dirty->len > 0 || scheduler->ends_waiting;
+	return scheduler->dirty->len > 0 || scheduler->has_unflushed_ends;
 }
 
 void wwh_scheduler_run(wwh_scheduler_t *scheduler, int64_t now_ms,
@@ -410,7 +417,7 @@
 	sched_cordon_run(scheduler);
 	if (!scheduler->starts_held)
 		sched_place(scheduler);
-	sched_jobs_forget(scheduler);
+	sched_jobs_expire(scheduler);
 }
 
 void wwh_scheduler_hold_starts(wwh_scheduler_t *scheduler, bool held)
@@ -418,7 +425,7 @@
 	scheduler->starts_held = held;
 }
 
-int32_t wwh_scheduler_upstreams(const wwh_scheduler_t *scheduler)
+int32_t wwh_scheduler_upstream_count(const wwh_scheduler_t *scheduler)
 {
 	return (int32_t)g_hash_table_size(scheduler->upstreams);
 }
@@ -435,7 +442,7 @@
 		sched_job_t *job = g_ptr_array_index(scheduler->live, i);
 
 		counts.live_jobs += sched_job_is_live(job);
-		counts.tasks_out += job->out;
+		counts.tasks_outstanding += job->outstanding;
 	}
 	return counts;
 }
@@ -455,12 +462,13 @@
 }
 
 /*
- * Each may run something until it answers or its lease has surely lapsed. A
- * lasting task that waits for one that is gone stays away all that time, so
- * the lease that was asked for counts, not the longest that upstreams grant:
- * 6.2 s in place of 11.6 s where those are 4.5 s and 10 s.
+ * Each inherited upstream may run tasks until it answers or its lease has
+ * certainly lapsed. A lasting task that waits for an upstream that no longer
+ * exists is unavailable all that time. So the wait follows the recorded lease,
+ * not the longest that upstreams grant: 6.2 s instead of 11.6 s for leases of
+ * 4.5 s and 10 s.
  */
-static void await_inherited(wwh_scheduler_t *scheduler)
+static void init_inherited_waits(wwh_scheduler_t *scheduler)
 {
 	GHashTableIter iterator;
 	gpointer value;
@@ -471,11 +479,12 @@
 	g_hash_table_iter_init(&iterator, scheduler->upstreams);
 	while (g_hash_table_iter_next(&iterator, NULL, &value)) {
 		sched_upstream_t *upstream = value;
-		int64_t wait_ms = sched_lease_left_ms(upstream->kept_lease_ms);
+		int64_t wait_ms = sched_lease_max_remaining_ms(
+			upstream->recorded_lease_ms);
 
-		upstream->gone_without_answer_ms = scheduler->now_ms + wait_ms;
-		upstream->pool->longest_wait_ms =
-			MAX(upstream->pool->longest_wait_ms, wait_ms);
+		upstream->inherited_lease_end_ms = scheduler->now_ms + wait_ms;
+		upstream->pool->max_inherited_wait_ms =
+			MAX(upstream->pool->max_inherited_wait_ms, wait_ms);
 	}
 	explain_unsettled(scheduler);
 }
@@ -493,14 +502,18 @@
 		if (pool->unsettled > 0)
 			sched_explain(scheduler, "pool-unsettled", pool->name,
 				      "upstreams=%d wait_ms=%" G_GINT64_FORMAT,
-				      pool->unsettled, pool->longest_wait_ms);
+				      pool->unsettled,
+				      pool->max_inherited_wait_ms);
 	}
 }
 
-/* NULL: the task has moved on since, and the answer says nothing new. */
-static sched_task_t *task_of_order(wwh_scheduler_t *scheduler,
-				   const char *upstream, const char *name,
-				   int64_t run)
+/*
+ * Returns the task for which an order of run was sent to upstream, or NULL if
+ * that run is no longer outstanding there, so that the result is obsolete.
+ */
+static sched_task_t *find_ordered_task(wwh_scheduler_t *scheduler,
+				       const char *upstream, const char *name,
+				       int64_t run)
 {
 	sched_task_t *task = sched_job_task(scheduler, name);
 
@@ -510,8 +523,8 @@
 	return task;
 }
 
-static void refuse_start(wwh_scheduler_t *scheduler, sched_task_t *task,
-			 wwh_order_result_t result)
+static void handle_refused_start(wwh_scheduler_t *scheduler, sched_task_t *task,
+				 wwh_order_result_t result)
 {
 	sched_upstream_t *upstream = task->upstream;
 
@@ -525,24 +538,25 @@
 	if (result == WWH_ORDER_NOT_DONE)
 		sched_upstream_failed(scheduler, upstream);
 	if (result == WWH_ORDER_NO_TICKET)
-		sched_ticket_refused(task->step, upstream->info.id);
+		sched_ticket_discard(task->step, upstream->info.id);
 	task->retry_ms = scheduler->now_ms + START_RETRY_MS;
-	task->avoid = upstream;
+	task->avoided_upstream = upstream;
 	sched_task_event(scheduler, task, TASK_REFUSED);
 	if (task->step->spec->gang)
 		stop_gang(scheduler, task->step);
 }
 
 /*
- * Members that were started would wait for the refused one until they end
- * "alone"; stopped at once, the gang's room is free for its next try.
+ * Members that were started would wait for the refused one until they end as
+ * "alone". They are stopped at once, so that the capacity they use is free for
+ * the next attempt.
  */
 static void stop_gang(wwh_scheduler_t *scheduler, sched_step_t *step)
 {
 	for (int32_t i = 0; i < step->spec->task_count; i++) {
 		sched_task_t *task = &step->tasks[i];
 
-		if (sched_task_is_out(scheduler, task) &&
+		if (sched_task_is_outstanding(scheduler, task) &&
 		    sched_task_state(task) != TASK_STOPPING)
 			sched_task_order_stop(scheduler, task);
 	}
@@ -563,7 +577,7 @@
 		upstream->used.cpu_millicores,
 		upstream->info.size.cpu_millicores,
 		scheduler->now_ms - upstream->answered_ms,
-		upstream->lapsed_ms - scheduler->now_ms);
+		upstream->lease_end_ms - scheduler->now_ms);
 }
 
 static void dump_job(const sched_job_t *job, GString *out)
@@ -573,5 +587,5 @@
 		"job %s state=%s started=%d out=%d "
 		"occurrences=%" G_GINT64_FORMAT " done=%" G_GINT64_FORMAT "\n",
 		job->id, wwh_job_progress_names[job->state], job->started,
-		job->out, job->next_occurrence, job->occurrences_done);
+		job->outstanding, job->next_occurrence, job->occurrences_done);
 }
--- a/src/libwaxwinghollow/scheduler_backlog.c
+++ b/src/libwaxwinghollow/scheduler_backlog.c
@@ -7,13 +7,13 @@
 
 	g_hash_table_iter_init(&iterator, scheduler->pools);
 	while (g_hash_table_iter_next(&iterator, NULL, &value)) {
-		if (((sched_pool_t *)value)->cut_short)
+		if (((sched_pool_t *)value)->has_deferred_starts)
 			return true;
 	}
 	return false;
 }
 
-/* Pools share the starts of a pass, so a short backlog is soon done. */
+/* Pools share the starts of a pass, so a pool with a short backlog waits less. */
 int32_t wwh_scheduler_backlog(const wwh_scheduler_t *scheduler,
 			      const char *name)
 {
@@ -23,23 +23,24 @@
 	int32_t all = 0;
 	int32_t pools = 0;
 
-	if (own == NULL || !own->cut_short)
+	if (own == NULL || !own->has_deferred_starts)
 		return 0;
 	g_hash_table_iter_init(&iterator, scheduler->pools);
 	while (g_hash_table_iter_next(&iterator, NULL, &value)) {
 		const sched_pool_t *pool = value;
 
-		all += pool->cut_short ? pool->unstarted : 0;
-		pools += pool->cut_short;
+		all += pool->has_deferred_starts ? pool->unstarted_tasks : 0;
+		pools += pool->has_deferred_starts;
 	}
-	return MIN(all, own->unstarted * pools);
+	return MIN(all, own->unstarted_tasks * pools);
 }
 
-void sched_job_join_backlog(const wwh_scheduler_t *scheduler, sched_job_t *job)
+void sched_backlog_add_job(const wwh_scheduler_t *scheduler, sched_job_t *job)
 {
 	for (int32_t i = 0; i < job->spec->step_count; i++)
-		job->pool->unstarted += job->spec->steps[i].task_count;
-	job->pool->cut_short = job->pool->cut_short || scheduler->starts_held;
+		job->pool->unstarted_tasks += job->spec->steps[i].task_count;
+	job->pool->has_deferred_starts =
+		job->pool->has_deferred_starts || scheduler->starts_held;
 }
 
 int32_t sched_count_unsettled(const wwh_scheduler_t *scheduler)
--- a/src/libwaxwinghollow/scheduler_check.c
+++ b/src/libwaxwinghollow/scheduler_check.c
@@ -2,7 +2,7 @@
 
 static void check_job(const wwh_scheduler_t *scheduler, const sched_job_t *job);
 static void check_step(const wwh_scheduler_t *scheduler,
-		       const sched_step_t *step, int32_t *out);
+		       const sched_step_t *step, int32_t *outstanding);
 static void check_task(const wwh_scheduler_t *scheduler,
 		       const sched_task_t *task);
 static void check_upstream(const sched_upstream_t *upstream);
@@ -22,10 +22,10 @@
 
 static void check_job(const wwh_scheduler_t *scheduler, const sched_job_t *job)
 {
-	int32_t out = 0;
+	int32_t outstanding = 0;
 
 	if (job->spec == NULL) {
-		g_assert(job->out == 0);
+		g_assert(job->outstanding == 0);
 		return;
 	}
 	for (guint i = 0; i < job->occurrences->len; i++) {
@@ -33,31 +33,32 @@
 			g_ptr_array_index(job->occurrences, i);
 
 		for (int32_t s = 0; s < job->spec->step_count; s++)
-			check_step(scheduler, &occurrence->steps[s], &out);
+			check_step(scheduler, &occurrence->steps[s],
+				   &outstanding);
 	}
-	g_assert(out == job->out);
+	g_assert(outstanding == job->outstanding);
 	if (job->state == WWH_PROGRESS_COMPLETED)
 		g_assert(job->occurrences_done ==
 			 MAX(1, job->spec->repeat_count));
 }
 
 static void check_step(const wwh_scheduler_t *scheduler,
-		       const sched_step_t *step, int32_t *out)
+		       const sched_step_t *step, int32_t *outstanding)
 {
 	int32_t over = 0;
-	int32_t step_out = 0;
+	int32_t step_outstanding = 0;
 
 	for (int32_t i = 0; i < step->spec->task_count; i++) {
 		const sched_task_t *task = &step->tasks[i];
 
 		check_task(scheduler, task);
 		over += sched_task_state(task) == TASK_OVER;
-		step_out += task->upstream != NULL;
+		step_outstanding += task->upstream != NULL;
 	}
-	g_assert(step_out == step->out);
+	g_assert(step_outstanding == step->outstanding);
 	if (sched_job_is_live(step->occurrence->job))
 		g_assert(over == step->done);
-	*out += step_out;
+	*outstanding += step_outstanding;
 }
 
 static void check_task(const wwh_scheduler_t *scheduler,
@@ -65,7 +66,7 @@
 {
 	const sched_job_t *job = task->step->occurrence->job;
 
-	g_assert(sched_task_is_out(scheduler, task) ==
+	g_assert(sched_task_is_outstanding(scheduler, task) ==
 		 (task->upstream != NULL));
 	if (task->upstream == NULL)
 		return;
@@ -81,7 +82,7 @@
 	for (guint i = 0; i < upstream->tasks->len; i++) {
 		const sched_task_t *task =
 			g_ptr_array_index(upstream->tasks, i);
-		wwh_load_t taken = sched_step_taken(task->step->spec);
+		wwh_load_t taken = sched_step_reserved_load(task->step->spec);
 
 		g_assert(task->upstream == upstream);
 		wwh_load_add(&used, &taken);
--- a/src/libwaxwinghollow/scheduler_cordon.c
+++ b/src/libwaxwinghollow/scheduler_cordon.c
@@ -86,7 +86,7 @@
  */
 static bool holds_the_only_ends(const sched_upstream_t *upstream)
 {
-	return upstream->ends_needed > upstream->ends_acked;
+	return upstream->last_progress_end > upstream->ends_acked;
 }
 
 void wwh_scheduler_uncordon(wwh_scheduler_t *scheduler, const char *id)
@@ -368,7 +368,8 @@
 			figures->arrived_usable += spec->task_count * cpu;
 	}
 	/* of what runs about half is done */
-	figures->work_left += (2 * left - step->out) * cpu * estimate_ms / 2;
+	figures->work_left +=
+		(2 * left - step->outstanding) * cpu * estimate_ms / 2;
 	if (ready)
 		figures->usable_now += left * cpu;
 }
@@ -417,7 +418,8 @@
 /* What wasn't heard of lately may be away. */
 static bool at_work(const wwh_scheduler_t *scheduler, const sched_task_t *task)
 {
-	return sched_task_state(task) == TASK_RUNNING && task->away_ms == 0 &&
+	return sched_task_state(task) == TASK_RUNNING &&
+	       task->unavailable_since_ms == 0 &&
 	       !may_be_stopping(scheduler, task) && !task->upstream->ending &&
 	       task->upstream->failed_polls == 0 &&
 	       scheduler->now_ms - task->upstream->answered_ms <
--- a/src/libwaxwinghollow/scheduler_job.c
+++ b/src/libwaxwinghollow/scheduler_job.c
@@ -4,20 +4,20 @@
 
 #define PERMILLE 1000
 
-/* How often ended jobs are looked through for those to forget. */
-#define FORGET_EVERY_MS 1000
+/* How often ended jobs are scanned for those that expire. */
+#define EXPIRY_INTERVAL_MS 1000
 
 static void occurrence_delete(gpointer data);
 static sched_occurrence_t *occurrence_new(wwh_scheduler_t *scheduler,
 					  sched_job_t *job, int64_t number);
 static void set_objective(sched_job_t *job);
 static int64_t objective_ms(const wwh_job_t *spec);
-static int64_t chain_ms(const wwh_job_t *spec);
+static int64_t critical_path_ms(const wwh_job_t *spec);
 static int64_t occurrence_total(const sched_job_t *job);
 static sched_occurrence_t *find_occurrence(const sched_job_t *job,
 					   int64_t number);
 static void end_tasks(wwh_scheduler_t *scheduler, sched_job_t *job);
-static void release_body(sched_job_t *job);
+static void release_spec(sched_job_t *job);
 
 sched_job_t *sched_job_find(const wwh_scheduler_t *scheduler, const char *id)
 {
@@ -59,7 +59,7 @@
 {
 	sched_job_t *job = data;
 
-	release_body(job);
+	release_spec(job);
 	g_free(job->workspace);
 	g_free(job);
 }
@@ -101,7 +101,7 @@
 	return occurrence;
 }
 
-/* Occurrences may overlap: each that is due is opened, whatever the others do. */
+/* Occurrences may overlap: each is opened when due, even if others still run. */
 void sched_job_open_due(wwh_scheduler_t *scheduler, sched_job_t *job)
 {
 	const wwh_job_t *spec = job->spec;
@@ -115,7 +115,7 @@
 	}
 }
 
-void sched_job_touch(wwh_scheduler_t *scheduler, sched_job_t *job)
+void sched_job_mark_dirty(wwh_scheduler_t *scheduler, sched_job_t *job)
 {
 	if (job->dirty)
 		return;
@@ -129,10 +129,10 @@
 	g_assert(sched_job_is_live(job));
 	job->state = state;
 	job->ended_ms = scheduler->now_ms;
-	job->end_kept = G_MAXINT64;
-	sched_job_touch(scheduler, job);
+	job->end_record_number = G_MAXINT64;
+	sched_job_mark_dirty(scheduler, job);
 	sched_explain(scheduler, "job-ended", job->id, "state=%s out=%d",
-		      wwh_job_progress_names[state], job->out);
+		      wwh_job_progress_names[state], job->outstanding);
 	end_tasks(scheduler, job);
 }
 
@@ -150,7 +150,7 @@
 	return true;
 }
 
-wwh_load_t sched_step_taken(const wwh_job_step_t *spec)
+wwh_load_t sched_step_reserved_load(const wwh_job_step_t *spec)
 {
 	wwh_load_t taken = spec->need;
 
@@ -168,7 +168,7 @@
 	step->done++;
 	g_assert(step->done <= step->spec->task_count);
 	g_clear_pointer(&task->checkpoint, g_free);
-	sched_job_touch(scheduler, job);
+	sched_job_mark_dirty(scheduler, job);
 	job->pool->dirty = true;
 	if (step->done < step->spec->task_count)
 		return;
@@ -182,10 +182,10 @@
 }
 
 /*
- * A run counts once, also when its end is listed again to a later holder:
- * counted twice, a job would fail before its attempts are used up. Ends of
- * one task come from several upstreams and in any order, so the runs
- * themselves are remembered, not the highest of them.
+ * A failed run counts once, even if its end is listed again to a later holder.
+ * Otherwise a job would fail before its attempts are used up. The ends of one
+ * task come from several upstreams in any order, so all failed runs are stored,
+ * not just the highest.
  */
 bool sched_failures_add(sched_failures_t *failures, int64_t run)
 {
@@ -208,13 +208,13 @@
 
 	if (step->spec->lasting || !sched_failures_add(failures, run))
 		return;
-	sched_job_touch(scheduler, job);
+	sched_job_mark_dirty(scheduler, job);
 	if (failures->count >= job->spec->queue.max_attempts &&
 	    sched_job_is_live(job))
 		sched_job_end(scheduler, job, WWH_PROGRESS_FAILED);
 }
 
-void sched_jobs_forget(wwh_scheduler_t *scheduler)
+void sched_jobs_expire(wwh_scheduler_t *scheduler)
 {
 	GHashTableIter iterator;
 	gpointer value;
@@ -222,16 +222,17 @@
 	for (guint i = 0; i < scheduler->live->len;) {
 		sched_job_t *job = g_ptr_array_index(scheduler->live, i);
 
-		if (!sched_job_is_live(job) && job->out == 0 && !job->dirty) {
-			release_body(job);
+		if (!sched_job_is_live(job) && job->outstanding == 0 &&
+		    !job->dirty) {
+			release_spec(job);
 			g_ptr_array_remove_index_fast(scheduler->live, i);
 		} else {
 			i++;
 		}
 	}
-	if (scheduler->now_ms < scheduler->next_forget_ms)
+	if (scheduler->now_ms < scheduler->next_expiry_ms)
 		return;
-	scheduler->next_forget_ms = scheduler->now_ms + FORGET_EVERY_MS;
+	scheduler->next_expiry_ms = scheduler->now_ms + EXPIRY_INTERVAL_MS;
 	sched_lost_jobs_forget(scheduler);
 	g_hash_table_iter_init(&iterator, scheduler->jobs);
 	while (g_hash_table_iter_next(&iterator, NULL, &value)) {
@@ -239,11 +240,11 @@
 
 		if (sched_job_is_live(job) || job->spec != NULL || job->dirty ||
 		    scheduler->now_ms - job->ended_ms <
-			    scheduler->options.forget_ms)
+			    scheduler->options.ended_job_retention_ms)
 			continue;
-		scheduler->newest_record =
-			scheduler->calls.keep(WWH_KEEP_PROGRESS, job->id, NULL,
-					      scheduler->calls.client_data);
+		scheduler->newest_record = scheduler->callbacks.write_record(
+			WWH_SCHEDULER_RECORD_PROGRESS, job->id, NULL,
+			scheduler->callbacks.client_data);
 		g_hash_table_iter_remove(&iterator);
 	}
 }
@@ -263,8 +264,8 @@
 		g_free(step->tasks);
 		if (step->tickets != NULL)
 			g_hash_table_destroy(step->tickets);
-		if (step->asked != NULL)
-			g_hash_table_destroy(step->asked);
+		if (step->advice_requested != NULL)
+			g_hash_table_destroy(step->advice_requested);
 	}
 	g_free(occurrence->steps);
 	g_free(occurrence);
@@ -313,23 +314,24 @@
 		if (job->steps[i].lasting)
 			return -1;
 	}
-	return MAX(objective_ms(job) - chain_ms(job), 0);
+	return MAX(objective_ms(job) - critical_path_ms(job), 0);
 }
 
 static void set_objective(sched_job_t *job)
 {
-	job->chain_ms = chain_ms(job->spec);
+	job->critical_path_ms = critical_path_ms(job->spec);
 	job->objective_ms = objective_ms(job->spec);
 }
 
 static int64_t objective_ms(const wwh_job_t *spec)
 {
-	return chain_ms(spec) * spec->queue.stretch_permille / PERMILLE +
+	return critical_path_ms(spec) * spec->queue.stretch_permille /
+		       PERMILLE +
 	       spec->queue.latency_ms;
 }
 
-/* The longest chain of estimates. */
-static int64_t chain_ms(const wwh_job_t *spec)
+/* The sum of estimates along the critical path of the steps. */
+static int64_t critical_path_ms(const wwh_job_t *spec)
 {
 	int64_t *ends = g_new0(int64_t, (gsize)spec->step_count);
 	int64_t longest = 0;
@@ -367,7 +369,7 @@
 static void end_tasks(wwh_scheduler_t *scheduler, sched_job_t *job)
 {
 	if (job->spec == NULL)
-		return; /* what runs of it is unknown, and stopped as such */
+		return; /* its runs are unknown; they are stopped as orphans */
 	for (guint i = 0; i < job->occurrences->len; i++) {
 		sched_occurrence_t *occurrence =
 			g_ptr_array_index(job->occurrences, i);
@@ -381,7 +383,8 @@
 				if (sched_task_state(task) == TASK_WAITING)
 					sched_task_event(scheduler, task,
 							 TASK_DROP);
-				else if (sched_task_is_out(scheduler, task) &&
+				else if (sched_task_is_outstanding(scheduler,
+								   task) &&
 					 sched_task_state(task) !=
 						 TASK_STOPPING)
 					sched_task_order_stop(scheduler, task);
@@ -390,7 +393,7 @@
 	}
 }
 
-static void release_body(sched_job_t *job)
+static void release_spec(sched_job_t *job)
 {
 	if (job->occurrences != NULL)
 		g_ptr_array_unref(job->occurrences);
--- a/src/libwaxwinghollow/scheduler_place.c
+++ b/src/libwaxwinghollow/scheduler_place.c
@@ -5,79 +5,83 @@
 #include "private/scheduler_policy.h"
 
 /*
- * Runs of a holder begin above all that holders before it can have used: a
- * run number is never given to a task twice, though starts aren't kept.
+ * Each holder has its own range of run numbers, above those that previous
+ * holders can have used. So no task gets the same run number twice, although
+ * starts aren't recorded.
  */
-#define RUNS_A_HOLDER 1000
+#define RUN_NUMBERS_PER_HOLDER 1000
 
-/* A pool with waiting tasks and no event is looked through this often. */
-#define TRY_AGAIN_MS 200
+/* The time between two passes over a pool for which no event arrived. */
+#define POOL_RETRY_MS 200
 
 /*
- * Starts of one pass, shared by the pools that have something to place. A pass that
- * works off a whole backlog takes seconds on a small share of a processor, in which
- * leases run out and probes go unanswered.
+ * The limit of starts in one pass, shared by the pools that are due. A pass that
+ * started a whole backlog would take seconds on a small share of a processor, in
+ * which leases would lapse and probes would go unanswered.
  */
-#define STARTS_A_PASS 64
+#define STARTS_PER_PASS 64
 
 typedef struct {
 	sched_step_t *step;
 	int64_t order;
 } candidate_t;
 
-static bool is_due(const wwh_scheduler_t *scheduler, const sched_pool_t *pool);
-static int32_t count_due(const wwh_scheduler_t *scheduler);
+static bool is_pass_due(const wwh_scheduler_t *scheduler,
+			const sched_pool_t *pool);
+static int32_t count_due_pools(const wwh_scheduler_t *scheduler);
 static void place_pool(wwh_scheduler_t *scheduler, sched_pool_t *pool,
-		       int32_t most);
-static void collect(wwh_scheduler_t *scheduler, sched_pool_t *pool,
-		    GArray *candidates);
+		       int32_t max_starts);
+static void collect_candidates(wwh_scheduler_t *scheduler, sched_pool_t *pool,
+			       GArray *candidates);
 static void collect_occurrence(const wwh_scheduler_t *scheduler,
 			       sched_occurrence_t *occurrence,
 			       GArray *candidates);
 static int64_t remaining_ms(const sched_occurrence_t *occurrence);
-static void measure_room(const wwh_scheduler_t *scheduler, sched_pool_t *pool);
-static wwh_load_t room_of(const sched_upstream_t *upstream);
-static bool may_fit(const sched_step_t *step);
-static gint compare(gconstpointer a, gconstpointer b);
+static void measure_max_free(const wwh_scheduler_t *scheduler,
+			     sched_pool_t *pool);
+static wwh_load_t free_load_of(const sched_upstream_t *upstream);
+static bool may_fit_somewhere(const sched_step_t *step);
+static gint compare_candidates(gconstpointer a, gconstpointer b);
 static void place_step(wwh_scheduler_t *scheduler, sched_step_t *step);
 static void explain_started(const wwh_scheduler_t *scheduler,
 			    const sched_step_t *step, int32_t count);
 static void place_tasks(wwh_scheduler_t *scheduler, sched_step_t *step);
 static void place_gang(wwh_scheduler_t *scheduler, sched_step_t *step);
 static bool may_start(wwh_scheduler_t *scheduler, sched_task_t *task);
-static sched_upstream_t *place_for(wwh_scheduler_t *scheduler,
-				   sched_task_t *task, const char **ticket);
-static sched_upstream_t *choose(wwh_scheduler_t *scheduler, sched_task_t *task,
-				const char **ticket);
-static bool fits(const wwh_scheduler_t *scheduler,
-		 const sched_upstream_t *upstream, const sched_step_t *step);
-static int64_t cost_of(const sched_upstream_t *upstream,
-		       const sched_task_t *task);
-static int32_t tasks_of_step(const sched_upstream_t *upstream,
-			     const sched_step_t *step);
-static int32_t lasting_on(const sched_upstream_t *upstream);
-static int32_t disturbed_by(const sched_upstream_t *upstream,
-			    const wwh_job_step_t *spec);
+static sched_upstream_t *find_upstream(wwh_scheduler_t *scheduler,
+				       sched_task_t *task, const char **ticket);
+static sched_upstream_t *choose_upstream(wwh_scheduler_t *scheduler,
+					 sched_task_t *task,
+					 const char **ticket);
+static bool fits_on(const wwh_scheduler_t *scheduler,
+		    const sched_upstream_t *upstream, const sched_step_t *step);
+static int64_t placement_cost(const sched_upstream_t *upstream,
+			      const sched_task_t *task);
+static int32_t count_step_tasks(const sched_upstream_t *upstream,
+				const sched_step_t *step);
+static int32_t count_lasting_tasks(const sched_upstream_t *upstream);
+static int32_t count_interfering(const sched_upstream_t *upstream,
+				 const wwh_job_step_t *spec);
 static int64_t next_run(const wwh_scheduler_t *scheduler, int64_t run);
 
 void sched_place(wwh_scheduler_t *scheduler)
 {
-	int32_t due = count_due(scheduler);
+	int32_t due = count_due_pools(scheduler);
 	GHashTableIter iterator;
 	gpointer value;
 	int32_t share;
 
 	if (due == 0)
 		return;
-	share = MAX(STARTS_A_PASS / due, 1);
+	share = MAX(STARTS_PER_PASS / due, 1);
 	g_hash_table_iter_init(&iterator, scheduler->pools);
 	while (g_hash_table_iter_next(&iterator, NULL, &value)) {
 		sched_pool_t *pool = value;
 
-		if (!is_due(scheduler, pool))
+		if (!is_pass_due(scheduler, pool))
 			continue;
 		pool->dirty = false;
-		pool->next_try_ms = scheduler->now_ms + TRY_AGAIN_MS;
+		pool->next_try_ms = scheduler->now_ms + POOL_RETRY_MS;
 		place_pool(scheduler, pool, share);
 	}
 }
@@ -86,16 +90,17 @@
 {
 	const char *ticket = NULL;
 
-	return choose(scheduler, task, &ticket) != NULL;
+	return choose_upstream(scheduler, task, &ticket) != NULL;
 }
 
-static bool is_due(const wwh_scheduler_t *scheduler, const sched_pool_t *pool)
+static bool is_pass_due(const wwh_scheduler_t *scheduler,
+			const sched_pool_t *pool)
 {
 	return !pool->standby &&
 	       (pool->dirty || scheduler->now_ms >= pool->next_try_ms);
 }
 
-static int32_t count_due(const wwh_scheduler_t *scheduler)
+static int32_t count_due_pools(const wwh_scheduler_t *scheduler)
 {
 	GHashTableIter iterator;
 	gpointer value;
@@ -103,19 +108,19 @@
 
 	g_hash_table_iter_init(&iterator, scheduler->pools);
 	while (g_hash_table_iter_next(&iterator, NULL, &value))
-		due += is_due(scheduler, value);
+		due += is_pass_due(scheduler, value);
 	return due;
 }
 
 static void place_pool(wwh_scheduler_t *scheduler, sched_pool_t *pool,
-		       int32_t most)
+		       int32_t max_starts)
 {
 	GArray *candidates = g_array_new(FALSE, FALSE, sizeof(candidate_t));
 
-	collect(scheduler, pool, candidates);
-	g_array_sort(candidates, compare);
-	measure_room(scheduler, pool);
-	scheduler->starts_left = most;
+	collect_candidates(scheduler, pool, candidates);
+	g_array_sort(candidates, compare_candidates);
+	measure_max_free(scheduler, pool);
+	scheduler->starts_left = max_starts;
 	for (guint i = 0; i < candidates->len && scheduler->starts_left > 0;
 	     i++) {
 		sched_step_t *step =
@@ -126,39 +131,40 @@
 		else
 			place_step(scheduler, step);
 	}
-	/* the rest follows in the next pass */
-	pool->cut_short = scheduler->starts_left <= 0;
-	pool->dirty = pool->dirty || pool->cut_short;
-	pool->unstarted -= most - scheduler->starts_left;
+	/* the next pass starts the rest */
+	pool->has_deferred_starts = scheduler->starts_left <= 0;
+	pool->dirty = pool->dirty || pool->has_deferred_starts;
+	pool->unstarted_tasks -= max_starts - scheduler->starts_left;
 	g_array_free(candidates, TRUE);
 }
 
 /*
- * At a peak hundreds of jobs wait for a pool that is full. Each was tried on
- * each upstream whenever one of them answered; of 1000 jobs and 350 upstreams
- * a pass took 1498 us, of a process that has a quarter of a core. What fits
- * nowhere is passed over by these figures (bench_scheduler: 66 us).
+ * At a peak, hundreds of jobs wait for a pool that is full. Trying each of them
+ * on each upstream whenever one answers took 1498 us a pass for 1000 jobs and 350
+ * upstreams, in a process that has a quarter of a core. With these maxima, jobs
+ * that fit on no upstream are skipped (bench_scheduler: 66 us).
  */
-static void measure_room(const wwh_scheduler_t *scheduler, sched_pool_t *pool)
+static void measure_max_free(const wwh_scheduler_t *scheduler,
+			     sched_pool_t *pool)
 {
-	wwh_load_t *most = &pool->most_free;
+	wwh_load_t *max_free = &pool->max_free;
 
-	*most = (wwh_load_t){ -1, -1, -1 };
+	*max_free = (wwh_load_t){ -1, -1, -1 };
 	for (guint i = 0; i < pool->upstreams->len; i++) {
 		const sched_upstream_t *upstream =
 			g_ptr_array_index(pool->upstreams, i);
-		wwh_load_t free = room_of(upstream);
+		wwh_load_t free = free_load_of(upstream);
 
 		if (!sched_upstream_usable(scheduler, upstream))
 			continue;
-		most->cpu_millicores =
-			MAX(most->cpu_millicores, free.cpu_millicores);
-		most->memory_mb = MAX(most->memory_mb, free.memory_mb);
-		most->gpus = MAX(most->gpus, free.gpus);
+		max_free->cpu_millicores =
+			MAX(max_free->cpu_millicores, free.cpu_millicores);
+		max_free->memory_mb = MAX(max_free->memory_mb, free.memory_mb);
+		max_free->gpus = MAX(max_free->gpus, free.gpus);
 	}
 }
 
-static wwh_load_t room_of(const sched_upstream_t *upstream)
+static wwh_load_t free_load_of(const sched_upstream_t *upstream)
 {
 	wwh_load_t room = upstream->info.size;
 
@@ -166,23 +172,23 @@
 	return room;
 }
 
-static bool may_fit(const sched_step_t *step)
+static bool may_fit_somewhere(const sched_step_t *step)
 {
 	const sched_pool_t *pool = step->occurrence->job->pool;
-	wwh_load_t need = sched_step_taken(step->spec);
+	wwh_load_t need = sched_step_reserved_load(step->spec);
 
-	return wwh_load_fits(&need, &pool->most_free);
+	return wwh_load_fits(&need, &pool->max_free);
 }
 
-static void collect(wwh_scheduler_t *scheduler, sched_pool_t *pool,
-		    GArray *candidates)
+static void collect_candidates(wwh_scheduler_t *scheduler, sched_pool_t *pool,
+			       GArray *candidates)
 {
-	pool->unstarted = 0;
+	pool->unstarted_tasks = 0;
 	for (guint i = 0; i < scheduler->live->len; i++) {
 		sched_job_t *job = g_ptr_array_index(scheduler->live, i);
 
 		if (job->pool != pool || !sched_job_is_live(job) ||
-		    job->kept > scheduler->durable_record)
+		    job->record_number > scheduler->durable_record)
 			continue;
 		sched_job_open_due(scheduler, job);
 		for (guint k = 0; k < job->occurrences->len; k++)
@@ -198,7 +204,7 @@
 			       GArray *candidates)
 {
 	const wwh_job_t *spec = occurrence->job->spec;
-	wwh_policy_order_input_t figures = {
+	wwh_policy_order_input_t input = {
 		.priority = spec->queue.priority,
 		.waited_ms = scheduler->now_ms - occurrence->due_ms,
 		.objective_ms = occurrence->job->objective_ms,
@@ -206,18 +212,18 @@
 
 	if (occurrence->steps_done == spec->step_count)
 		return;
-	figures.remaining_ms = remaining_ms(occurrence);
+	input.remaining_ms = remaining_ms(occurrence);
 	for (int32_t i = 0; i < spec->step_count; i++) {
 		sched_step_t *step = &occurrence->steps[i];
 		candidate_t candidate = { .step = step };
 
-		occurrence->job->pool->unstarted +=
-			step->spec->task_count - step->done - step->out;
-		if (step->done + step->out >= step->spec->task_count ||
+		occurrence->job->pool->unstarted_tasks +=
+			step->spec->task_count - step->done - step->outstanding;
+		if (step->done + step->outstanding >= step->spec->task_count ||
 		    !sched_step_is_ready(step))
 			continue;
-		figures.lasting = step->spec->lasting;
-		candidate.order = wwh_policy_order_key(&figures);
+		input.lasting = step->spec->lasting;
+		candidate.order = wwh_policy_order_key(&input);
 		g_array_append_val(candidates, candidate);
 	}
 }
@@ -241,7 +247,7 @@
 	return longest;
 }
 
-static gint compare(gconstpointer a, gconstpointer b)
+static gint compare_candidates(gconstpointer a, gconstpointer b)
 {
 	const candidate_t *left = a;
 	const candidate_t *right = b;
@@ -254,11 +260,11 @@
 
 static void place_step(wwh_scheduler_t *scheduler, sched_step_t *step)
 {
-	int32_t before = step->out;
+	int32_t before = step->outstanding;
 
 	place_tasks(scheduler, step);
-	if (step->out > before)
-		explain_started(scheduler, step, step->out - before);
+	if (step->outstanding > before)
+		explain_started(scheduler, step, step->outstanding - before);
 }
 
 static void explain_started(const wwh_scheduler_t *scheduler,
@@ -271,7 +277,7 @@
 		      " step=%d started=%d waiting=%d done=%d"
 		      " since_due_ms=%" G_GINT64_FORMAT,
 		      occurrence->number, step->number, count,
-		      step->spec->task_count - step->done - step->out,
+		      step->spec->task_count - step->done - step->outstanding,
 		      step->done, scheduler->now_ms - occurrence->due_ms);
 }
 
@@ -289,11 +295,11 @@
 			continue;
 		if (!sched_quota_allows(scheduler, step, 1))
 			return;
-		upstream = place_for(scheduler, task, &ticket);
+		upstream = find_upstream(scheduler, task, &ticket);
 		if (upstream == NULL) {
-			/* tasks of a step are alike: the others won't fit */
+			/* tasks of a step have the same needs: none will fit */
 			if (sched_step_needs_advice(step))
-				sched_ask_advice(scheduler, step);
+				sched_advice_request(scheduler, step);
 			return;
 		}
 		sched_task_start(scheduler, task, upstream,
@@ -303,20 +309,20 @@
 }
 
 /*
- * Members that start one by one wait for each other and hold their room
- * meanwhile; two gangs that each hold half of a pool never get on. So a gang
- * is first placed as a trial, and started only when all of it fits.
+ * Members that are started one by one wait for each other and occupy their hosts
+ * meanwhile; two gangs that each occupy half of a pool would deadlock. So a
+ * gang is first placed tentatively, and started only if all members fit.
  */
 static void place_gang(wwh_scheduler_t *scheduler, sched_step_t *step)
 {
-	wwh_load_t taken = sched_step_taken(step->spec);
+	wwh_load_t taken = sched_step_reserved_load(step->spec);
 	int32_t count = step->spec->task_count;
 	sched_upstream_t **chosen;
 	const char **tickets;
 	const char *checkpoint = NULL;
 	int32_t placed = 0;
 
-	if (step->out > 0 || step->done > 0)
+	if (step->outstanding > 0 || step->done > 0)
 		return;
 	for (int32_t i = 0; i < count; i++) {
 		if (!may_start(scheduler, &step->tasks[i]))
@@ -330,37 +336,38 @@
 	chosen = g_new0(sched_upstream_t *, (guint)count);
 	tickets = g_new0(const char *, (guint)count);
 	while (placed < count) {
-		sched_upstream_t *upstream = place_for(
+		sched_upstream_t *upstream = find_upstream(
 			scheduler, &step->tasks[placed], &tickets[placed]);
 
 		if (upstream == NULL)
 			break;
 		chosen[placed++] = upstream;
 		wwh_load_add(&upstream->used, &taken);
-		/* counts for the bound a upstream while others are chosen */
+		/* counts towards max_per_upstream for the next members */
 		g_ptr_array_add(upstream->tasks, &step->tasks[placed - 1]);
 	}
 	for (int32_t i = 0; i < placed; i++) {
 		wwh_load_subtract(&chosen[i]->used, &taken);
 		g_ptr_array_remove_fast(chosen[i]->tasks, &step->tasks[i]);
 	}
-	/* the room that the trial took is free again */
+	/* the load that was reserved tentatively is free again */
 	if (placed < count)
-		measure_room(scheduler, step->occurrence->job->pool);
+		measure_max_free(scheduler, step->occurrence->job->pool);
 	if (placed == count) {
-		char *same = g_strdup(checkpoint);
+		char *common_checkpoint = g_strdup(checkpoint);
 
 		step->gang_run = next_run(scheduler, step->gang_run);
 		for (int32_t i = 0; i < count; i++) {
-			sched_task_set_checkpoint(&step->tasks[i], same);
+			sched_task_set_checkpoint(&step->tasks[i],
+						  common_checkpoint);
 			sched_task_start(scheduler, &step->tasks[i], chosen[i],
 					 step->gang_run, tickets[i]);
 		}
 		scheduler->starts_left -= count;
 		explain_started(scheduler, step, count);
-		g_free(same);
+		g_free(common_checkpoint);
 	} else if (sched_step_needs_advice(step)) {
-		sched_ask_advice(scheduler, step);
+		sched_advice_request(scheduler, step);
 	}
 	g_free(chosen);
 	g_free(tickets);
@@ -369,7 +376,7 @@
 static bool may_start(wwh_scheduler_t *scheduler, sched_task_t *task)
 {
 	if (task->inherited) {
-		/* it may run where nobody has answered yet */
+		/* it may run at an upstream that hasn't answered yet */
 		if (!sched_pool_is_settled(scheduler,
 					   task->step->occurrence->job->pool))
 			return false;
@@ -378,22 +385,23 @@
 	return scheduler->now_ms >= task->retry_ms;
 }
 
-static sched_upstream_t *place_for(wwh_scheduler_t *scheduler,
-				   sched_task_t *task, const char **ticket)
+static sched_upstream_t *find_upstream(wwh_scheduler_t *scheduler,
+				       sched_task_t *task, const char **ticket)
 {
 	sched_upstream_t *upstream;
 
-	if (!may_fit(task->step))
+	if (!may_fit_somewhere(task->step))
 		return NULL;
-	upstream = choose(scheduler, task, ticket);
-	/* the figures only sink while tasks are placed */
+	upstream = choose_upstream(scheduler, task, ticket);
+	/* the maxima only decrease while tasks are placed */
 	if (upstream == NULL)
-		measure_room(scheduler, task->step->occurrence->job->pool);
+		measure_max_free(scheduler, task->step->occurrence->job->pool);
 	return upstream;
 }
 
-static sched_upstream_t *choose(wwh_scheduler_t *scheduler, sched_task_t *task,
-				const char **ticket)
+static sched_upstream_t *choose_upstream(wwh_scheduler_t *scheduler,
+					 sched_task_t *task,
+					 const char **ticket)
 {
 	sched_step_t *step = task->step;
 	GPtrArray *upstreams = step->occurrence->job->pool->upstreams;
@@ -404,29 +412,30 @@
 		sched_upstream_t *upstream = g_ptr_array_index(upstreams, i);
 		int64_t cost;
 
-		if (!fits(scheduler, upstream, step))
+		if (!fits_on(scheduler, upstream, step))
 			continue;
 		if (sched_step_needs_advice(step) &&
-		    sched_ticket_of(scheduler, step, upstream->info.id) == NULL)
+		    sched_ticket_find(scheduler, step, upstream->info.id) ==
+			    NULL)
 			continue;
-		cost = cost_of(upstream, task);
+		cost = placement_cost(upstream, task);
 		if (best == NULL || cost < best_cost) {
 			best = upstream;
 			best_cost = cost;
 		}
 	}
 	if (best != NULL && sched_step_needs_advice(step))
-		*ticket = sched_ticket_of(scheduler, step, best->info.id);
+		*ticket = sched_ticket_find(scheduler, step, best->info.id);
 	return best;
 }
 
-static bool fits(const wwh_scheduler_t *scheduler,
-		 const sched_upstream_t *upstream, const sched_step_t *step)
+static bool fits_on(const wwh_scheduler_t *scheduler,
+		    const sched_upstream_t *upstream, const sched_step_t *step)
 {
 	const wwh_job_step_t *spec = step->spec;
 	const wwh_upstream_info_t *info = &upstream->info;
-	wwh_load_t need = sched_step_taken(spec);
-	wwh_load_t free = room_of(upstream);
+	wwh_load_t need = sched_step_reserved_load(spec);
+	wwh_load_t free = free_load_of(upstream);
 
 	if (!sched_upstream_usable(scheduler, upstream) ||
 	    !wwh_load_fits(&need, &free))
@@ -435,44 +444,45 @@
 	    !g_strv_contains((const char *const *)info->labels, spec->label))
 		return false;
 	return spec->max_per_upstream == 0 ||
-	       tasks_of_step(upstream, step) < spec->max_per_upstream;
+	       count_step_tasks(upstream, step) < spec->max_per_upstream;
 }
 
-static int64_t cost_of(const sched_upstream_t *upstream,
-		       const sched_task_t *task)
+static int64_t placement_cost(const sched_upstream_t *upstream,
+			      const sched_task_t *task)
 {
 	const sched_step_t *step = task->step;
 	const wwh_job_step_t *spec = step->spec;
 	const char *rack = upstream->info.rack;
-	wwh_policy_fit_input_t figures = {
-		.free_millicores = room_of(upstream).cpu_millicores,
-		.need_millicores = sched_step_taken(spec).cpu_millicores,
+	wwh_policy_fit_input_t input = {
+		.free_millicores = free_load_of(upstream).cpu_millicores,
+		.need_millicores =
+			sched_step_reserved_load(spec).cpu_millicores,
 		.capacity_millicores = upstream->info.size.cpu_millicores,
-		.failed_on_host = task->avoid == upstream,
+		.failed_on_host = task->avoided_upstream == upstream,
 		.fail_streak = upstream->fail_streak,
 		.lasting = spec->lasting,
 	};
 
 	if (spec->data_rack != NULL)
-		figures.data_on_other_rack =
+		input.data_on_other_rack =
 			g_strcmp0(rack, spec->data_rack) != 0;
 	for (int32_t i = 0; spec->same_rack && i < spec->task_count; i++) {
 		const sched_upstream_t *other = step->tasks[i].upstream;
 
 		if (other != NULL)
-			figures.step_on_other_rack =
+			input.step_on_other_rack =
 				g_strcmp0(rack, other->info.rack) != 0;
 	}
 	if (spec->lasting) {
-		figures.same_step_on_host = tasks_of_step(upstream, step);
-		figures.lasting_on_host = lasting_on(upstream);
+		input.same_step_on_host = count_step_tasks(upstream, step);
+		input.lasting_on_host = count_lasting_tasks(upstream);
 	}
-	figures.interfering_tasks = disturbed_by(upstream, spec);
-	return wwh_policy_fit_cost(&figures);
+	input.interfering_tasks = count_interfering(upstream, spec);
+	return wwh_policy_fit_cost(&input);
 }
 
-static int32_t tasks_of_step(const sched_upstream_t *upstream,
-			     const sched_step_t *step)
+static int32_t count_step_tasks(const sched_upstream_t *upstream,
+				const sched_step_t *step)
 {
 	int32_t count = 0;
 
@@ -485,7 +495,7 @@
 	return count;
 }
 
-static int32_t lasting_on(const sched_upstream_t *upstream)
+static int32_t count_lasting_tasks(const sched_upstream_t *upstream)
 {
 	int32_t count = 0;
 
@@ -498,9 +508,12 @@
 	return count;
 }
 
-/* Fillers take what serving tasks on the same host need within a moment. */
-static int32_t disturbed_by(const sched_upstream_t *upstream,
-			    const wwh_job_step_t *spec)
+/*
+ * Counts the tasks on upstream that would slow a task of spec or be slowed by it:
+ * fillers use the processor that serving tasks on the same host need at once.
+ */
+static int32_t count_interfering(const sched_upstream_t *upstream,
+				 const wwh_job_step_t *spec)
 {
 	bool serves = spec->latency_target_ms > 0;
 	int32_t count = 0;
@@ -520,8 +533,8 @@
 
 static int64_t next_run(const wwh_scheduler_t *scheduler, int64_t run)
 {
-	int64_t base =
-		(scheduler->options.holder_count - 1) * (int64_t)RUNS_A_HOLDER;
+	int64_t base = (scheduler->options.holder_count - 1) *
+		       (int64_t)RUN_NUMBERS_PER_HOLDER;
 
 	return MAX(run, base) + 1;
 }
--- a/src/libwaxwinghollow/scheduler_quota.c
+++ b/src/libwaxwinghollow/scheduler_quota.c
@@ -1,7 +1,7 @@
 #include "private/scheduler_state.h"
 
-static wwh_load_t inherited_of(const wwh_scheduler_t *scheduler,
-			       const char *workspace);
+static wwh_load_t inherited_load(const wwh_scheduler_t *scheduler,
+				 const char *workspace);
 static void add_inherited(const sched_job_t *job, wwh_load_t *reserved);
 
 void wwh_scheduler_clear_limits(wwh_scheduler_t *scheduler)
@@ -25,7 +25,7 @@
 
 	if (!wwh_workspace_quota_is_limited(scheduler->quota, workspace))
 		return true;
-	reserved = inherited_of(scheduler, workspace);
+	reserved = inherited_load(scheduler, workspace);
 	for (int32_t i = 0; i < count; i++)
 		wwh_load_add(&need, &step->spec->need);
 	return wwh_workspace_quota_allows(scheduler->quota, workspace, &need,
@@ -33,11 +33,11 @@
 }
 
 /*
- * After a change of holder tasks may run that no upstream has listed yet. The
- * limit counts them until all upstreams of their pool have answered.
+ * After a change of holder, tasks may run that no upstream has listed yet. They
+ * count towards the limit until all upstreams of their pool have answered.
  */
-static wwh_load_t inherited_of(const wwh_scheduler_t *scheduler,
-			       const char *workspace)
+static wwh_load_t inherited_load(const wwh_scheduler_t *scheduler,
+				 const char *workspace)
 {
 	wwh_load_t reserved = { 0 };
 
--- a/src/libwaxwinghollow/scheduler_record.c
+++ b/src/libwaxwinghollow/scheduler_record.c
@@ -8,16 +8,16 @@
 #define RECORD_DEPTH 8
 #define BYTE_BITS 8
 
-/* Elements of each array that this release writes and needs. */
+/* The minimum number of elements of each array; later ones are optional. */
 #define PROGRESS_FIELDS 5
 #define OCCURRENCE_FIELDS 2
 #define STEP_FIELDS 3
 #define FAILED_FIELDS 2
 #define UPSTREAM_FIELDS 2
 
-/* A value of the journal, as it was kept. */
+/* A record as it was stored. */
 typedef struct {
-	const char *kind; /* what the message calls it */
+	const char *kind; /* its name in error messages */
 	const char *id;
 	const uint8_t *value;
 	size_t size;
@@ -26,14 +26,14 @@
 typedef bool (*restore_record_t)(wwh_scheduler_t *scheduler, const char *id,
 				 const msgpack_object *object);
 
-static void keep_progress(wwh_scheduler_t *scheduler, sched_job_t *job);
+static void write_progress(wwh_scheduler_t *scheduler, sched_job_t *job);
 static void pack_occurrence(msgpack_packer *packer,
 			    const sched_occurrence_t *occurrence);
 static void pack_step(msgpack_packer *packer, const sched_step_t *step);
 static void pack_failures(msgpack_packer *packer,
 			  const sched_failures_t *failures);
-static bool array_of(const msgpack_object *object, uint32_t least);
-static bool number_of(const msgpack_object *object, int64_t *number);
+static bool has_array_size(const msgpack_object *object, uint32_t min_size);
+static bool read_number(const msgpack_object *object, int64_t *number);
 static bool restore_live(wwh_scheduler_t *scheduler, sched_job_t *job,
 			 const msgpack_object *fields);
 static bool restore_occurrence(wwh_scheduler_t *scheduler, sched_job_t *job,
@@ -55,32 +55,32 @@
 static bool unpack(const uint8_t *value, size_t size,
 		   msgpack_unpacked *unpacked, wwh_message_t *message);
 
-void sched_progress_keep(wwh_scheduler_t *scheduler)
+void sched_progress_write(wwh_scheduler_t *scheduler)
 {
 	for (guint i = 0; i < scheduler->dirty->len; i++)
-		keep_progress(scheduler,
-			      g_ptr_array_index(scheduler->dirty, i));
+		write_progress(scheduler,
+			       g_ptr_array_index(scheduler->dirty, i));
 	g_ptr_array_set_size(scheduler->dirty, 0);
 }
 
-static void keep_progress(wwh_scheduler_t *scheduler, sched_job_t *job)
+static void write_progress(wwh_scheduler_t *scheduler, sched_job_t *job)
 {
 	GBytes *value = sched_progress_encode(job, scheduler->wall_ms);
 	bool ends = !sched_job_is_live(job);
 
 	job->dirty = false;
-	scheduler->newest_record =
-		scheduler->calls.keep(WWH_KEEP_PROGRESS, job->id, value,
-				      scheduler->calls.client_data);
+	scheduler->newest_record = scheduler->callbacks.write_record(
+		WWH_SCHEDULER_RECORD_PROGRESS, job->id, value,
+		scheduler->callbacks.client_data);
 	g_bytes_unref(value);
 	if (!ends)
 		return;
-	if (job->end_kept == G_MAXINT64) {
-		job->end_kept = scheduler->newest_record;
-		/* its progress says all that is asked of it from now on */
-		scheduler->newest_record =
-			scheduler->calls.keep(WWH_KEEP_JOB, job->id, NULL,
-					      scheduler->calls.client_data);
+	if (job->end_record_number == G_MAXINT64) {
+		job->end_record_number = scheduler->newest_record;
+		/* from now on, the record of its progress is sufficient */
+		scheduler->newest_record = scheduler->callbacks.write_record(
+			WWH_SCHEDULER_RECORD_JOB, job->id, NULL,
+			scheduler->callbacks.client_data);
 	}
 }
 
@@ -138,7 +138,7 @@
 				   strlen(upstream->info.endpoint));
 	msgpack_pack_str_with_body(&packer, upstream->info.pool,
 				   strlen(upstream->info.pool));
-	msgpack_pack_int64(&packer, upstream->kept_lease_ms);
+	msgpack_pack_int64(&packer, upstream->recorded_lease_ms);
 	bytes = g_bytes_new(buffer.data, buffer.size);
 	msgpack_sbuffer_destroy(&buffer);
 	return bytes;
@@ -201,13 +201,13 @@
 		msgpack_pack_int64(packer, failures->runs[i]);
 }
 
-static bool array_of(const msgpack_object *object, uint32_t least)
+static bool has_array_size(const msgpack_object *object, uint32_t min_size)
 {
 	return object->type == MSGPACK_OBJECT_ARRAY &&
-	       object->via.array.size >= least;
+	       object->via.array.size >= min_size;
 }
 
-static bool number_of(const msgpack_object *object, int64_t *number)
+static bool read_number(const msgpack_object *object, int64_t *number)
 {
 	if (object->type != MSGPACK_OBJECT_POSITIVE_INTEGER ||
 	    object->via.u64 > INT64_MAX)
@@ -216,8 +216,8 @@
 	return true;
 }
 
-/* Records of jobs without a workspace, and older ones, end before it. */
-static char *workspace_of(const msgpack_object *object)
+/* The workspace is absent in older records and in those of jobs without one. */
+static char *read_workspace(const msgpack_object *object)
 {
 	const msgpack_object *field;
 
@@ -238,15 +238,15 @@
 	int64_t ended_wall_ms;
 	int64_t started;
 
-	if (!wwh_job_id_valid(id) || !array_of(object, PROGRESS_FIELDS))
+	if (!wwh_job_id_valid(id) || !has_array_size(object, PROGRESS_FIELDS))
 		return false;
 	fields = object->via.array.ptr;
-	if (!number_of(&fields[0], &state) || state >= WWH_PROGRESS_UNKNOWN ||
-	    !number_of(&fields[1], &ended_wall_ms) ||
-	    !number_of(&fields[2], &started))
+	if (!read_number(&fields[0], &state) || state >= WWH_PROGRESS_UNKNOWN ||
+	    !read_number(&fields[1], &ended_wall_ms) ||
+	    !read_number(&fields[2], &started))
 		return false;
 	if (state == WWH_PROGRESS_QUEUED) {
-		/* the job itself is gone: nothing is left to be done */
+		/* without the record of the job there is nothing to restore */
 		if (job == NULL)
 			return true;
 		job->started = started != 0;
@@ -254,13 +254,13 @@
 	}
 	if (job == NULL) {
 		job = sched_job_add_ended(scheduler, id);
-		job->workspace = workspace_of(object);
+		job->workspace = read_workspace(object);
 	}
 	sched_job_found(scheduler, id);
 	job->state = (wwh_job_progress_t)state;
-	job->ended_ms =
-		scheduler->now_ms - CLAMP(scheduler->wall_ms - ended_wall_ms, 0,
-					  scheduler->options.forget_ms);
+	job->ended_ms = scheduler->now_ms -
+			CLAMP(scheduler->wall_ms - ended_wall_ms, 0,
+			      scheduler->options.ended_job_retention_ms);
 	return true;
 }
 
@@ -270,8 +270,8 @@
 	int64_t total = MAX(1, job->spec->repeat_count);
 	int64_t next;
 
-	if (!number_of(&fields[3], &next) || next > total ||
-	    !array_of(&fields[4], 0) || fields[4].via.array.size > total)
+	if (!read_number(&fields[3], &next) || next > total ||
+	    !has_array_size(&fields[4], 0) || fields[4].via.array.size > total)
 		return false;
 	for (uint32_t i = 0; i < fields[4].via.array.size; i++) {
 		if (!restore_occurrence(scheduler, job,
@@ -279,7 +279,7 @@
 			return false;
 	}
 	job->next_occurrence = MAX(job->next_occurrence, next);
-	/* an occurrence that was opened and isn't in the record is complete */
+	/* an occurrence that was opened and isn't in the record has completed */
 	job->occurrences_done =
 		job->next_occurrence - (int64_t)job->occurrences->len;
 	for (guint i = 0; i < job->occurrences->len; i++) {
@@ -299,11 +299,11 @@
 	const msgpack_object *steps;
 	int64_t number;
 
-	if (!array_of(object, OCCURRENCE_FIELDS) ||
-	    !number_of(&object->via.array.ptr[0], &number))
+	if (!has_array_size(object, OCCURRENCE_FIELDS) ||
+	    !read_number(&object->via.array.ptr[0], &number))
 		return false;
 	steps = &object->via.array.ptr[1];
-	if (!array_of(steps, (uint32_t)job->spec->step_count))
+	if (!has_array_size(steps, (uint32_t)job->spec->step_count))
 		return false;
 	if (job->spec->repeat_count > 0) {
 		if (number < job->next_occurrence ||
@@ -331,7 +331,7 @@
 	const msgpack_object_bin *done;
 	int32_t count = step->spec->task_count;
 
-	if (!array_of(object, STEP_FIELDS))
+	if (!has_array_size(object, STEP_FIELDS))
 		return false;
 	fields = object->via.array.ptr;
 	if (fields[0].type != MSGPACK_OBJECT_BIN ||
@@ -353,15 +353,15 @@
 
 static bool restore_failed_tasks(sched_step_t *step, const msgpack_object *rows)
 {
-	if (!array_of(rows, 0))
+	if (!has_array_size(rows, 0))
 		return false;
 	for (uint32_t i = 0; i < rows->via.array.size; i++) {
 		const msgpack_object *row = &rows->via.array.ptr[i];
 		sched_task_t *task;
 		int64_t index;
 
-		if (!array_of(row, FAILED_FIELDS) ||
-		    !number_of(&row->via.array.ptr[0], &index) ||
+		if (!has_array_size(row, FAILED_FIELDS) ||
+		    !read_number(&row->via.array.ptr[0], &index) ||
 		    index >= step->spec->task_count)
 			return false;
 		task = &step->tasks[index];
@@ -376,12 +376,12 @@
 static bool restore_failures(sched_failures_t *failures,
 			     const msgpack_object *runs)
 {
-	if (!array_of(runs, 0))
+	if (!has_array_size(runs, 0))
 		return false;
 	for (uint32_t i = 0; i < runs->via.array.size; i++) {
 		int64_t run;
 
-		if (!number_of(&runs->via.array.ptr[i], &run))
+		if (!read_number(&runs->via.array.ptr[i], &run))
 			return false;
 		(void)sched_failures_add(failures, run);
 	}
@@ -395,7 +395,7 @@
 	sched_upstream_t *upstream;
 	const msgpack_object *fields;
 
-	if (!array_of(object, UPSTREAM_FIELDS))
+	if (!has_array_size(object, UPSTREAM_FIELDS))
 		return false;
 	fields = object->via.array.ptr;
 	if (fields[0].type != MSGPACK_OBJECT_STR ||
@@ -410,14 +410,14 @@
 	info.pool = g_strndup(fields[1].via.str.ptr, fields[1].via.str.size);
 	upstream = sched_upstream_add(scheduler, &info);
 	upstream->inherited = true;
-	upstream->kept_asked = true;
-	upstream->kept_lease_ms = restore_lease_ms(scheduler, object);
+	upstream->record_written = true;
+	upstream->recorded_lease_ms = restore_lease_ms(scheduler, object);
 	upstream->pool->unsettled++;
 	wwh_upstream_info_clear(&info);
 	return true;
 }
 
-/* A record that doesn't say it stands for the longest one. */
+/* A record without a lease implies the longest possible one. */
 static int64_t restore_lease_ms(const wwh_scheduler_t *scheduler,
 				const msgpack_object *object)
 {
@@ -425,7 +425,7 @@
 	int64_t lease_ms;
 
 	if (object->via.array.size <= UPSTREAM_FIELDS ||
-	    !number_of(&object->via.array.ptr[UPSTREAM_FIELDS], &lease_ms) ||
+	    !read_number(&object->via.array.ptr[UPSTREAM_FIELDS], &lease_ms) ||
 	    lease_ms <= 0)
 		return longest_ms;
 	return MIN(lease_ms, longest_ms);
@@ -451,7 +451,8 @@
 		   msgpack_unpacked *unpacked, wwh_message_t *message)
 {
 	if (!wwh_msgpack_bounded(value, size, RECORD_DEPTH)) {
-		wwh_message_set(message, "not one whole MessagePack value");
+		wwh_message_set(message,
+				"expected one complete MessagePack value");
 		return false;
 	}
 	msgpack_unpacked_init(unpacked);
--- a/src/libwaxwinghollow/scheduler_task.c
+++ b/src/libwaxwinghollow/scheduler_task.c
@@ -5,30 +5,31 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Beyond the bound above: when an answer is taken in late on our side. */
+/* Added to the computed end of a lease, for answers that we process late. */
 #define LAPSE_MARGIN_MS 60
 
 /*
- * A holder dates leases by an upstream's clock as it was at the last answer.
- * On a clock that is 2% slow it is ahead by this where that was 5 s ago; what
- * doesn't answer for that long gets no orders.
+ * A holder computes the end of a lease from the upstream's clock at its last
+ * answer. If that clock is 2% slow and the answer 5 s old, the computed time is
+ * ahead by this. An upstream that hasn't answered for that long gets no orders.
  */
 #define CLOCK_AHEAD_MS 100
 
-static void take_room(wwh_scheduler_t *scheduler, sched_task_t *task,
-		      sched_upstream_t *upstream);
-static void free_room(sched_task_t *task);
-static void leave_upstream(wwh_scheduler_t *scheduler, sched_task_t *task);
+static void attach_to_upstream(wwh_scheduler_t *scheduler, sched_task_t *task,
+			       sched_upstream_t *upstream);
+static void release_load(sched_task_t *task);
+static void detach_from_upstream(wwh_scheduler_t *scheduler,
+				 sched_task_t *task);
 
 sched_task_state_t sched_task_state(const sched_task_t *task)
 {
 	return (sched_task_state_t)task->machine.state;
 }
 
-bool sched_task_is_out(const wwh_scheduler_t *scheduler,
-		       const sched_task_t *task)
+bool sched_task_is_outstanding(const wwh_scheduler_t *scheduler,
+			       const sched_task_t *task)
 {
-	return wwh_chart_has_tag(&task->machine, scheduler->out_tag);
+	return wwh_chart_has_tag(&task->machine, scheduler->outstanding_tag);
 }
 
 void sched_task_name(const sched_task_t *task, char *name)
@@ -44,23 +45,23 @@
 		      int32_t *step, int32_t *index)
 {
 	long long numbers[3];
-	const char *at = name + WWH_JOB_ID_CHARS;
+	const char *cursor = name + WWH_JOB_ID_CHARS;
 	char *end;
 
 	if (strnlen(name, WWH_TASK_NAME_BYTES) <= WWH_JOB_ID_CHARS)
 		return false;
 	for (int32_t i = 0; i < 3; i++) {
-		if (*at != '.' || !g_ascii_isdigit(at[1]))
+		if (*cursor != '.' || !g_ascii_isdigit(cursor[1]))
 			return false;
-		numbers[i] = strtoll(at + 1, &end, 10);
-		at = end;
+		numbers[i] = strtoll(cursor + 1, &end, 10);
+		cursor = end;
 	}
 	memcpy(id, name, WWH_JOB_ID_CHARS);
 	id[WWH_JOB_ID_CHARS] = '\0';
 	*occurrence = numbers[0];
 	*step = (int32_t)MIN(numbers[1], INT32_MAX);
 	*index = (int32_t)MIN(numbers[2], INT32_MAX);
-	return *at == '\0';
+	return *cursor == '\0';
 }
 
 void sched_task_start(wwh_scheduler_t *scheduler, sched_task_t *task,
@@ -81,13 +82,13 @@
 	g_assert(run > task->run);
 	g_assert(sched_job_is_live(task->step->occurrence->job));
 	/*
-	 * Asked of what is started, not of what is out: a new holder finds
-	 * tasks that were started on ends which it hasn't heard of yet.
+	 * Checked for starts only, not for outstanding tasks: a new holder
+	 * finds tasks whose start followed from ends that it hasn't received.
 	 */
 	g_assert(sched_step_is_ready(task->step));
 	task->run = run;
 	sched_task_event(scheduler, task, TASK_ORDER);
-	take_room(scheduler, task, upstream);
+	attach_to_upstream(scheduler, task, upstream);
 	task->order_in_flight = true;
 	task->stop_sent_ms = 0;
 	task->stop_confirmed_ms = 0;
@@ -96,12 +97,12 @@
 	task->adopted_ms = 0;
 	task->percent = 0;
 	task->percent_ms = scheduler->now_ms;
-	if (task->away_ms == 0)
-		task->away_ms = scheduler->now_ms;
+	if (task->unavailable_since_ms == 0)
+		task->unavailable_since_ms = scheduler->now_ms;
 	task->step->occurrence->job->started = true;
 	sched_task_name(task, order.task);
-	order.lease_until_remote_ms = sched_lease_until(scheduler, upstream);
-	scheduler->calls.start(&order, scheduler->calls.client_data);
+	order.lease_until_remote_ms = sched_lease_extend(scheduler, upstream);
+	scheduler->callbacks.start(&order, scheduler->callbacks.client_data);
 }
 
 void sched_task_adopt(wwh_scheduler_t *scheduler, sched_task_t *task,
@@ -110,14 +111,14 @@
 	g_assert(sched_task_state(task) == TASK_WAITING);
 	task->run = MAX(task->run, run);
 	sched_task_event(scheduler, task, TASK_LISTED);
-	take_room(scheduler, task, upstream);
+	attach_to_upstream(scheduler, task, upstream);
 	task->order_in_flight = false;
 	task->stop_sent_ms = 0;
 	task->stop_confirmed_ms = 0;
 	task->pace = 100;
 	task->pace_wanted = 100;
 	task->percent_ms = scheduler->now_ms;
-	task->away_ms = scheduler->now_ms;
+	task->unavailable_since_ms = scheduler->now_ms;
 	task->adopted_ms = scheduler->now_ms;
 	task->inherited = false;
 	task->step->occurrence->job->started = true;
@@ -126,17 +127,18 @@
 void sched_task_event(wwh_scheduler_t *scheduler, sched_task_t *task,
 		      sched_task_event_t event)
 {
-	bool was_out = sched_task_is_out(scheduler, task);
+	bool was_out = sched_task_is_outstanding(scheduler, task);
 	sched_task_state_t before = sched_task_state(task);
 
 	(void)wwh_chart_step(&task->machine, event, scheduler->now_ms, task);
 	if (sched_task_state(task) == before)
 		return;
 	task->changed_ms = scheduler->now_ms;
-	if (was_out && !sched_task_is_out(scheduler, task)) {
-		if (task->step->spec->lasting && task->away_ms == 0)
-			task->away_ms = scheduler->now_ms;
-		leave_upstream(scheduler, task);
+	if (was_out && !sched_task_is_outstanding(scheduler, task)) {
+		if (task->step->spec->lasting &&
+		    task->unavailable_since_ms == 0)
+			task->unavailable_since_ms = scheduler->now_ms;
+		detach_from_upstream(scheduler, task);
 		task->step->occurrence->job->pool->dirty = true;
 	}
 }
@@ -153,7 +155,7 @@
 	sched_task_event(scheduler, task, TASK_STOP);
 	task->stop_sent_ms = scheduler->now_ms;
 	task->order_in_flight = true;
-	scheduler->calls.stop(&order, scheduler->calls.client_data);
+	scheduler->callbacks.stop(&order, scheduler->callbacks.client_data);
 }
 
 void sched_task_set_checkpoint(sched_task_t *task, const char *checkpoint)
@@ -165,13 +167,13 @@
 	task->checkpoint = g_strdup(checkpoint);
 }
 
-int64_t sched_lease_asked_ms(const wwh_scheduler_t *scheduler)
+int64_t sched_lease_requested_ms(const wwh_scheduler_t *scheduler)
 {
 	return MIN(scheduler->options.lease_ms,
 		   scheduler->options.lease_max_ms);
 }
 
-int64_t sched_lease_left_ms(int64_t lease_ms)
+int64_t sched_lease_max_remaining_ms(int64_t lease_ms)
 {
 	return (lease_ms + CLOCK_AHEAD_MS) * PERMILLE /
 		       (PERMILLE - CLOCK_SLOW_PERMILLE) +
@@ -179,14 +181,14 @@
 }
 
 /*
- * A lease that was ever asked for counts from then on: the order may arrive
- * late, and a lease is never shortened by a later one.
+ * A lease counts from the moment it was requested, because the order may arrive
+ * late. A later request never shortens it.
  */
-int64_t sched_lease_until(const wwh_scheduler_t *scheduler,
-			  sched_upstream_t *upstream)
+int64_t sched_lease_extend(const wwh_scheduler_t *scheduler,
+			   sched_upstream_t *upstream)
 {
-	int64_t lease_ms =
-		MIN(sched_lease_asked_ms(scheduler), upstream->kept_lease_ms);
+	int64_t lease_ms = MIN(sched_lease_requested_ms(scheduler),
+			       upstream->recorded_lease_ms);
 	int64_t remote_ms;
 
 	if (upstream->clock_base_remote_ms == 0)
@@ -200,28 +202,29 @@
 }
 
 /*
- * A holder before may have asked for a longer lease than this one does. An
- * upstream that answers once and falls silent keeps its tasks to the end of
- * that lease; started elsewhere before, they would run twice.
+ * A previous holder may have requested a longer lease than this one does. An
+ * upstream that answers once and then becomes unreachable runs its tasks until
+ * that lease ends. Started elsewhere earlier, they would run twice.
  */
 void sched_lease_inherit(sched_upstream_t *upstream, int64_t remote_ms)
 {
-	upstream->inherited_until_remote_ms =
-		remote_ms + upstream->kept_lease_ms + CLOCK_AHEAD_MS;
+	upstream->inherited_lease_until_remote_ms =
+		remote_ms + upstream->recorded_lease_ms + CLOCK_AHEAD_MS;
 }
 
 void sched_lease_recompute(sched_upstream_t *upstream)
 {
-	int64_t until_remote_ms = MAX(upstream->lease_until_remote_ms,
-				      upstream->inherited_until_remote_ms);
+	int64_t until_remote_ms =
+		MAX(upstream->lease_until_remote_ms,
+		    upstream->inherited_lease_until_remote_ms);
 	int64_t left_ms = until_remote_ms - upstream->clock_base_remote_ms;
 
 	if (until_remote_ms == 0)
 		return;
-	upstream->lapsed_ms =
+	upstream->lease_end_ms =
 		upstream->clock_base_ms + LAPSE_MARGIN_MS +
 		left_ms * PERMILLE / (PERMILLE - CLOCK_SLOW_PERMILLE) + 1;
-	upstream->lapse_done = false;
+	upstream->lease_end_handled = false;
 }
 
 void sched_explain(const wwh_scheduler_t *scheduler, const char *event,
@@ -233,18 +236,18 @@
 	va_start(arguments, format);
 	vsnprintf(detail, sizeof(detail), format, arguments);
 	va_end(arguments);
-	scheduler->calls.explain(event, subject, detail,
-				 scheduler->calls.client_data);
+	scheduler->callbacks.explain(event, subject, detail,
+				     scheduler->callbacks.client_data);
 }
 
-static void take_room(wwh_scheduler_t *scheduler, sched_task_t *task,
-		      sched_upstream_t *upstream)
+static void attach_to_upstream(wwh_scheduler_t *scheduler, sched_task_t *task,
+			       sched_upstream_t *upstream)
 {
-	wwh_load_t taken = sched_step_taken(task->step->spec);
+	wwh_load_t taken = sched_step_reserved_load(task->step->spec);
 
 	g_assert(task->upstream == NULL);
 	task->upstream = upstream;
-	/* polls tell of its ends */
+	/* polls report ends, so the idle gap is cut short */
 	if (upstream->idle_gap_ms > 0)
 		upstream->next_poll_ms =
 			MIN(upstream->next_poll_ms, scheduler->now_ms);
@@ -253,13 +256,13 @@
 	wwh_workspace_quota_add(scheduler->quota,
 				task->step->occurrence->job->workspace,
 				&task->step->spec->need);
-	task->step->out++;
-	task->step->occurrence->job->out++;
+	task->step->outstanding++;
+	task->step->occurrence->job->outstanding++;
 }
 
-static void free_room(sched_task_t *task)
+static void release_load(sched_task_t *task)
 {
-	wwh_load_t taken = sched_step_taken(task->step->spec);
+	wwh_load_t taken = sched_step_reserved_load(task->step->spec);
 	sched_upstream_t *upstream = task->upstream;
 
 	wwh_load_subtract(&upstream->used, &taken);
@@ -267,17 +270,17 @@
 	g_assert(upstream->used.memory_mb >= 0);
 }
 
-static void leave_upstream(wwh_scheduler_t *scheduler, sched_task_t *task)
+static void detach_from_upstream(wwh_scheduler_t *scheduler, sched_task_t *task)
 {
 	g_assert(task->upstream != NULL);
-	free_room(task);
+	release_load(task);
 	wwh_workspace_quota_subtract(scheduler->quota,
 				     task->step->occurrence->job->workspace,
 				     &task->step->spec->need);
 	g_ptr_array_remove_fast(task->upstream->tasks, task);
 	task->upstream = NULL;
 	task->order_in_flight = false;
-	task->step->out--;
-	task->step->occurrence->job->out--;
-	g_assert(task->step->out >= 0);
+	task->step->outstanding--;
+	task->step->occurrence->job->outstanding--;
+	g_assert(task->step->outstanding >= 0);
 }
--- a/src/test_host_duties/crew.h
+++ b/src/test_host_duties/crew.h
@@ -62,12 +62,12 @@
 	crew->completed += completed;
 }
 
-static inline int64_t crew_keep(wwh_keep_kind_t kind, const char *key,
-				GBytes *value, void *data)
+static inline int64_t crew_keep(wwh_scheduler_record_kind_t kind,
+				const char *key, GBytes *value, void *data)
 {
 	crew_t *crew = data;
 
-	assert_int_equal(kind, WWH_KEEP_WAVE);
+	assert_int_equal(kind, WWH_SCHEDULER_RECORD_WAVE);
 	assert_non_null(key);
 	assert_non_null(value);
 	return ++crew->record;
@@ -89,7 +89,7 @@
 		.upkeep = crew_upkeep,
 		.move = crew_move,
 		.report = crew_report,
-		.keep = crew_keep,
+		.write_record = crew_keep,
 		.explain = crew_explain,
 		.client_data = crew,
 	};
--- a/src/test_host_duties/test_host_duties.c
+++ b/src/test_host_duties/test_host_duties.c
@@ -15,8 +15,9 @@
 	crew_hosts(crew, 1, true, WWH_HOST_UP);
 	crew_run(crew, 600);
 	crew_hosts(crew, 1, true, WWH_HOST_UPKEEP);
-	assert_int_equal(wwh_scheduler_counts(crew->rig->scheduler).tasks_out,
-			 0);
+	assert_int_equal(
+		wwh_scheduler_counts(crew->rig->scheduler).tasks_outstanding,
+		0);
 }
 
 /*
@@ -125,11 +126,13 @@
 	crew_bad_host(crew, "h1");
 	crew_listed(crew);
 	crew_run(crew, 600);
-	assert_int_equal(wwh_scheduler_counts(crew->rig->scheduler).tasks_out,
-			 1);
+	assert_int_equal(
+		wwh_scheduler_counts(crew->rig->scheduler).tasks_outstanding,
+		1);
 	crew_hosts(crew, 1, true, WWH_HOST_UP);
-	assert_int_equal(wwh_scheduler_counts(crew->rig->scheduler).tasks_out,
-			 1);
+	assert_int_equal(
+		wwh_scheduler_counts(crew->rig->scheduler).tasks_outstanding,
+		1);
 }
 
 int main(void)
--- a/src/test_host_duties/test_incarnations.c
+++ b/src/test_host_duties/test_incarnations.c
@@ -27,7 +27,7 @@
 {
 	wwh_job_t *job = rig_job(JOB_A, 1, 1000);
 	rig_order_t order;
-	wwh_ended_t ended;
+	wwh_ended_task_t ended;
 
 	rig_add_upstream(crew->rig, "u1", "10.0.0.1:1");
 	rig_add_upstream(crew->rig, "u2", "10.0.0.2:1");
--- a/src/test_host_duties/test_moves.c
+++ b/src/test_host_duties/test_moves.c
@@ -300,8 +300,8 @@
 {
 	crew_t *crew = *state;
 	wwh_job_t *job = rig_job(JOB_A, 2, 1000);
-	wwh_running_t rows[2];
-	wwh_ended_t ended;
+	wwh_running_task_t rows[2];
+	wwh_ended_task_t ended;
 
 	wwh_host_duties_pool(crew->duties, RIG_POOL, false);
 	wwh_host_duties_pool(crew->duties, "rest", true);
--- a/src/test_host_duties/test_waves.c
+++ b/src/test_host_duties/test_waves.c
@@ -78,7 +78,7 @@
 void an_upkeep_that_was_done_before_ends_no_task(void **state)
 {
 	crew_t *crew = *state;
-	wwh_running_t running;
+	wwh_running_task_t running;
 
 	rig_add_upstream(crew->rig, "u1", "10.0.0.1:1");
 	rig_submit(crew->rig, rig_job(JOB_A, 1, 1000));
@@ -95,8 +95,9 @@
 	assert_int_equal(crew->upkeeps->len, 1);
 	wwh_host_duties_upkeep_ended(crew->duties, "h1", WAVE, WWH_DUTY_DONE,
 				     crew->rig->now_ms);
-	assert_int_equal(wwh_scheduler_counts(crew->rig->scheduler).tasks_out,
-			 1);
+	assert_int_equal(
+		wwh_scheduler_counts(crew->rig->scheduler).tasks_outstanding,
+		1);
 	rig_run(crew->rig, 100);
 	assert_int_equal(crew->rig->starts->len, 1);
 	/* listed as up with the same life: it gets work again */
@@ -182,9 +183,9 @@
 	rig_t *rig = crew->rig;
 	wwh_job_t *kept = rig_job(JOB_A, 1, 1000);
 	wwh_job_t *spread = rig_job("00000000000000bb", 2, 1000);
-	wwh_running_t rows[2][2];
+	wwh_running_task_t rows[2][2];
 	int32_t counts[2] = { 0, 0 };
-	wwh_ended_t ended;
+	wwh_ended_task_t ended;
 
 	wwh_host_duties_pool(crew->duties, RIG_POOL, false);
 	wwh_host_duties_pool(crew->duties, "rest", true);
--- a/src/test_scheduler/rig.h
+++ b/src/test_scheduler/rig.h
@@ -110,11 +110,12 @@
 	g_strlcpy(rig->advised_step, order->step, sizeof(rig->advised_step));
 }
 
-static inline int64_t rig_keep(wwh_keep_kind_t kind, const char *key,
-			       GBytes *value, void *data)
+static inline int64_t rig_keep(wwh_scheduler_record_kind_t kind,
+			       const char *key, GBytes *value, void *data)
 {
 	rig_t *rig = data;
-	char *whole = g_strconcat(wwh_keep_kind_names[kind], key, NULL);
+	char *whole =
+		g_strconcat(wwh_scheduler_record_kind_names[kind], key, NULL);
 
 	if (value == NULL)
 		g_hash_table_remove(rig->records, whole);
@@ -136,13 +137,13 @@
 
 static inline wwh_scheduler_t *rig_scheduler(rig_t *rig)
 {
-	wwh_scheduler_calls_t calls = {
+	wwh_scheduler_callbacks_t calls = {
 		.start = rig_start,
 		.stop = rig_stop,
 		.poll = rig_poll,
 		.pace = rig_pace,
 		.advise = rig_advise,
-		.keep = rig_keep,
+		.write_record = rig_keep,
 		.explain = rig_explain,
 		.client_data = rig,
 	};
@@ -162,7 +163,7 @@
 					     (GDestroyNotify)g_bytes_unref);
 	rig->now_ms = 100000;
 	rig->scheduler = rig_scheduler(rig);
-	wwh_scheduler_restored(rig->scheduler, rig->now_ms, RIG_WALL_MS);
+	wwh_scheduler_finish_restore(rig->scheduler, rig->now_ms, RIG_WALL_MS);
 	return rig;
 }
 
@@ -191,9 +192,10 @@
 /* The process ends and another takes over from what the store has. */
 static inline void rig_take_over(rig_t *rig)
 {
-	static const wwh_keep_kind_t kinds[] = { WWH_KEEP_JOB,
-						 WWH_KEEP_PROGRESS,
-						 WWH_KEEP_UPSTREAM };
+	static const wwh_scheduler_record_kind_t kinds[] = {
+		WWH_SCHEDULER_RECORD_JOB, WWH_SCHEDULER_RECORD_PROGRESS,
+		WWH_SCHEDULER_RECORD_UPSTREAM
+	};
 	wwh_message_t message = { "" };
 
 	wwh_scheduler_delete(rig->scheduler);
@@ -211,7 +213,7 @@
 			const uint8_t *data = g_bytes_get_data(value, &size);
 
 			if (((char *)key)[0] !=
-			    wwh_keep_kind_names[kinds[i]][0])
+			    wwh_scheduler_record_kind_names[kinds[i]][0])
 				continue;
 			assert_int_equal(
 				wwh_scheduler_restore(
@@ -223,8 +225,8 @@
 				g_strcmp0(rig->damaged, key) != 0);
 		}
 	}
-	wwh_scheduler_restored(rig->scheduler, rig->now_ms,
-			       RIG_WALL_MS + rig->now_ms - 100000);
+	wwh_scheduler_finish_restore(rig->scheduler, rig->now_ms,
+				     RIG_WALL_MS + rig->now_ms - 100000);
 }
 
 static inline void rig_run(rig_t *rig, int64_t forward_ms)
@@ -288,9 +290,9 @@
 
 /* Answers the poll at id. The upstream's clock is ours plus 5 s. */
 static inline rig_poll_t rig_answer_poll(rig_t *rig, const char *id,
-					 const wwh_running_t *running,
+					 const wwh_running_task_t *running,
 					 int32_t running_count,
-					 const wwh_ended_t *ended,
+					 const wwh_ended_task_t *ended,
 					 int32_t ended_count)
 {
 	rig_poll_t poll = rig_take_poll(rig, id);
@@ -300,7 +302,7 @@
 		.running_count = running_count,
 		.ended = ended,
 		.ended_count = ended_count,
-		.ended_in_full = true,
+		.ended_complete = true,
 	};
 
 	wwh_scheduler_polled(rig->scheduler, id, &answer, poll.sent_ms,
@@ -358,29 +360,30 @@
 static inline void rig_start_ended(rig_t *rig, const rig_order_t *order,
 				   wwh_order_result_t result)
 {
-	wwh_scheduler_start_ended(rig->scheduler, order->upstream, order->task,
-				  order->run, result, rig->now_ms);
+	wwh_scheduler_handle_start_result(rig->scheduler, order->upstream,
+					  order->task, order->run, result,
+					  rig->now_ms);
 	wwh_scheduler_check(rig->scheduler);
 }
 
-static inline wwh_running_t rig_running(const rig_order_t *order,
-					int32_t percent)
+static inline wwh_running_task_t rig_running(const rig_order_t *order,
+					     int32_t percent)
 {
-	wwh_running_t row = { .run = order->run,
-			      .checkpoint = "",
-			      .percent = percent };
+	wwh_running_task_t row = { .run = order->run,
+				   .checkpoint = "",
+				   .percent = percent };
 
 	g_strlcpy(row.task, order->task, sizeof(row.task));
 	return row;
 }
 
-static inline wwh_ended_t rig_ended(const rig_order_t *order, int64_t number,
-				    wwh_end_kind_t kind)
+static inline wwh_ended_task_t rig_ended(const rig_order_t *order,
+					 int64_t number, wwh_end_kind_t kind)
 {
-	wwh_ended_t row = { .number = number,
-			    .run = order->run,
-			    .kind = kind,
-			    .checkpoint = "" };
+	wwh_ended_task_t row = { .number = number,
+				 .run = order->run,
+				 .kind = kind,
+				 .checkpoint = "" };
 
 	g_strlcpy(row.task, order->task, sizeof(row.task));
 	return row;
--- a/src/test_scheduler/test_damage.c
+++ b/src/test_scheduler/test_damage.c
@@ -52,7 +52,7 @@
 	rig_t *rig = *state;
 	rig_order_t order = start_one(rig);
 	char *key = g_strconcat("U", order.upstream, NULL);
-	wwh_running_t row = rig_running(&order, 50);
+	wwh_running_task_t row = rig_running(&order, 50);
 
 	rig_damage(rig, key);
 	take_over_with_the_other(rig, &order);
@@ -64,7 +64,8 @@
 	rig_run(rig, 1);
 	assert_int_equal(rig->starts->len, 1);
 	assert_int_equal(rig->stops->len, 0);
-	assert_int_equal(wwh_scheduler_counts(rig->scheduler).tasks_out, 1);
+	assert_int_equal(wwh_scheduler_counts(rig->scheduler).tasks_outstanding,
+			 1);
 	assert_int_equal(wwh_scheduler_counts(rig->scheduler).unsettled, 0);
 	g_free(key);
 }
@@ -105,7 +106,7 @@
 {
 	rig_t *rig = *state;
 	rig_order_t order = start_one(rig);
-	wwh_running_t row = rig_running(&order, 50);
+	wwh_running_task_t row = rig_running(&order, 50);
 
 	rig_damage(rig, "J" JOB_A);
 	rig_take_over(rig);
@@ -127,7 +128,7 @@
 {
 	rig_t *rig = *state;
 	rig_order_t order;
-	wwh_ended_t end;
+	wwh_ended_task_t end;
 
 	rig_submit(rig, rig_job(JOB_A, 2, 5000));
 	order = *rig_order(rig->starts, 0);
--- a/src/test_scheduler/test_final_reports.c
+++ b/src/test_scheduler/test_final_reports.c
@@ -28,7 +28,7 @@
 {
 	rig_t *rig = *state;
 	rig_order_t order = run_one_task(rig);
-	wwh_ended_t ended = rig_ended(&order, 1, WWH_END_DONE);
+	wwh_ended_task_t ended = rig_ended(&order, 1, WWH_END_DONE);
 
 	wwh_scheduler_upstream_gone(rig->scheduler, order.upstream, "upkeep",
 				    rig->now_ms);
@@ -51,7 +51,7 @@
 {
 	rig_t *rig = *state;
 	rig_order_t order = run_one_task(rig);
-	wwh_ended_t ended = rig_ended(&order, 1, WWH_END_DONE);
+	wwh_ended_task_t ended = rig_ended(&order, 1, WWH_END_DONE);
 	const char *other = strcmp(order.upstream, "u1") == 0 ? "u2" : "u1";
 	GHashTable *lives = g_hash_table_new(g_str_hash, g_str_equal);
 
@@ -99,7 +99,7 @@
 {
 	rig_t *rig = *state;
 	rig_order_t order = run_one_task(rig);
-	wwh_ended_t ended = rig_ended(&order, 1, WWH_END_DONE);
+	wwh_ended_task_t ended = rig_ended(&order, 1, WWH_END_DONE);
 	const char *other = strcmp(order.upstream, "u1") == 0 ? "u2" : "u1";
 
 	rig_answer_poll(rig, order.upstream, NULL, 0, &ended, 1);
--- a/src/test_scheduler/test_idle.c
+++ b/src/test_scheduler/test_idle.c
@@ -33,7 +33,7 @@
 	for (guint i = rig->polls->len; i-- > 0;) {
 		rig_poll_t poll = g_array_index(rig->polls, rig_poll_t, i);
 		wwh_poll_answer_t answer = { .remote_ms = rig->now_ms + 5000,
-					     .ended_in_full = false };
+					     .ended_complete = false };
 
 		if (rig->now_ms - poll.sent_ms < poll.wait_ms)
 			continue;
--- a/src/test_scheduler/test_jobs.c
+++ b/src/test_scheduler/test_jobs.c
@@ -9,7 +9,7 @@
 	rig_t *rig = *state;
 	wwh_job_t *job = wwh_job_new(2);
 	wwh_job_t *like = rig_job(JOB_A, 2, 1000);
-	wwh_ended_t ended[2];
+	wwh_ended_task_t ended[2];
 
 	g_strlcpy(job->id, like->id, sizeof(job->id));
 	wwh_job_queue_copy(&job->queue, &like->queue);
@@ -30,7 +30,7 @@
 	}
 	rig_run(rig, 500);
 	{
-		wwh_running_t second =
+		wwh_running_task_t second =
 			rig_running(rig_order(rig->starts, 1), 50);
 
 		rig_answer_poll(rig, "u1", &second, 1, ended, 1);
@@ -50,7 +50,7 @@
 
 	rig_submit(rig, rig_job(JOB_A, 1, 1000));
 	for (guint i = 0; i < 3; i++) {
-		wwh_ended_t ended;
+		wwh_ended_task_t ended;
 
 		assert_int_equal(rig->starts->len, i + 1);
 		ended = rig_ended(rig_order(rig->starts, i), i + 1,
@@ -84,8 +84,8 @@
 {
 	rig_t *rig = *state;
 	wwh_job_t *job = rig_job(JOB_A, 1, 1000);
-	wwh_ended_t first;
-	wwh_ended_t second;
+	wwh_ended_task_t first;
+	wwh_ended_task_t second;
 
 	job->queue.max_attempts = 2;
 	rig_submit(rig, job);
@@ -122,8 +122,8 @@
 {
 	rig_t *rig = *state;
 	wwh_job_t *job = rig_job(JOB_A, 1, 1000);
-	wwh_running_t running;
-	wwh_ended_t ended[2];
+	wwh_running_task_t running;
+	wwh_ended_task_t ended[2];
 
 	job->queue.max_attempts = 2;
 	rig_submit(rig, job);
@@ -193,7 +193,7 @@
 {
 	rig_t *rig = *state;
 	wwh_job_t *job = rig_job(JOB_A, 2, 6000);
-	wwh_ended_t ended;
+	wwh_ended_task_t ended;
 
 	job->steps[0].gang = true;
 	rig_submit(rig, job);
@@ -218,7 +218,7 @@
 	job->steps[0].lasting = true;
 	rig_submit(rig, job);
 	for (guint i = 0; i < G_N_ELEMENTS(kinds); i++) {
-		wwh_ended_t ended;
+		wwh_ended_task_t ended;
 
 		assert_int_equal(rig->starts->len, i + 1);
 		ended = rig_ended(rig_order(rig->starts, i), i + 1, kinds[i]);
--- a/src/test_scheduler/test_runs.c
+++ b/src/test_scheduler/test_runs.c
@@ -27,8 +27,9 @@
 	assert_int_equal(rig->stops->len, 1);
 	rig_run(rig, 500);
 	assert_int_equal(rig->starts->len, 1);
-	wwh_scheduler_stop_ended(rig->scheduler, order.upstream, order.task,
-				 order.run, WWH_ORDER_DONE, rig->now_ms);
+	wwh_scheduler_handle_stop_result(rig->scheduler, order.upstream,
+					 order.task, order.run, WWH_ORDER_DONE,
+					 rig->now_ms);
 	/* this poll was sent before the stop was confirmed */
 	rig_answer_poll(rig, order.upstream, NULL, 0, NULL, 0);
 	rig_run(rig, 500);
@@ -42,7 +43,7 @@
 void an_unanswered_start_that_is_listed_goes_on(void **state)
 {
 	rig_t *rig = *state;
-	wwh_running_t running;
+	wwh_running_task_t running;
 
 	rig_submit(rig, rig_job(JOB_A, 1, 1000));
 	rig_start_ended(rig, rig_order(rig->starts, 0), WWH_ORDER_UNKNOWN);
@@ -88,7 +89,7 @@
 void a_new_holder_asks_each_upstream_before_it_starts(void **state)
 {
 	rig_t *rig = *state;
-	wwh_running_t running;
+	wwh_running_task_t running;
 	rig_order_t order;
 
 	rig_submit(rig, rig_job(JOB_A, 1, 1000));
@@ -102,7 +103,8 @@
 	rig_run(rig, 1000);
 	assert_int_equal(rig->starts->len, 1);
 	assert_int_equal(rig->stops->len, 0);
-	assert_int_equal(wwh_scheduler_counts(rig->scheduler).tasks_out, 1);
+	assert_int_equal(wwh_scheduler_counts(rig->scheduler).tasks_outstanding,
+			 1);
 }
 
 /* The record of upstream id, as a version wrote it that kept no lease. */
@@ -210,7 +212,7 @@
 {
 	wwh_job_t *job = rig_job(JOB_A, 1, 1000);
 	rig_order_t order;
-	wwh_ended_t ended;
+	wwh_ended_task_t ended;
 
 	job->steps[0].lasting = true;
 	rig_submit(rig, job);
@@ -310,7 +312,7 @@
 		    SHORT_LEASE_MS);
 	rig_start_ended(rig, order, WWH_ORDER_DONE);
 	for (int32_t i = 0; i < 40; i++) {
-		wwh_running_t running = rig_running(order, i);
+		wwh_running_task_t running = rig_running(order, i);
 
 		rig_run(rig, 100);
 		assert_true(rig_poll_of(rig, "u1").lease_until_remote_ms -
@@ -324,7 +326,7 @@
 void an_orphan_run_is_stopped_until_it_is_gone(void **state)
 {
 	rig_t *rig = *state;
-	wwh_running_t orphan = {
+	wwh_running_task_t orphan = {
 		.task = JOB_B ".0.0.0", .run = 3, .checkpoint = "", .percent = 5
 	};
 
@@ -346,7 +348,7 @@
 void a_task_that_stands_still_is_started_elsewhere(void **state)
 {
 	rig_t *rig = *state;
-	wwh_running_t running;
+	wwh_running_task_t running;
 	rig_order_t order;
 
 	rig_submit(rig, rig_job(JOB_A, 1, 1000));
@@ -361,7 +363,7 @@
 	rig_add_upstream(rig, "u2", AT_2);
 	assert_int_equal(rig->starts->len, 1);
 	{
-		wwh_ended_t ended = rig_ended(&order, 1, WWH_END_STOPPED);
+		wwh_ended_task_t ended = rig_ended(&order, 1, WWH_END_STOPPED);
 
 		rig_run(rig, 500);
 		rig_answer_poll(rig, "u1", NULL, 0, &ended, 1);
@@ -374,7 +376,7 @@
 void a_task_that_goes_on_slowly_is_left_alone(void **state)
 {
 	rig_t *rig = *state;
-	wwh_running_t running;
+	wwh_running_task_t running;
 
 	rig_submit(rig, rig_job(JOB_A, 1, 1000));
 	rig_start_ended(rig, rig_order(rig->starts, 0), WWH_ORDER_DONE);
@@ -396,7 +398,7 @@
 {
 	rig_t *rig = *state;
 	int64_t ordered_ms = rig->now_ms;
-	wwh_running_t running;
+	wwh_running_task_t running;
 	rig_order_t order;
 
 	rig_submit(rig, rig_job(JOB_A, 1, 1000));
@@ -426,7 +428,7 @@
 	rig_t *rig = *state;
 	int64_t taken_over_ms;
 	int64_t lease_until_ms = 0;
-	wwh_running_t running;
+	wwh_running_task_t running;
 	rig_order_t order;
 	const char *idle;
 
@@ -499,7 +501,7 @@
 	for (int32_t i = 0; i < 600 && failures < 12; i++) {
 		const rig_order_t *order =
 			rig_order(rig->starts, rig->starts->len - 1);
-		wwh_ended_t ended =
+		wwh_ended_task_t ended =
 			rig_ended(order, rig->starts->len, WWH_END_FAILED);
 
 		if (failures < (int32_t)rig->starts->len) {
--- a/src/test_scheduler/test_scheduler.c
+++ b/src/test_scheduler/test_scheduler.c
@@ -73,7 +73,7 @@
 {
 	rig_t *rig = *state;
 	rig_order_t order;
-	wwh_ended_t ended;
+	wwh_ended_task_t ended;
 
 	rig_submit(rig, rig_job(JOB_A, 1, 1000));
 	assert_int_equal(rig->starts->len, 1);
@@ -108,7 +108,7 @@
 static void a_completed_job_is_shown_once_it_is_durable(void **state)
 {
 	rig_t *rig = *state;
-	wwh_ended_t ended;
+	wwh_ended_task_t ended;
 
 	rig_submit(rig, rig_job(JOB_A, 1, 1000));
 	rig_run(rig, 500);
@@ -130,7 +130,7 @@
 static void an_end_is_covered_only_by_its_own_record(void **state)
 {
 	rig_t *rig = *state;
-	wwh_ended_t ended;
+	wwh_ended_task_t ended;
 	rig_poll_t poll;
 	int64_t record;
 
@@ -162,18 +162,18 @@
 static void ends_without_progress_are_acknowledged_too(void **state)
 {
 	rig_t *rig = *state;
-	wwh_ended_t ended = { .number = 1,
-			      .task = JOB_B ".0.0.0",
-			      .run = 1,
-			      .kind = WWH_END_STOPPED,
-			      .checkpoint = "" };
+	wwh_ended_task_t ended = { .number = 1,
+				   .task = JOB_B ".0.0.0",
+				   .run = 1,
+				   .kind = WWH_END_STOPPED,
+				   .checkpoint = "" };
 	rig_poll_t poll;
 
 	rig_run(rig, 500);
 	rig_answer_poll(rig, "u1", NULL, 0, &ended, 1);
-	assert_true(wwh_scheduler_unflushed(rig->scheduler));
+	assert_true(wwh_scheduler_has_unflushed(rig->scheduler));
 	rig_durable(rig);
-	assert_false(wwh_scheduler_unflushed(rig->scheduler));
+	assert_false(wwh_scheduler_has_unflushed(rig->scheduler));
 	rig_run(rig, 500);
 	poll = rig_answer_poll(rig, "u1", NULL, 0, NULL, 0);
 	assert_int_equal(poll.acked_upto, 1);
@@ -187,9 +187,9 @@
 static void ended_jobs_are_answered_for_after_a_change_of_holder(void **state)
 {
 	rig_t *rig = *state;
-	wwh_ended_t ended;
+	wwh_ended_task_t ended;
 
-	rig->now_ms += 10 * rig->options.forget_ms;
+	rig->now_ms += 10 * rig->options.ended_job_retention_ms;
 	rig_add_upstream(rig, "u1", AT_1);
 	rig_submit(rig, rig_job(JOB_A, 1, 1000));
 	rig_run(rig, 500);
@@ -200,7 +200,7 @@
 	rig_run(rig, 1500);
 	assert_int_equal(wwh_scheduler_job_state(rig->scheduler, JOB_A),
 			 WWH_PROGRESS_COMPLETED);
-	rig_run(rig, rig->options.forget_ms + 1500);
+	rig_run(rig, rig->options.ended_job_retention_ms + 1500);
 	assert_int_equal(wwh_scheduler_job_state(rig->scheduler, JOB_A),
 			 WWH_PROGRESS_UNKNOWN);
 }
@@ -237,18 +237,18 @@
 
 	(void)wwh_scheduler_submit(rig->scheduler, rig_job(JOB_A, 1, 1000),
 				   rig->now_ms, &record);
-	assert_true(wwh_scheduler_untouched(rig->scheduler, JOB_A));
-	wwh_scheduler_take_back(rig->scheduler, JOB_A);
+	assert_true(wwh_scheduler_job_is_discardable(rig->scheduler, JOB_A));
+	wwh_scheduler_discard_job(rig->scheduler, JOB_A);
 	wwh_scheduler_check(rig->scheduler);
 	assert_int_equal(wwh_scheduler_job_state(rig->scheduler, JOB_A),
 			 WWH_PROGRESS_UNKNOWN);
 	rig_submit(rig, rig_job(JOB_A, 1, 1000));
-	assert_false(wwh_scheduler_untouched(rig->scheduler, JOB_A));
+	assert_false(wwh_scheduler_job_is_discardable(rig->scheduler, JOB_A));
 	(void)wwh_scheduler_submit(rig->scheduler, rig_job(JOB_B, 1, 1000),
 				   rig->now_ms, &record);
 	assert_true(wwh_scheduler_cancel(rig->scheduler, JOB_B, rig->now_ms,
 					 &record));
-	assert_false(wwh_scheduler_untouched(rig->scheduler, JOB_B));
+	assert_false(wwh_scheduler_job_is_discardable(rig->scheduler, JOB_B));
 }
 
 int main(void)
--- a/src/test_scheduler/test_upstreams.c
+++ b/src/test_scheduler/test_upstreams.c
@@ -9,7 +9,7 @@
 
 /* The tasks of a serving job, by the upstream that they run on: u1, u2. */
 typedef struct {
-	wwh_running_t rows[2][SERVING_MAX];
+	wwh_running_task_t rows[2][SERVING_MAX];
 	int32_t counts[2];
 } serving_t;
 
@@ -74,7 +74,7 @@
 void a_host_stays_until_its_ends_are_durable(void **state)
 {
 	rig_t *rig = *state;
-	wwh_ended_t ended;
+	wwh_ended_task_t ended;
 
 	rig_submit(rig, rig_job(JOB_A, 1, 1000));
 	rig_run(rig, 500);
@@ -108,7 +108,7 @@
 	rig_run(rig, 500);
 	for (guint i = 0; i < 3; i++) {
 		rig_order_t *order = rig_order(rig->starts, i);
-		wwh_running_t running = rig_running(order, 100);
+		wwh_running_task_t running = rig_running(order, 100);
 
 		g_strlcpy(upstreams[i], order->upstream, sizeof(upstreams[i]));
 		rig_answer_poll(rig, upstreams[i], &running, 1, NULL, 0);
@@ -132,7 +132,7 @@
 	rig_t *rig = *state;
 	serving_t serving = serve(rig, rig_job(JOB_A, 4, 1000), 1);
 	rig_order_t *moved;
-	wwh_ended_t ended;
+	wwh_ended_task_t ended;
 
 	assert_int_equal(serving.counts[0], 2);
 	rig_run(rig, 500);
@@ -219,7 +219,7 @@
 {
 	rig_t *rig = *state;
 	wwh_job_t *job = rig_job(JOB_A, 2, 1000);
-	wwh_running_t rows[2];
+	wwh_running_task_t rows[2];
 
 	job->steps[0].lasting = true;
 	job->steps[0].max_unavailable = 1;
@@ -245,7 +245,7 @@
 	rig_t *rig = *state;
 	wwh_job_t *serving = rig_job(JOB_A, 1, 1000);
 	wwh_job_t *filler = rig_job(JOB_B, 1, 1000);
-	wwh_running_t rows[2];
+	wwh_running_task_t rows[2];
 
 	serving->steps[0].lasting = true;
 	serving->steps[0].latency_target_ms = 200;
@@ -262,16 +262,17 @@
 	rig_answer_poll(rig, "u1", rows, 2, NULL, 0);
 	assert_int_equal(rig->paces, 1);
 	assert_int_equal(rig->last_pace, 0);
-	wwh_scheduler_pace_ended(rig->scheduler, "u1", rows[1].task, 1,
-				 WWH_ORDER_DONE, rig->now_ms);
+	wwh_scheduler_handle_pace_result(rig->scheduler, "u1", rows[1].task, 1,
+					 WWH_ORDER_DONE, rig->now_ms);
 	rows[0].tail_ms = 50;
 	for (int32_t pace = 25; pace <= 100; pace += 25) {
 		rig_run(rig, 1000);
 		rows[1].percent = pace;
 		rig_answer_poll(rig, "u1", rows, 2, NULL, 0);
 		assert_int_equal(rig->last_pace, pace);
-		wwh_scheduler_pace_ended(rig->scheduler, "u1", rows[1].task, 1,
-					 WWH_ORDER_DONE, rig->now_ms);
+		wwh_scheduler_handle_pace_result(rig->scheduler, "u1",
+						 rows[1].task, 1,
+						 WWH_ORDER_DONE, rig->now_ms);
 	}
 	rig_run(rig, 1000);
 	rig_answer_poll(rig, "u1", rows, 2, NULL, 0);
@@ -291,8 +292,8 @@
 	assert_int_equal(rig->advices, 1);
 	assert_int_equal(rig->advised_upstreams, 2);
 	assert_string_equal(rig->advised_step, JOB_A ".0.0");
-	wwh_scheduler_advised(rig->scheduler, JOB_A ".0.0", &admitted, 1, 3000,
-			      rig->now_ms);
+	wwh_scheduler_handle_advice(rig->scheduler, JOB_A ".0.0", &admitted, 1,
+				    3000, rig->now_ms);
 	rig_run(rig, 1);
 	assert_int_equal(rig->starts->len, 8);
 	for (guint i = 0; i < 8; i++)
@@ -342,8 +343,8 @@
 {
 	rig_t *rig = *state;
 	wwh_job_t *job = rig_job(JOB_A, 5, 1000);
-	wwh_running_t running[2];
-	wwh_ended_t ended;
+	wwh_running_task_t running[2];
+	wwh_ended_task_t ended;
 
 	job->workspace = g_strdup("w");
 	limit_cpu(rig, 2000);
@@ -410,8 +411,8 @@
 	job->queue.advice_valid_ms = 3000;
 	rig_submit(rig, job);
 	assert_int_equal(rig->advices, 1);
-	wwh_scheduler_advised(rig->scheduler, JOB_A ".0.0", &admitted, 1, 3000,
-			      rig->now_ms);
+	wwh_scheduler_handle_advice(rig->scheduler, JOB_A ".0.0", &admitted, 1,
+				    3000, rig->now_ms);
 	rig_run(rig, 1);
 	assert_int_equal(rig->starts->len, 1);
 	rig_start_ended(rig, rig_order(rig->starts, 0), WWH_ORDER_NO_TICKET);
