--- a/src/test_host_duties/crew.h
+++ b/src/test_host_duties/crew.h
@@ -10,7 +10,7 @@
  *	look at, and short calls say what lists of hosts show.
  */
 
-#include "../test_scheduler/rig.h"
+#include "../test_scheduler/sched_fixture.h"
 
 #include "waxwinghollow/host_duties.h"
 
@@ -18,7 +18,7 @@
 #define WAVE 7
 
 typedef struct {
-	rig_t *rig;
+	sched_fixture_t *rig;
 	wwh_host_duties_t *duties;
 	wwh_host_duties_options_t options;
 	int32_t lists; /* that were asked for */
@@ -101,7 +101,7 @@
 {
 	crew_t *crew = g_new0(crew_t, 1);
 
-	crew->rig = rig_new();
+	crew->rig = sched_fixture_new();
 	crew->options.scheduler = crew->rig->scheduler;
 	crew->options.upkeep_ms = 2000;
 	crew->options.move_ms = 1500;
@@ -123,7 +123,7 @@
 static inline void crew_delete(crew_t *crew)
 {
 	wwh_host_duties_delete(crew->duties);
-	rig_delete(crew->rig);
+	sched_fixture_delete(crew->rig);
 	g_ptr_array_unref(crew->upkeeps);
 	g_ptr_array_unref(crew->moves);
 	g_free(crew);
@@ -179,7 +179,7 @@
 
 		snprintf(name, sizeof(name), "h%d", i);
 		snprintf(upstream, sizeof(upstream), "u%d", i);
-		crew_host(crew, name, RIG_POOL,
+		crew_host(crew, name, SCHED_FIXTURE_POOL,
 			  with_upstreams ? upstream : NULL,
 			  i == 1 ? first_state : WWH_HOST_UP);
 	}
@@ -221,8 +221,9 @@
 				   crew->rig->now_ms);
 	crew_run(crew, crew->options.move_ms);
 	wwh_host_duties_list_begin(crew->duties);
-	crew_host(crew, strcmp(host, "h1") == 0 ? "h2" : "h1", RIG_POOL,
-		  strcmp(host, "h1") == 0 ? "u2" : "u1", WWH_HOST_UP);
+	crew_host(crew, strcmp(host, "h1") == 0 ? "h2" : "h1",
+		  SCHED_FIXTURE_POOL, strcmp(host, "h1") == 0 ? "u2" : "u1",
+		  WWH_HOST_UP);
 	crew_host(crew, host, "rest", NULL, WWH_HOST_UP);
 	crew_listed(crew);
 	g_free(host);
