--- a/include/waxwinghollow/scheduler.h
+++ b/include/waxwinghollow/scheduler.h
@@ -343,17 +343,17 @@
 /* Counts the accepted jobs of a queue none of whose tasks has started. */
 int32_t wwh_scheduler_pending(wwh_scheduler_t *scheduler, const char *queue);
 
-void wwh_scheduler_upstream_seen(wwh_scheduler_t *scheduler,
-				 const wwh_upstream_info_t *info,
-				 int64_t now_ms);
+void wwh_scheduler_upstream_announced(wwh_scheduler_t *scheduler,
+				      const wwh_upstream_info_t *info,
+				      int64_t now_ms);
 /*
  * The announcement of the upstream can't be read. It receives no new tasks until
  * a readable announcement arrives. The tasks that it runs continue.
  */
 void wwh_scheduler_upstream_unreadable(wwh_scheduler_t *scheduler,
 				       const char *id, int64_t now_ms);
-void wwh_scheduler_upstream_left(wwh_scheduler_t *scheduler, const char *id,
-				 int64_t now_ms);
+void wwh_scheduler_upstream_withdrawn(wwh_scheduler_t *scheduler,
+				      const char *id, int64_t now_ms);
 /* Whether the upstream is announced and its latest announcement is readable. */
 bool wwh_scheduler_upstream_listed(const wwh_scheduler_t *scheduler,
 				   const char *id);
@@ -362,14 +362,15 @@
  * runs any more. why must stay valid as long as the scheduler. An answer to a
  * poll that is still in flight counts if it arrives soon.
  */
-void wwh_scheduler_upstream_gone(wwh_scheduler_t *scheduler, const char *id,
-				 const char *why, int64_t now_ms);
+void wwh_scheduler_upstream_terminated(wwh_scheduler_t *scheduler,
+				       const char *id, const char *why,
+				       int64_t now_ms);
 
 /*
  * A list of hosts is about to be requested. It is believed only if it has each
  * upstream that is announced and has answered by now.
  */
-void wwh_scheduler_incarnations_asked(wwh_scheduler_t *scheduler);
+void wwh_scheduler_incarnations_requested(wwh_scheduler_t *scheduler);
 /*
  * A complete list of the incarnations that hosts run, requested after the
  * takeover, as a set of ids. An inherited upstream that hasn't answered has
@@ -380,15 +381,18 @@
 				       GHashTable *incarnations,
 				       int64_t now_ms);
 
-void wwh_scheduler_polled(wwh_scheduler_t *scheduler, const char *upstream,
-			  const wwh_poll_answer_t *answer, int64_t sent_ms,
-			  int64_t now_ms);
+void wwh_scheduler_handle_poll_answer(wwh_scheduler_t *scheduler,
+				      const char *upstream,
+				      const wwh_poll_answer_t *answer,
+				      int64_t sent_ms, int64_t now_ms);
 /* refused: the connection was refused, rather than left without an answer */
-void wwh_scheduler_poll_failed(wwh_scheduler_t *scheduler, const char *upstream,
-			       bool refused, int64_t now_ms);
+void wwh_scheduler_handle_poll_failure(wwh_scheduler_t *scheduler,
+				       const char *upstream, bool refused,
+				       int64_t now_ms);
 /* Another incarnation answered the poll, so that of this id has terminated. */
-void wwh_scheduler_poll_found_other(wwh_scheduler_t *scheduler, const char *id,
-				    int64_t now_ms);
+void wwh_scheduler_handle_poll_other_incarnation(wwh_scheduler_t *scheduler,
+						 const char *id,
+						 int64_t now_ms);
 
 void wwh_scheduler_handle_start_result(wwh_scheduler_t *scheduler,
 				       const char *upstream, const char *task,
@@ -449,8 +453,8 @@
 						const char *upstream);
 
 /* Input of wwh_pool_sizing_wanted. */
-wwh_pool_figures_t wwh_scheduler_pool_figures(wwh_scheduler_t *scheduler,
-					      const char *pool);
+wwh_pool_demand_t wwh_scheduler_pool_demand(wwh_scheduler_t *scheduler,
+					    const char *pool);
 
 typedef struct {
 	int32_t jobs;
--- a/src/bench/bench_scheduler.c
+++ b/src/bench/bench_scheduler.c
@@ -42,8 +42,8 @@
 	char id[16];
 
 	snprintf(id, sizeof(id), "u%d", number);
-	wwh_scheduler_polled(rig->scheduler, id, &answer, rig->now_ms,
-			     rig->now_ms);
+	wwh_scheduler_handle_poll_answer(rig->scheduler, id, &answer,
+					 rig->now_ms, rig->now_ms);
 }
 
 static void run_row(const size_row_t *row)
--- a/src/libwaxwinghollow/include/private/scheduler_state.h
+++ b/src/libwaxwinghollow/include/private/scheduler_state.h
@@ -236,11 +236,12 @@
 #define SCHED_POOL_UNKNOWN ""
 
 /* scheduler_lost.c: handles records that can't be read */
-void sched_job_lose(wwh_scheduler_t *scheduler, const char *id, bool accepted);
-void sched_job_found(wwh_scheduler_t *scheduler, const char *id);
+void sched_job_mark_lost(wwh_scheduler_t *scheduler, const char *id,
+			 bool accepted);
+void sched_job_clear_lost(wwh_scheduler_t *scheduler, const char *id);
 bool sched_task_is_lost(const wwh_scheduler_t *scheduler, const char *name);
-void sched_lost_jobs_forget(wwh_scheduler_t *scheduler);
-void sched_upstream_lose_record(wwh_scheduler_t *scheduler, const char *id);
+void sched_lost_jobs_expire(wwh_scheduler_t *scheduler);
+void sched_upstream_add_unlocated(wwh_scheduler_t *scheduler, const char *id);
 bool sched_upstream_is_located(const sched_upstream_t *upstream);
 void sched_upstream_locate(wwh_scheduler_t *scheduler,
 			   sched_upstream_t *upstream, const char *pool);
@@ -349,8 +350,8 @@
 void sched_upstreams_flushed(wwh_scheduler_t *scheduler);
 void sched_upstreams_durable(wwh_scheduler_t *scheduler);
 /* Marks the outstanding runs at upstream as lost: they have certainly ended. */
-void sched_upstream_lose_all(wwh_scheduler_t *scheduler,
-			     sched_upstream_t *upstream, const char *why);
+void sched_upstream_lose_tasks(wwh_scheduler_t *scheduler,
+			       sched_upstream_t *upstream, const char *why);
 bool sched_upstream_usable(const wwh_scheduler_t *scheduler,
 			   const sched_upstream_t *upstream);
 void sched_upstream_failed(wwh_scheduler_t *scheduler,
@@ -373,13 +374,13 @@
 /* Polls an upstream that has answered this holder before. */
 void sched_poll_if_due(wwh_scheduler_t *scheduler, sched_upstream_t *upstream);
 /* Polls the upstreams that haven't answered this holder yet. */
-void sched_poll_first(wwh_scheduler_t *scheduler);
+void sched_poll_unsettled(wwh_scheduler_t *scheduler);
 
 /* scheduler_watch.c: processes answers to polls and lapsed leases */
 void sched_upstreams_run(wwh_scheduler_t *scheduler);
 
 /* scheduler_pace.c: called after each processed answer to a poll */
-void sched_pace(wwh_scheduler_t *scheduler, sched_upstream_t *upstream);
+void sched_pace_fillers(wwh_scheduler_t *scheduler, sched_upstream_t *upstream);
 
 /* scheduler_advice.c: tickets of queues whose policy names upstreams */
 bool sched_step_needs_advice(const sched_step_t *step);
@@ -395,8 +396,8 @@
 bool sched_task_fits_elsewhere(wwh_scheduler_t *scheduler, sched_task_t *task);
 
 /* scheduler_cordon.c */
-bool sched_may_end(const wwh_scheduler_t *scheduler,
-		   const sched_upstream_t *upstream);
+bool sched_upstream_may_terminate(const wwh_scheduler_t *scheduler,
+				  const sched_upstream_t *upstream);
 void sched_cordon_run(wwh_scheduler_t *scheduler);
 
 #endif
--- a/src/libwaxwinghollow/job_holder_orders.c
+++ b/src/libwaxwinghollow/job_holder_orders.c
@@ -202,21 +202,21 @@
 	result = wire_upstream_polled(answer, &poll);
 	switch (result) {
 	case WWH_ORDER_DONE:
-		wwh_scheduler_polled(holder->scheduler, order->upstream,
-				     &poll.rows, order->sent_ms,
-				     holder->now_ms);
+		wwh_scheduler_handle_poll_answer(
+			holder->scheduler, order->upstream, &poll.rows,
+			order->sent_ms, holder->now_ms);
 		break;
 	case WWH_ORDER_OTHER_INCARNATION:
-		wwh_scheduler_poll_found_other(holder->scheduler,
-					       order->upstream, holder->now_ms);
+		wwh_scheduler_handle_poll_other_incarnation(
+			holder->scheduler, order->upstream, holder->now_ms);
 		break;
 	case WWH_ORDER_FENCED:
 		job_holder_lose(holder, "fenced-at-poll");
 		break;
 	default:
-		wwh_scheduler_poll_failed(holder->scheduler, order->upstream,
-					  answer->outcome == WWH_CALL_REFUSED,
-					  holder->now_ms);
+		wwh_scheduler_handle_poll_failure(
+			holder->scheduler, order->upstream,
+			answer->outcome == WWH_CALL_REFUSED, holder->now_ms);
 		break;
 	}
 	wire_upstream_poll_clear(&poll);
--- a/src/libwaxwinghollow/scheduler.c
+++ b/src/libwaxwinghollow/scheduler.c
@@ -159,7 +159,7 @@
 			g_clear_pointer(&job, wwh_job_delete);
 		}
 		if (job == NULL) {
-			sched_job_lose(scheduler, key, true);
+			sched_job_mark_lost(scheduler, key, true);
 			return false;
 		}
 		age_ms = MAX(0, wall_ms - job->accepted_wall_ms);
@@ -169,13 +169,13 @@
 		if (sched_progress_restore(scheduler, key, value, size,
 					   message))
 			return true;
-		sched_job_lose(scheduler, key, false);
+		sched_job_mark_lost(scheduler, key, false);
 		return false;
 	case WWH_SCHEDULER_RECORD_UPSTREAM:
 		if (sched_upstream_restore(scheduler, key, value, size,
 					   message))
 			return true;
-		sched_upstream_lose_record(scheduler, key);
+		sched_upstream_add_unlocated(scheduler, key);
 		return false;
 	default:
 		return true;
@@ -262,7 +262,7 @@
 	if (job == NULL && wwh_scheduler_job_lost(scheduler, id)) {
 		job = sched_job_add_ended(scheduler, id);
 		job->state = WWH_PROGRESS_QUEUED;
-		sched_job_found(scheduler, id);
+		sched_job_clear_lost(scheduler, id);
 	}
 	if (job == NULL)
 		return false;
@@ -335,8 +335,8 @@
 		return;
 	}
 	if (result == WWH_ORDER_OTHER_INCARNATION) {
-		wwh_scheduler_upstream_gone(scheduler, upstream, "restarted",
-					    now_ms);
+		wwh_scheduler_upstream_terminated(scheduler, upstream,
+						  "restarted", now_ms);
 		return;
 	}
 	handle_refused_start(scheduler, task, result);
@@ -351,8 +351,8 @@
 
 	scheduler->now_ms = MAX(scheduler->now_ms, now_ms);
 	if (result == WWH_ORDER_OTHER_INCARNATION) {
-		wwh_scheduler_upstream_gone(scheduler, upstream, "restarted",
-					    now_ms);
+		wwh_scheduler_upstream_terminated(scheduler, upstream,
+						  "restarted", now_ms);
 		return;
 	}
 	task = find_ordered_task(scheduler, upstream, name, run);
--- a/src/libwaxwinghollow/scheduler_poll.c
+++ b/src/libwaxwinghollow/scheduler_poll.c
@@ -86,7 +86,7 @@
 		send_poll(scheduler, upstream);
 }
 
-void sched_poll_first(wwh_scheduler_t *scheduler)
+void sched_poll_unsettled(wwh_scheduler_t *scheduler)
 {
 	GPtrArray *due = g_ptr_array_new();
 	GHashTableIter iterator;
--- a/src/libwaxwinghollow/scheduler_upstream.c
+++ b/src/libwaxwinghollow/scheduler_upstream.c
@@ -89,7 +89,7 @@
 	sched_explain(scheduler, "upstream-gone", upstream->info.id,
 		      "why=%s endpoint=%s tasks=%u", why,
 		      upstream->info.endpoint, upstream->tasks->len);
-	sched_upstream_lose_all(scheduler, upstream, why);
+	sched_upstream_lose_tasks(scheduler, upstream, why);
 	if (upstream->inherited && !upstream->settled)
 		sched_pool_settle_one(scheduler, upstream->pool);
 	g_ptr_array_remove_fast(upstream->pool->upstreams, upstream);
@@ -224,9 +224,9 @@
 	}
 }
 
-void wwh_scheduler_upstream_seen(wwh_scheduler_t *scheduler,
-				 const wwh_upstream_info_t *info,
-				 int64_t now_ms)
+void wwh_scheduler_upstream_announced(wwh_scheduler_t *scheduler,
+				      const wwh_upstream_info_t *info,
+				      int64_t now_ms)
 {
 	sched_upstream_t *upstream = sched_upstream_find(scheduler, info->id);
 
@@ -279,8 +279,8 @@
 	return upstream != NULL && upstream->listed && !upstream->unreadable;
 }
 
-void wwh_scheduler_upstream_left(wwh_scheduler_t *scheduler, const char *id,
-				 int64_t now_ms)
+void wwh_scheduler_upstream_withdrawn(wwh_scheduler_t *scheduler,
+				      const char *id, int64_t now_ms)
 {
 	sched_upstream_t *upstream = sched_upstream_find(scheduler, id);
 
@@ -298,8 +298,9 @@
  * Its final report may be in transit or unread. If it lists the end of a task, the
  * task would be started again and run twice, so a pending poll is awaited first.
  */
-void wwh_scheduler_upstream_gone(wwh_scheduler_t *scheduler, const char *id,
-				 const char *why, int64_t now_ms)
+void wwh_scheduler_upstream_terminated(wwh_scheduler_t *scheduler,
+				       const char *id, const char *why,
+				       int64_t now_ms)
 {
 	sched_upstream_t *upstream = sched_upstream_find(scheduler, id);
 
@@ -330,7 +331,7 @@
  * no host ran. One that answers first after the list was asked for says nothing
  * of the list.
  */
-void wwh_scheduler_incarnations_asked(wwh_scheduler_t *scheduler)
+void wwh_scheduler_incarnations_requested(wwh_scheduler_t *scheduler)
 {
 	GHashTableIter iterator;
 	gpointer value;
@@ -404,15 +405,15 @@
 		if (g_hash_table_contains(incarnations, upstream->info.id))
 			upstream->without_host_ms = 0;
 		else if (has_no_host(scheduler, upstream))
-			wwh_scheduler_upstream_gone(scheduler,
-						    upstream->info.id,
-						    "no-host", now_ms);
+			wwh_scheduler_upstream_terminated(scheduler,
+							  upstream->info.id,
+							  "no-host", now_ms);
 	}
 	g_list_free(all);
 }
 
-void sched_upstream_lose_all(wwh_scheduler_t *scheduler,
-			     sched_upstream_t *upstream, const char *why)
+void sched_upstream_lose_tasks(wwh_scheduler_t *scheduler,
+			       sched_upstream_t *upstream, const char *why)
 {
 	while (upstream->tasks->len > 0) {
 		sched_task_t *task = g_ptr_array_index(upstream->tasks, 0);
--- a/src/libwaxwinghollow/scheduler_watch.c
+++ b/src/libwaxwinghollow/scheduler_watch.c
@@ -59,9 +59,10 @@
 static void keep_upstream(wwh_scheduler_t *scheduler,
 			  sched_upstream_t *upstream);
 
-void wwh_scheduler_polled(wwh_scheduler_t *scheduler, const char *id,
-			  const wwh_poll_answer_t *answer, int64_t sent_ms,
-			  int64_t now_ms)
+void wwh_scheduler_handle_poll_answer(wwh_scheduler_t *scheduler,
+				      const char *id,
+				      const wwh_poll_answer_t *answer,
+				      int64_t sent_ms, int64_t now_ms)
 {
 	sched_upstream_t *upstream = sched_upstream_find(scheduler, id);
 
@@ -93,7 +94,7 @@
 	if (answer->ended_complete)
 		find_lost(scheduler, upstream, answer, sent_ms);
 	stop_hanging(scheduler, upstream);
-	sched_pace(scheduler, upstream);
+	sched_pace_fillers(scheduler, upstream);
 	settle(scheduler, upstream);
 	upstream->idle_gap_ms = sched_poll_idle_gap_ms(scheduler, upstream);
 	upstream->next_poll_ms =
@@ -102,8 +103,9 @@
 	upstream->pool->dirty = true;
 }
 
-void wwh_scheduler_poll_failed(wwh_scheduler_t *scheduler, const char *id,
-			       bool refused, int64_t now_ms)
+void wwh_scheduler_handle_poll_failure(wwh_scheduler_t *scheduler,
+				       const char *id, bool refused,
+				       int64_t now_ms)
 {
 	sched_upstream_t *upstream = sched_upstream_find(scheduler, id);
 
@@ -131,14 +133,14 @@
 		sched_upstream_remove(scheduler, upstream, "refused");
 }
 
-void wwh_scheduler_poll_found_other(wwh_scheduler_t *scheduler, const char *id,
-				    int64_t now_ms)
+void wwh_scheduler_handle_poll_other_incarnation(wwh_scheduler_t *scheduler,
+						 const char *id, int64_t now_ms)
 {
 	sched_upstream_t *upstream = sched_upstream_find(scheduler, id);
 
 	if (upstream != NULL)
 		upstream->poll_in_flight = false;
-	wwh_scheduler_upstream_gone(scheduler, id, "restarted", now_ms);
+	wwh_scheduler_upstream_terminated(scheduler, id, "restarted", now_ms);
 }
 
 /* Removal while iterating: the ids of those to run are taken first. */
@@ -152,7 +154,7 @@
 		run_one(scheduler, at->data);
 	}
 	g_list_free(all);
-	sched_poll_first(scheduler);
+	sched_poll_unsettled(scheduler);
 }
 
 static void settle(wwh_scheduler_t *scheduler, sched_upstream_t *upstream)
@@ -466,7 +468,7 @@
 	if (upstream->lease_end_ms != 0 && now_ms >= upstream->lease_end_ms &&
 	    !upstream->lease_end_handled) {
 		upstream->lease_end_handled = true;
-		sched_upstream_lose_all(scheduler, upstream, "lease-lapsed");
+		sched_upstream_lose_tasks(scheduler, upstream, "lease-lapsed");
 		if (!upstream->listed) {
 			sched_upstream_remove(scheduler, upstream, "lapsed");
 			return;
--- a/src/test_fuzz/fuzz_records.c
+++ b/src/test_fuzz/fuzz_records.c
@@ -118,13 +118,14 @@
 	wwh_poll_answer_t answer = { .remote_ms = 5, .ended_complete = true };
 
 	wwh_scheduler_finish_restore(scheduler, NOW_MS, WALL_MS);
-	wwh_scheduler_upstream_seen(scheduler, &info, NOW_MS);
+	wwh_scheduler_upstream_announced(scheduler, &info, NOW_MS);
 	for (int32_t i = 1; i < 5; i++) {
 		int64_t now_ms = NOW_MS + i * INT64_C(6000);
 
 		wwh_scheduler_run(scheduler, now_ms,
 				  WALL_MS + i * INT64_C(6000));
-		wwh_scheduler_polled(scheduler, "u", &answer, now_ms, now_ms);
+		wwh_scheduler_handle_poll_answer(scheduler, "u", &answer,
+						 now_ms, now_ms);
 		wwh_scheduler_flush(scheduler, now_ms);
 		wwh_scheduler_set_durable(scheduler, i);
 		wwh_scheduler_check(scheduler);
--- a/src/test_fuzz/fuzz_scheduler.c
+++ b/src/test_fuzz/fuzz_scheduler.c
@@ -103,9 +103,9 @@
 	};
 
 	if (holder != NULL)
-		wwh_scheduler_polled(holder->scheduler, answer->order.upstream,
-				     &rows, answer->order.sent_ms,
-				     world.now_ms);
+		wwh_scheduler_handle_poll_answer(
+			holder->scheduler, answer->order.upstream, &rows,
+			answer->order.sent_ms, world.now_ms);
 	answer_free(answer);
 }
 
@@ -129,12 +129,12 @@
 			holder->scheduler, order->upstream, order->task,
 			order->run, result, world.now_ms);
 	else if (result == WWH_ORDER_OTHER_INCARNATION)
-		wwh_scheduler_poll_found_other(holder->scheduler,
-					       order->upstream, world.now_ms);
+		wwh_scheduler_handle_poll_other_incarnation(
+			holder->scheduler, order->upstream, world.now_ms);
 	else
-		wwh_scheduler_poll_failed(holder->scheduler, order->upstream,
-					  result == WWH_ORDER_NOT_DONE,
-					  world.now_ms);
+		wwh_scheduler_handle_poll_failure(
+			holder->scheduler, order->upstream,
+			result == WWH_ORDER_NOT_DONE, world.now_ms);
 }
 
 /*
@@ -414,8 +414,8 @@
 	default:
 		host->announced = !host->announced;
 		if (!host->announced)
-			wwh_scheduler_upstream_left(world.holder.scheduler,
-						    host->id, world.now_ms);
+			wwh_scheduler_upstream_withdrawn(
+				world.holder.scheduler, host->id, world.now_ms);
 		else if (host->up)
 			announce(&world.holder, host);
 		break;
@@ -436,7 +436,7 @@
 static void ask_for_list(void)
 {
 	world.list_holder = world.holder.number;
-	wwh_scheduler_incarnations_asked(world.holder.scheduler);
+	wwh_scheduler_incarnations_requested(world.holder.scheduler);
 	fill_list();
 }
 
--- a/src/test_fuzz/scheduler_holders.h
+++ b/src/test_fuzz/scheduler_holders.h
@@ -144,8 +144,8 @@
 	snprintf(endpoint, sizeof(endpoint), "h%d", (int)(host - world.hosts));
 	info.endpoint = endpoint;
 	if (host->announced)
-		wwh_scheduler_upstream_seen(holder->scheduler, &info,
-					    world.now_ms);
+		wwh_scheduler_upstream_announced(holder->scheduler, &info,
+						 world.now_ms);
 }
 
 static void restore(holder_t *holder)
--- a/src/test_host_duties/test_incarnations.c
+++ b/src/test_host_duties/test_incarnations.c
@@ -55,7 +55,8 @@
 		if (strcmp(poll.upstream, "u2") == 0)
 			sched_fixture_answer_poll(rig, "u2", NULL, 0, NULL, 0);
 	}
-	wwh_scheduler_poll_failed(rig->scheduler, "u1", false, rig->now_ms);
+	wwh_scheduler_handle_poll_failure(rig->scheduler, "u1", false,
+					  rig->now_ms);
 }
 
 static char *newcomer(const char *kind, int32_t number)
@@ -306,8 +307,8 @@
 	sched_fixture_run(crew->rig, 1);
 	sched_fixture_answer_poll(crew->rig, "u2", NULL, 0, NULL, 0);
 	sched_fixture_answer_poll(crew->rig, "u3", NULL, 0, NULL, 0);
-	wwh_scheduler_poll_failed(crew->rig->scheduler, "u1", false,
-				  crew->rig->now_ms);
+	wwh_scheduler_handle_poll_failure(crew->rig->scheduler, "u1", false,
+					  crew->rig->now_ms);
 	sched_fixture_make_durable(crew->rig);
 	crew_wave(crew, 3, 1);
 	wwh_host_duties_list_begin(crew->duties);
--- a/src/test_host_duties/test_moves.c
+++ b/src/test_host_duties/test_moves.c
@@ -252,8 +252,8 @@
 	crew_run(crew, 1);
 	crew_hosts(crew, 3, true, WWH_HOST_UP);
 	run_both(crew, 100);
-	wwh_scheduler_upstream_gone(crew->rig->scheduler, lost.upstream, "down",
-				    crew->rig->now_ms);
+	wwh_scheduler_upstream_terminated(crew->rig->scheduler, lost.upstream,
+					  "down", crew->rig->now_ms);
 	list_without(crew, 3, lost.upstream);
 	run_both(crew, 1000);
 	assert_int_equal(crew->rig->starts->len, 3);
--- a/src/test_scheduler/sched_fixture.h
+++ b/src/test_scheduler/sched_fixture.h
@@ -277,7 +277,8 @@
 		.leaving = leaving,
 	};
 
-	wwh_scheduler_upstream_seen(fixture->scheduler, &info, fixture->now_ms);
+	wwh_scheduler_upstream_announced(fixture->scheduler, &info,
+					 fixture->now_ms);
 }
 
 /* The index of the newest unanswered poll at id. The test fails without one. */
@@ -330,8 +331,8 @@
 		.ended_complete = true,
 	};
 
-	wwh_scheduler_polled(fixture->scheduler, id, &answer, poll.sent_ms,
-			     fixture->now_ms);
+	wwh_scheduler_handle_poll_answer(fixture->scheduler, id, &answer,
+					 poll.sent_ms, fixture->now_ms);
 	wwh_scheduler_check(fixture->scheduler);
 	return poll;
 }
--- a/src/test_scheduler/test_backlog.c
+++ b/src/test_scheduler/test_backlog.c
@@ -96,7 +96,8 @@
 	wwh_job_t *job = sched_fixture_job(JOB_B, 1, SMALL_MILLICORES);
 	int64_t record;
 
-	wwh_scheduler_upstream_seen(fixture->scheduler, &info, fixture->now_ms);
+	wwh_scheduler_upstream_announced(fixture->scheduler, &info,
+					 fixture->now_ms);
 	sched_fixture_run(fixture, 1);
 	sched_fixture_answer_poll(fixture, "l1", NULL, 0, NULL, 0);
 	sched_fixture_run(fixture, 1);
--- a/src/test_scheduler/test_final_reports.c
+++ b/src/test_scheduler/test_final_reports.c
@@ -24,15 +24,15 @@
  * upstream is gone, and the answer with the end a moment later. It had started
  * the task again by then: it ran a second time after it was done.
  */
-void an_end_that_is_read_after_its_hosts_counts(void **state)
+void an_end_read_after_the_host_list_counts(void **state)
 {
 	sched_fixture_t *fixture = *state;
 	sched_fixture_order_t order = run_one_task(fixture);
 	wwh_ended_task_t ended =
 		sched_fixture_ended_row(&order, 1, WWH_END_DONE);
 
-	wwh_scheduler_upstream_gone(fixture->scheduler, order.upstream,
-				    "upkeep", fixture->now_ms);
+	wwh_scheduler_upstream_terminated(fixture->scheduler, order.upstream,
+					  "upkeep", fixture->now_ms);
 	sched_fixture_run(fixture, 20);
 	assert_int_equal(fixture->starts->len, 1);
 	sched_fixture_answer_poll(fixture, order.upstream, NULL, 0, &ended, 1);
@@ -48,7 +48,7 @@
  * end of a task and goes; a list of hosts without it is read before that answer.
  * The task ran a second time.
  */
-void an_inherited_end_that_is_read_after_its_hosts_counts(void **state)
+void an_inherited_end_read_after_the_host_list_counts(void **state)
 {
 	sched_fixture_t *fixture = *state;
 	sched_fixture_order_t order = run_one_task(fixture);
@@ -62,7 +62,7 @@
 	sched_fixture_announce(fixture, other, ENDPOINT_2, false);
 	sched_fixture_answer_poll(fixture, other, NULL, 0, NULL, 0);
 	g_hash_table_add(lives, (gpointer)other);
-	wwh_scheduler_incarnations_asked(fixture->scheduler);
+	wwh_scheduler_incarnations_requested(fixture->scheduler);
 	wwh_scheduler_incarnations_listed(fixture->scheduler, lives,
 					  fixture->now_ms);
 	g_hash_table_destroy(lives);
@@ -79,13 +79,13 @@
 }
 
 /* The connection may be silent for good, and the task waits meanwhile. */
-void an_upstream_that_ended_is_heard_for_a_moment_only(void **state)
+void a_final_report_is_awaited_for_a_limited_time(void **state)
 {
 	sched_fixture_t *fixture = *state;
 	sched_fixture_order_t order = run_one_task(fixture);
 
-	wwh_scheduler_upstream_gone(fixture->scheduler, order.upstream,
-				    "upkeep", fixture->now_ms);
+	wwh_scheduler_upstream_terminated(fixture->scheduler, order.upstream,
+					  "upkeep", fixture->now_ms);
 	sched_fixture_run(fixture, 200);
 	assert_int_equal(fixture->starts->len, 2);
 	assert_string_not_equal(
@@ -99,7 +99,7 @@
  * is written: nothing tells of the end, nor of an upstream to ask. The task ran
  * again, 32 of them on one day.
  */
-void an_upstream_is_forgotten_after_its_ends_are_kept(void **state)
+void an_upstream_record_is_deleted_after_its_ends_are_written(void **state)
 {
 	sched_fixture_t *fixture = *state;
 	sched_fixture_order_t order = run_one_task(fixture);
@@ -108,8 +108,8 @@
 	const char *other = strcmp(order.upstream, "u1") == 0 ? "u2" : "u1";
 
 	sched_fixture_answer_poll(fixture, order.upstream, NULL, 0, &ended, 1);
-	wwh_scheduler_upstream_gone(fixture->scheduler, order.upstream,
-				    "upkeep", fixture->now_ms);
+	wwh_scheduler_upstream_terminated(fixture->scheduler, order.upstream,
+					  "upkeep", fixture->now_ms);
 	sched_fixture_run(fixture, 20);
 	sched_fixture_take_over(fixture);
 	sched_fixture_run(fixture, 20);
@@ -123,17 +123,17 @@
 			 WWH_PROGRESS_COMPLETED);
 }
 
-void an_upstream_that_ended_without_a_word_is_not_waited_for(void **state)
+void a_terminated_upstream_is_removed_when_its_poll_fails(void **state)
 {
 	sched_fixture_t *fixture = *state;
 	sched_fixture_order_t order = run_one_task(fixture);
 
-	wwh_scheduler_upstream_gone(fixture->scheduler, order.upstream,
-				    "upkeep", fixture->now_ms);
+	wwh_scheduler_upstream_terminated(fixture->scheduler, order.upstream,
+					  "upkeep", fixture->now_ms);
 	sched_fixture_run(fixture, 1);
 	(void)sched_fixture_pop_poll(fixture, order.upstream);
-	wwh_scheduler_poll_failed(fixture->scheduler, order.upstream, false,
-				  fixture->now_ms);
+	wwh_scheduler_handle_poll_failure(fixture->scheduler, order.upstream,
+					  false, fixture->now_ms);
 	sched_fixture_run(fixture, 1);
 	assert_int_equal(fixture->starts->len, 2);
 }
@@ -144,7 +144,7 @@
  * for good isn't asked ever more often; once it has answered, it has its usual
  * time again.
  */
-void a_first_answer_that_is_lost_is_asked_for_again_soon(void **state)
+void a_lost_first_answer_is_polled_for_again_soon(void **state)
 {
 	sched_fixture_t *fixture = *state;
 	sched_fixture_order_t order = run_one_task(fixture);
@@ -159,8 +159,9 @@
 		if (i == 0)
 			assert_in_range(poll.limit_ms, 100, 200);
 		fixture->now_ms += poll.limit_ms;
-		wwh_scheduler_poll_failed(fixture->scheduler, order.upstream,
-					  false, fixture->now_ms);
+		wwh_scheduler_handle_poll_failure(fixture->scheduler,
+						  order.upstream, false,
+						  fixture->now_ms);
 		sched_fixture_run(fixture, 20);
 	}
 	assert_in_range(waited_ms, 2000, 3000);
--- a/src/test_scheduler/test_idle.c
+++ b/src/test_scheduler/test_idle.c
@@ -40,8 +40,9 @@
 		if (fixture->now_ms - poll.sent_ms < poll.wait_ms)
 			continue;
 		g_array_remove_index_fast(fixture->polls, i);
-		wwh_scheduler_polled(fixture->scheduler, poll.upstream, &answer,
-				     poll.sent_ms, fixture->now_ms);
+		wwh_scheduler_handle_poll_answer(fixture->scheduler,
+						 poll.upstream, &answer,
+						 poll.sent_ms, fixture->now_ms);
 		count++;
 	}
 	return count;
@@ -66,7 +67,7 @@
  * Guards against a holder whose processor goes into polls at upstreams that run
  * nothing.
  */
-void many_idle_upstreams_share_a_rate_of_polls(void **state)
+void polls_of_many_idle_upstreams_are_rate_limited(void **state)
 {
 	sched_fixture_t *fixture = *state;
 
@@ -77,7 +78,7 @@
 }
 
 /* Guards against an ended upstream that is noticed late where polls cost little. */
-void few_idle_upstreams_are_polled_all_the_time(void **state)
+void few_idle_upstreams_are_polled_continuously(void **state)
 {
 	sched_fixture_t *fixture = *state;
 
--- a/src/test_scheduler/test_jobs.c
+++ b/src/test_scheduler/test_jobs.c
@@ -352,7 +352,7 @@
 	static const int64_t needs[] = { 8001, INT64_MAX / 2, INT64_MAX };
 	static const char *const ids[] = { JOB_A, JOB_B, "00000000000000cc" };
 	sched_fixture_t *fixture = *state;
-	wwh_pool_figures_t figures;
+	wwh_pool_demand_t figures;
 
 	for (size_t i = 0; i < G_N_ELEMENTS(needs); i++) {
 		wwh_job_t *job = sched_fixture_job(ids[i], 8, needs[i]);
@@ -361,13 +361,13 @@
 		job->steps[0].lasting = i == 1;
 		sched_fixture_submit(fixture, job);
 	}
-	figures = wwh_scheduler_pool_figures(fixture->scheduler,
-					     SCHED_FIXTURE_POOL);
+	figures = wwh_scheduler_pool_demand(fixture->scheduler,
+					    SCHED_FIXTURE_POOL);
 	assert_int_equal(fixture->starts->len, 0);
-	assert_int_equal(figures.work_left, 0);
-	assert_int_equal(figures.usable_now, 0);
-	assert_int_equal(figures.arrived_work, 0);
-	assert_int_equal(figures.arrived_usable, 0);
+	assert_int_equal(figures.remaining_work, 0);
+	assert_int_equal(figures.usable_millicores, 0);
+	assert_int_equal(figures.recent_work, 0);
+	assert_int_equal(figures.recent_millicores, 0);
 	assert_int_equal(figures.lasting, 0);
 }
 
@@ -376,13 +376,13 @@
 {
 	sched_fixture_t *fixture = *state;
 	wwh_job_t *job = sched_fixture_job(JOB_A, 10000, 1000);
-	wwh_pool_figures_t figures;
+	wwh_pool_demand_t figures;
 
 	job->steps[0].estimate_ms = INT64_MAX;
 	sched_fixture_submit(fixture, job);
-	figures = wwh_scheduler_pool_figures(fixture->scheduler,
-					     SCHED_FIXTURE_POOL);
-	assert_true(figures.work_left > 0);
-	assert_true(figures.work_left < INT64_MAX / 1000);
-	assert_true(figures.arrived_work > 0);
+	figures = wwh_scheduler_pool_demand(fixture->scheduler,
+					    SCHED_FIXTURE_POOL);
+	assert_true(figures.remaining_work > 0);
+	assert_true(figures.remaining_work < INT64_MAX / 1000);
+	assert_true(figures.recent_work > 0);
 }
--- a/src/test_scheduler/test_scheduler.c
+++ b/src/test_scheduler/test_scheduler.c
@@ -66,8 +66,8 @@
 			continue;
 		}
 		g_array_remove_index(fixture->polls, 0);
-		wwh_scheduler_poll_failed(fixture->scheduler, silent, false,
-					  fixture->now_ms);
+		wwh_scheduler_handle_poll_failure(fixture->scheduler, silent,
+						  false, fixture->now_ms);
 	}
 }
 
--- a/src/test_scheduler/test_upstreams.c
+++ b/src/test_scheduler/test_upstreams.c
@@ -134,7 +134,7 @@
  * be taken down, and the wave ended late with that host undone. Its tasks are
  * started elsewhere one after the other, until what is left may be missed.
  */
-void a_cordoned_host_gives_its_lasting_tasks_away_one_by_one(void **state)
+void a_cordoned_host_relocates_lasting_tasks_one_by_one(void **state)
 {
 	sched_fixture_t *fixture = *state;
 	serving_t serving =
@@ -180,7 +180,7 @@
  * next one goes on with the wave, hears that all tasks are at work, as the stop
  * takes its time, and stopped a second one: the step missed two.
  */
-void a_stop_of_the_holder_before_counts_until_it_must_be_over(void **state)
+void a_stop_by_the_previous_holder_counts_until_its_limit(void **state)
 {
 	sched_fixture_t *fixture = *state;
 	serving_t serving =
@@ -208,7 +208,7 @@
  * A gang that serves has one member on a host of a wave. Its step may miss one
  * task; but with that member all others end, so it is left where it is.
  */
-void a_serving_gang_is_not_taken_apart(void **state)
+void a_serving_gang_is_not_split(void **state)
 {
 	sched_fixture_t *fixture = *state;
 	wwh_job_t *job = sched_fixture_job(JOB_A, SERVING_MAX, 1000);
@@ -257,7 +257,7 @@
  * Users of a serving task wait too long because a filler runs beside it. The
  * filler is stopped in place at once, and let go by steps afterwards.
  */
-void fillers_give_way_to_serving_tasks(void **state)
+void fillers_are_slowed_for_serving_tasks(void **state)
 {
 	sched_fixture_t *fixture = *state;
 	wwh_job_t *serving = sched_fixture_job(JOB_A, 1, 1000);
@@ -300,7 +300,7 @@
 }
 
 /* A queue's policy admits only some upstreams; their tickets expire. */
-void advice_is_asked_before_a_start_and_renewed(void **state)
+void advice_is_requested_before_a_start_and_renewed(void **state)
 {
 	sched_fixture_t *fixture = *state;
 	wwh_job_t *job = sched_fixture_job(JOB_A, 12, 1000);
@@ -328,7 +328,7 @@
 	assert_int_equal(fixture->advised_upstreams, 1);
 }
 
-void nothing_new_goes_to_a_leaving_upstream(void **state)
+void a_leaving_upstream_gets_no_new_tasks(void **state)
 {
 	sched_fixture_t *fixture = *state;
 
@@ -399,7 +399,7 @@
  * Guards against starts beside tasks of the holder before, which run where no
  * upstream has answered yet.
  */
-void what_a_holder_before_started_counts_for_the_limit(void **state)
+void tasks_of_the_previous_holder_count_for_the_limit(void **state)
 {
 	sched_fixture_t *fixture = *state;
 	wwh_job_t *first = sched_fixture_job(JOB_A, 2, 1000);
@@ -428,7 +428,7 @@
  * it is taken as asked about and not admitted: the caller's lasting task is
  * never started there again, though the pool has room.
  */
-void a_ticket_that_was_refused_is_asked_for_again(void **state)
+void a_refused_ticket_is_requested_again(void **state)
 {
 	sched_fixture_t *fixture = *state;
 	wwh_job_t *job = sched_fixture_job(JOB_A, 1, 1000);
@@ -520,9 +520,9 @@
 			assert_true(g_hash_table_add(asked,
 						     g_strdup(poll.upstream)));
 			(void)sched_fixture_pop_poll(fixture, poll.upstream);
-			wwh_scheduler_poll_failed(fixture->scheduler,
-						  poll.upstream, false,
-						  fixture->now_ms);
+			wwh_scheduler_handle_poll_failure(fixture->scheduler,
+							  poll.upstream, false,
+							  fixture->now_ms);
 			if (g_hash_table_size(asked) == MANY)
 				break;
 		}
