--- a/src/libwaxwinghollow/include/private/placement_state.h
+++ b/src/libwaxwinghollow/include/private/placement_state.h
@@ -12,7 +12,7 @@
 typedef struct {
 	int32_t job;
 	int32_t pool;
-	int64_t order; /* by wwh_policy_order */
+	int64_t order; /* by wwh_policy_order_key */
 } wwh_placement_pending_t;
 
 struct wwh_placement {
