--- a/include/waxwinghollow/job_service.h
+++ b/include/waxwinghollow/job_service.h
@@ -6,14 +6,14 @@
  *	job_service - one process of the job service on an entry host
  *
  * USE
- *	All processes are alike. Each takes callers' requests; one of them
- *	holds the shard and runs its jobs, and the others pass requests on to
- *	it. Which one it is comes from the store (shard_claim.h). Nothing is
- *	kept on the host.
+ *	All processes are equal. Each accepts callers' requests; one of them
+ *	holds the shard and runs its jobs, and the others forward requests to
+ *	it. The store determines which one holds it (shard_claim.h). The
+ *	process stores nothing on the host.
  *
- *	Requests arrive on the listeners' threads, which hand them to one
- *	thread that does all else, and wait for the answer up to the caller's
- *	deadline.
+ *	Requests arrive on the listeners' threads, which queue them for the
+ *	loop's thread and wait for the answer until the caller's deadline. The
+ *	loop's thread does all other work.
  *
  * ORDER OF CALLS
  *	wwh_job_service_new, wwh_job_service_init (listens from then on),
@@ -29,27 +29,32 @@
 
 typedef struct wwh_job_service wwh_job_service_t;
 
-/* Takes over what settings points to. log_fd gets the log's lines. */
+/*
+ * Takes ownership of the strings in settings. Log lines are written to log_fd,
+ * which stays the caller's.
+ */
 wwh_job_service_t *wwh_job_service_new(const wwh_host_settings_t *settings,
 				       int log_fd);
 wwh_status_t wwh_job_service_init(wwh_job_service_t *service,
 				  wwh_message_t *message);
 
 /*
- * Takes settings over. Calls go to the new addresses from then on; where
- * this process listens stays as it is until its next start.
+ * Takes ownership of the strings in settings, which the loop then applies:
+ * calls go to the new addresses. A process that holds the shard keeps the
+ * settings with which it began to hold it. The addresses on which this process
+ * listens change only when it is restarted.
  */
 void wwh_job_service_reload(wwh_job_service_t *service,
 			    const wwh_host_settings_t *settings);
 
 /*
- * Says that it isn't ready, ends what was begun, gives its claim up and
- * stops. Returns the number of requests that were cut off.
+ * Reports that the process isn't ready, completes requests in progress, gives
+ * up the claim and stops. Returns the number of requests that were cut off.
  */
 int32_t wwh_job_service_finish(wwh_job_service_t *service);
 void wwh_job_service_delete(wwh_job_service_t *service);
 
-/* A configuration is in force here. */
+/* Whether a configuration is in force and the process isn't stopping. */
 bool wwh_job_service_ready(wwh_job_service_t *service);
 
 #endif
--- a/include/waxwinghollow/loop_lag.h
+++ b/include/waxwinghollow/loop_lag.h
@@ -3,28 +3,30 @@
 
 /*
  * NAME
- *	loop_lag - whether an event loop keeps up with its work
+ *	loop_lag - detects whether an event loop keeps up with its work
  *
  * USE
- *	Pure. The owner reports how long each turn took and how long it wanted
- *	to wait in it; the rest is time that events were delayed by earlier
- *	ones. Delays add up to the lag, and idle time reduces it. A loop is
- *	overloaded from an upper bound of the lag on until the lag is zero.
+ *	Pure: makes no system calls. A turn is one iteration of the loop. The
+ *	owner reports how long each turn took and by how much it exceeded its
+ *	planned wait; the excess is time by which events were delayed. Delays
+ *	add up to the lag, and idle time reduces it. A loop becomes overloaded
+ *	when its lag reaches an upper bound, and stays so until the lag is
+ *	zero.
  *
- *	A host that turns slow passes health checks and does no work; its lag
- *	shows it, whatever the host's size. So does too much work, which would
- *	overload another host as well: passed on for that, work moves from
- *	host to host and none gets on with it. A loop that took over from a
- *	process that couldn't keep up blames the load for its lag, until it
- *	has kept up for some seconds.
+ *	A host that becomes slow may pass health checks while it does hardly
+ *	any work. The lag reveals it, regardless of the host's size. Too much
+ *	work causes lag too, but would overload another host as well: if that
+ *	moved the work, it would go from host to host without progress. So a
+ *	loop that took over from a process that couldn't keep up attributes
+ *	its lag to the load until it has kept up for some seconds.
  *
- *	Where a change of host is expensive, the owner may want proof: then a
- *	loop that gets about as much done as it ever did while it kept up, or
- *	that is catching up, doesn't blame its host either. That misses a slow
- *	host that never had much to do.
+ *	Where a change of host is expensive, the owner may require proof. The
+ *	lag is then attributed to the load also if the loop works at about the
+ *	highest rate that it reached while it kept up, or is catching up. This
+ *	misses a slow host that never had much work.
  *
  * ORDER OF CALLS
- *	wwh_loop_lag_new; wwh_loop_lag_inherit_load where that holds;
+ *	wwh_loop_lag_new; wwh_loop_lag_inherit_load if the work is inherited;
  *	wwh_loop_lag_add_work and wwh_loop_lag_add_turn after each turn;
  *	wwh_loop_lag_delete.
  */
@@ -37,34 +39,43 @@
 wwh_loop_lag_t *wwh_loop_lag_new(void);
 void wwh_loop_lag_delete(wwh_loop_lag_t *lag);
 
-/* turn_ms: of the whole turn; overrun_ms: what of it was beyond its wait. */
+/*
+ * turn_ms: duration of the turn; overrun_ms: the part of it that exceeded the
+ * planned wait.
+ */
 void wwh_loop_lag_add_turn(wwh_loop_lag_t *lag, int64_t turn_ms,
 			   int64_t overrun_ms);
 
-/* See above; it may be changed at any time. */
-void wwh_loop_lag_want_proof(wwh_loop_lag_t *lag, bool wants_proof);
+/* See USE. May be changed at any time. */
+void wwh_loop_lag_require_proof(wwh_loop_lag_t *lag, bool requires_proof);
 
-/* Work done in the turn that is added next, in units of about the same cost. */
+/*
+ * Adds work done in the turn that is added next, in units of about the same
+ * cost.
+ */
 void wwh_loop_lag_add_work(wwh_loop_lag_t *lag, int64_t units);
 
-/* Units a second, lately. */
+/* Units per second over the most recent time. */
 int64_t wwh_loop_lag_work_per_s(const wwh_loop_lag_t *lag);
 
-/* The most of them in a time without lag; 0: not known yet. */
-int64_t wwh_loop_lag_most_per_s(const wwh_loop_lag_t *lag);
+/* Highest rate so far in a window without lag; 0: not known yet. */
+int64_t wwh_loop_lag_max_work_per_s(const wwh_loop_lag_t *lag);
 
-/* The work comes from a process that couldn't keep up with it. */
+/* Reports that the work comes from a process that couldn't keep up with it. */
 void wwh_loop_lag_inherit_load(wwh_loop_lag_t *lag);
 
 bool wwh_loop_lag_is_overloaded(const wwh_loop_lag_t *lag);
 
-/* It is overloaded, and another host may do better. */
-bool wwh_loop_lag_blames_host(const wwh_loop_lag_t *lag);
+/*
+ * Whether the loop is overloaded and its lag is attributed to the host, so that
+ * another host may keep up.
+ */
+bool wwh_loop_lag_is_host_slow(const wwh_loop_lag_t *lag);
 
-/* The lag, at most the bound from which on the loop is overloaded. */
+/* The current lag, limited to the bound at which the loop is overloaded. */
 int64_t wwh_loop_lag_ms(const wwh_loop_lag_t *lag);
 
-/* The loop begins other work. */
+/* For a loop that begins other work: forgets everything. */
 void wwh_loop_lag_reset(wwh_loop_lag_t *lag);
 
 #endif
--- a/src/libwaxwinghollow/include/private/job_service_state.h
+++ b/src/libwaxwinghollow/include/private/job_service_state.h
@@ -2,11 +2,11 @@
 #define WAXWINGHOLLOW_PRIVATE_JOB_SERVICE_STATE_H
 
 /*
- * What the modules of job_service share. Listeners call job_service_http,
- * which hands requests to job_service_queue; job_service_loop takes them from
- * there and answers them by the holder or a peer. job_service_events is called
- * back from within the loop by what it watches: the operator's records and who
- * holds the shard.
+ * State shared by the modules of job_service. Listeners call job_service_http,
+ * which passes requests to job_service_queue. job_service_loop removes them
+ * from the queue and has them answered by the holder or a peer.
+ * job_service_events handles callbacks that the loop makes for changes of the
+ * operator's records and of the shard's holder.
  */
 
 #include "waxwinghollow/bad_records.h"
@@ -29,7 +29,9 @@
 /* Names of job_request_kind_t, in the same order. */
 extern const char *const job_request_kind_names[JOB_REQUEST_KIND_COUNT];
 
-/* Shared by the listener's thread and the loop; the last one frees it. */
+/*
+ * Shared by the listener's thread and the loop; freed with the last reference.
+ */
 typedef struct {
 	gint references;
 	GMutex lock;
@@ -40,113 +42,133 @@
 	char id[WWH_JOB_ID_CHARS + 1]; /* of the job; "" for a queue */
 	char *queue;
 	char *workspace; /* of the caller; NULL: none */
-	wwh_job_t *job; /* of a submission; the holder takes it over */
-	bool from_peer; /* isn't passed on again */
-	int64_t limit_ms; /* how long the caller waits */
+	wwh_job_t *job; /* of a submission; moves to the holder */
+	bool from_peer; /* not forwarded again */
+	int64_t timeout_ms; /* how long the caller waits */
 } job_request_t;
 
 struct wwh_job_service {
-	GMutex lock; /* of config, settings_next, the flags below */
-	wwh_host_settings_t settings; /* of the loop's thread */
-	wwh_host_settings_t *settings_next; /* to be taken up by the loop */
+	GMutex lock; /*
+		      * Protects config, pending_settings, and the flags and
+		      * times below that listeners' threads use.
+		      */
+	wwh_host_settings_t settings; /* owned by the loop's thread */
+	wwh_host_settings_t *pending_settings; /* for the loop to apply */
 	wwh_job_config_t *config;
-	int64_t config_unread_ms; /* the store doesn't answer since; 0: it does */
-	GHashTable *waves; /* key to GBytes; of the loop's thread */
-	int64_t keys_fail_after_ms; /* that long; 0: they don't */
+	/* Since when the configuration can't be read; 0: it can. */
+	int64_t config_unread_since_ms;
+	GHashTable *waves; /* key to GBytes; used by the loop's thread */
+	/* API keys fail once it can't be read for this long; 0: never. */
+	int64_t keys_fail_after_ms;
 	bool stopping;
-	bool holds;
-	bool claims; /* the shard; it may hold it soon */
-	bool reaches_store; /* while it holds the shard */
-	bool yields; /* the same; hands it over when asked for */
-	bool turned_away; /* the same; only to one that the store serves */
-	bool asked_for; /* by its successor, since it yields */
-	bool handed_over; /* since it held the shard last */
-	bool handed_over_early; /* the same, with orders to hosts out */
-	bool orders_hosts; /* has orders to hosts on their way */
+	bool holds_shard;
+	bool claims_shard; /* a claim is in progress */
+	bool reaches_store; /* the store accepts this holder's records */
+	bool yields_shard; /* the holder hands the shard over on request */
+	bool rejected_by_store; /* the store rejects this holder's records */
+	bool handover_requested; /* by the successor of a holder that yields */
+	bool handed_over; /* the shard, and no claim by this process since */
+	bool handed_over_early; /* host orders were pending at that time */
+	bool host_orders_pending; /* the holder's orders to hosts */
 	wwh_counters_t *counters;
-	/* How long callers waited for their answers, by what they asked. */
+	/* Time until callers were answered, by kind of request. */
 	wwh_histogram_t *answer_ms[JOB_REQUEST_KIND_COUNT];
-	wwh_counter_t *unauthorized; /* requests without a key in force */
+	wwh_counter_t *unauthorized; /* requests without a valid API key */
 	wwh_event_log_t *log;
-	wwh_bad_records_t *bad_orders; /* of the operator */
-	wwh_bad_records_t *bad_claims; /* of the shard's holders */
-	wwh_listener_t *callers;
-	wwh_listener_t *readiness;
-	wwh_listener_t *peers;
+	wwh_bad_records_t *bad_operator_records;
+	wwh_bad_records_t *bad_claims; /* by holders of the shard */
+	wwh_listener_t *caller_listener;
+	wwh_listener_t *readiness_listener;
+	wwh_listener_t *peer_listener;
 	GThread *thread;
-	GAsyncQueue *requests; /* job_request_t for the loop */
+	GAsyncQueue *requests; /* of job_request_t, for the loop */
 	wwh_http_calls_t *calls;
 	wwh_shard_claim_t *claim;
 	wwh_store_follower_t *operator_records;
 	wwh_job_holder_t *holder;
-	wwh_job_holder_t *lost_holder; /* to be deleted by the loop */
-	char *self; /* address for peers */
-	char *holder_address; /* NULL: nobody holds the shard */
-	bool ending; /* the loop ends once all is settled */
+	wwh_job_holder_t *detached_holder; /* to be deleted by the loop */
+	char *own_address; /* on which peers reach this process */
+	char *holder_address; /* NULL: no known holder */
+	bool loop_ending; /* the loop ends once it is settled */
 	int64_t last_run_ms;
-	int64_t asked_for_ms; /* handing over since; 0: it isn't */
-	wwh_loop_lag_t *lag; /* of its loop, while it holds the shard */
-	wwh_histogram_t *overrun_ms; /* of its turns */
+	int64_t handover_requested_ms; /* 0: no hand-over in progress */
+	wwh_loop_lag_t *lag; /* of the loop while it holds the shard */
+	wwh_histogram_t *overrun_ms; /* turns' excess over their wait */
 	wwh_counter_t *calls_sent;
-	wwh_counter_t *starts; /* among them */
-	int64_t requests_taken; /* by the loop */
-	int64_t work_counted; /* of all three, in lag */
-	int64_t turn_begun_ms; /* 0: it doesn't hold it */
-	int64_t turn_wait_ms; /* what that turn wanted to wait */
-	int64_t slept_ms; /* of suspensions so far */
-	GHashTable *forwards; /* job_forward_t on their way; of the loop */
-	bool ended; /* nobody answers requests any more */
-	int64_t give_up_ms; /* stopping: all is answered by then */
+	wwh_counter_t *starts; /* of tasks; counted in calls_sent too */
+	int64_t requests_handled;
+	int64_t work_reported; /* total work that was added to lag */
+	int64_t turn_started_ms; /* 0: not holding the shard */
+	int64_t turn_planned_wait_ms; /* how long that turn was to wait */
+	int64_t suspended_ms; /* total time that the host was suspended */
+	GHashTable *forwards; /* set of job_forward_t; used by the loop */
+	bool requests_closed; /* new requests are refused */
+	int64_t stop_deadline_ms; /* when a stop aborts requests */
 };
 
-/* A caller's call, and the queue that it names. */
+/* A caller's HTTP request and the queue that it addresses. */
 typedef struct {
 	wwh_job_service_t *service;
 	const wwh_http_request_t *http;
 	const wwh_job_config_t *config;
 	const wwh_queue_t *queue;
 	const char *path;
-	const char *rest; /* of the path, behind the queue's prefix */
-	const char *workspace; /* of its API key; NULL: it needs none */
+	const char *subpath; /* rest of path after the queue's prefix */
+	const char *workspace; /* of the API key; NULL: no key was needed */
 } job_call_t;
 
-/* A request on its way to the holder. */
+/* A request that was forwarded to the holder. */
 typedef struct {
 	wwh_job_service_t *service;
-	job_request_t *request; /* NULL: was answered without the holder */
+	job_request_t *request; /* NULL: answered before the holder did */
 } job_forward_t;
 
-/* job_service_clock.c: a steady clock that goes on while suspended, and the time */
+/*
+ * job_service_clock.c: a monotonic clock that includes time in which the host
+ * was suspended, and the time of day.
+ */
 int64_t job_service_now_ms(void);
 int64_t job_service_wall_ms(void);
 
-/* job_service_loop.c: of a thread of its own */
+/* job_service_loop.c: main function of the loop's thread. */
 gpointer job_service_run_loop(gpointer service);
 
-/* job_service.c: of the settings, for the listeners' threads */
+/*
+ * job_service.c: copies the time limit for API keys from the settings, under
+ * the lock, for the listeners' threads.
+ */
 void job_service_set_key_limit(wwh_job_service_t *service);
 
-/* job_service_events.c: begins to watch; also when the store is another one */
-void job_service_make_calls(wwh_job_service_t *service);
-/* The holder is to be deleted by the loop. False: there is none. */
-bool job_service_drop_holder(wwh_job_service_t *service, const char *why);
+/*
+ * job_service_events.c: creates the shard claim and the follower of the
+ * operator's records, also after the store's address changed.
+ */
+void job_service_create_store_clients(wwh_job_service_t *service);
+/* Detaches the holder, which the loop then deletes. False: no holder. */
+bool job_service_detach_holder(wwh_job_service_t *service, const char *why);
 
 /* job_service_queue.c */
 job_request_t *job_request_new(job_request_kind_t kind);
 void job_request_unref(job_request_t *request);
-/* Of a listener's thread: waits for the answer or the caller's deadline. */
-wwh_job_answer_t job_service_ask(wwh_job_service_t *service,
-				 job_request_t *request);
-/* Of the loop. */
-void job_service_take_requests(wwh_job_service_t *service);
 /*
- * Of the loop, or after its end: answers all that is left, and all that comes
- * from now on. May be called again.
+ * For a listener's thread: queues request and waits for its answer until the
+ * caller's deadline.
+ */
+wwh_job_answer_t job_service_execute(wwh_job_service_t *service,
+				     job_request_t *request);
+/* For the loop: answers or forwards all queued requests. */
+void job_service_handle_requests(wwh_job_service_t *service);
+/*
+ * For the loop, or after its end: answers the requests that are left and makes
+ * job_service_execute refuse later ones. May be called repeatedly.
  */
-void job_service_end_requests(wwh_job_service_t *service);
+void job_service_abort_requests(wwh_job_service_t *service);
 void job_request_answer(const wwh_job_answer_t *answer, void *request);
 
-/* job_service_access.c: false: the response says why not */
+/*
+ * job_service_access.c: checks the caller's API key and sets call->workspace.
+ * Returns false with an error in response if the caller isn't authorized.
+ */
 bool job_service_authenticate(job_call_t *call, wwh_http_response_t *response);
 
 /* job_service_http.c */
@@ -159,9 +181,9 @@
 
 /* job_service_peer.c: requests between processes */
 void job_service_forward(wwh_job_service_t *service, job_request_t *request);
-bool job_service_peer_request(const wwh_http_request_t *http,
-			      job_request_t **request);
-void job_service_peer_answer(const wwh_job_answer_t *answer,
-			     wwh_http_response_t *response);
+bool job_service_parse_peer_request(const wwh_http_request_t *http,
+				    job_request_t **request);
+void job_service_write_peer_answer(const wwh_job_answer_t *answer,
+				   wwh_http_response_t *response);
 
 #endif
--- a/src/libwaxwinghollow/job_service.c
+++ b/src/libwaxwinghollow/job_service.c
@@ -4,16 +4,19 @@
 
 #include "private/job_service_state.h"
 
-/* The balancer asks for readiness each second and needs two refusals. */
-#define BALANCER_NOTICES_MS 2200
+/*
+ * Time until the balancer stops sending requests: it checks readiness each
+ * second and removes a process after two failed checks.
+ */
+#define BALANCER_REMOVAL_MS 2200
 
-/* Of the grace period: left for the loop to settle and the process to end. */
-#define END_RESERVE_MS 1500
+/* End of the grace period, for the loop to settle and the process to exit. */
+#define EXIT_RESERVE_MS 1500
 
-/* From the last answer's making until it is written. */
-#define LAST_ANSWERS_MS 300
+/* Time limit for writing the last answers after requests were aborted. */
+#define LAST_ANSWER_WRITE_MS 300
 
-/* Bounds of the log: a day's lines are read by people. */
+/* Limits that keep a day's log short enough for people to read. */
 #define LOG_LINES_PER_S 360
 #define LOG_BYTES_PER_S 72000
 #define LOG_RARE_LINES_PER_S 40
@@ -65,14 +68,14 @@
 	make_histograms(service);
 	service->lag = wwh_loop_lag_new();
 	service->log = wwh_event_log_new(&log, service->counters);
-	service->bad_orders = make_bad_records(service, "operator");
+	service->bad_operator_records = make_bad_records(service, "operator");
 	service->bad_claims = make_bad_records(service, "shard");
 	service->requests = g_async_queue_new();
 	service->forwards = g_hash_table_new_full(NULL, NULL, g_free, NULL);
 	service->waves = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 					       (GDestroyNotify)g_bytes_unref);
-	service->self = g_strdup_printf("%s:%d", settings->peers.address,
-					settings->peers.port);
+	service->own_address = g_strdup_printf("%s:%d", settings->peers.address,
+					       settings->peers.port);
 	service->calls = wwh_http_calls_new(service->counters);
 	service->calls_sent = wwh_counters_get(service->counters, "calls.sent");
 	service->starts = wwh_counters_get(service->counters, "holder.starts");
@@ -94,24 +97,27 @@
 {
 	wwh_host_settings_t *settings = &service->settings;
 
-	job_service_make_calls(service);
-	service->callers = make_listener(service, "callers", &settings->callers,
-					 job_service_on_caller);
-	service->readiness =
+	job_service_create_store_clients(service);
+	service->caller_listener = make_listener(
+		service, "callers", &settings->callers, job_service_on_caller);
+	service->readiness_listener =
 		make_listener(service, "readiness", &settings->readiness,
 			      job_service_on_readiness);
-	service->peers = make_listener(service, "peers", &settings->peers,
-				       job_service_on_peer);
-	if (wwh_listener_init(service->peers, message) != WWH_STATUS_OK ||
-	    wwh_listener_init(service->readiness, message) != WWH_STATUS_OK ||
-	    wwh_listener_init(service->callers, message) != WWH_STATUS_OK)
+	service->peer_listener = make_listener(
+		service, "peers", &settings->peers, job_service_on_peer);
+	if (wwh_listener_init(service->peer_listener, message) !=
+		    WWH_STATUS_OK ||
+	    wwh_listener_init(service->readiness_listener, message) !=
+		    WWH_STATUS_OK ||
+	    wwh_listener_init(service->caller_listener, message) !=
+		    WWH_STATUS_OK)
 		return WWH_STATUS_IO;
 	service->last_run_ms = job_service_now_ms();
 	service->thread = g_thread_new("loop", job_service_run_loop, service);
 	wwh_event_log_printf(service->log, "started", settings->name,
 			     "callers=%s:%d peers=%s store=%s zone=%s",
 			     settings->callers.address, settings->callers.port,
-			     service->self, settings->store,
+			     service->own_address, settings->store,
 			     settings->zone == NULL ? "-" : settings->zone);
 	return WWH_STATUS_OK;
 }
@@ -123,48 +129,50 @@
 
 	*next = *settings;
 	g_mutex_lock(&service->lock);
-	if (service->settings_next != NULL) {
-		wwh_host_settings_clear(service->settings_next);
-		g_free(service->settings_next);
+	if (service->pending_settings != NULL) {
+		wwh_host_settings_clear(service->pending_settings);
+		g_free(service->pending_settings);
 	}
-	service->settings_next = next;
+	service->pending_settings = next;
 	g_mutex_unlock(&service->lock);
 	wwh_http_calls_wake(service->calls);
 }
 
 /*
- * Readiness goes off first; requests are still taken while the balancer
- * notices. Then the listeners drain, and the loop, which they need for their
- * answers, ends last.
+ * First reports not ready, and accepts requests until the balancer has noticed.
+ * Then drains the callers' listener. The loop ends after that, because requests
+ * in progress need it for their answers.
  */
 int32_t wwh_job_service_finish(wwh_job_service_t *service)
 {
-	int64_t give_up_ms = job_service_now_ms() + service->settings.grace_ms -
-			     END_RESERVE_MS;
+	int64_t stop_deadline_ms = job_service_now_ms() +
+				   service->settings.grace_ms - EXIT_RESERVE_MS;
 	int32_t cut_off;
 
 	wwh_event_log_write(service->log, "stopping", service->settings.name,
 			    "why=signal");
 	g_mutex_lock(&service->lock);
 	service->stopping = true;
-	service->give_up_ms = give_up_ms;
+	service->stop_deadline_ms = stop_deadline_ms;
 	g_mutex_unlock(&service->lock);
 	wwh_http_calls_wake(service->calls);
-	g_usleep(MIN(BALANCER_NOTICES_MS, service->settings.grace_ms / 3) *
+	g_usleep(MIN(BALANCER_REMOVAL_MS, service->settings.grace_ms / 3) *
 		 G_TIME_SPAN_MILLISECOND);
-	cut_off = wwh_listener_drain(
-		service->callers,
-		MAX(give_up_ms + LAST_ANSWERS_MS - job_service_now_ms(), 0));
+	cut_off =
+		wwh_listener_drain(service->caller_listener,
+				   MAX(stop_deadline_ms + LAST_ANSWER_WRITE_MS -
+					       job_service_now_ms(),
+				       0));
 	g_mutex_lock(&service->lock);
-	service->ending = true;
+	service->loop_ending = true;
 	g_mutex_unlock(&service->lock);
 	wwh_http_calls_wake(service->calls);
 	g_thread_join(service->thread);
 	service->thread = NULL;
-	/* what peers have sent since then */
-	job_service_end_requests(service);
-	(void)wwh_listener_drain(service->peers, 0);
-	(void)wwh_listener_drain(service->readiness, 0);
+	/* requests that peers have sent since the loop ended */
+	job_service_abort_requests(service);
+	(void)wwh_listener_drain(service->peer_listener, 0);
+	(void)wwh_listener_drain(service->readiness_listener, 0);
 	wwh_event_log_printf(service->log, "stopped", service->settings.name,
 			     "cut_off=%d", cut_off);
 	return cut_off;
@@ -174,11 +182,11 @@
 {
 	if (service == NULL)
 		return;
-	wwh_listener_delete(service->callers);
-	wwh_listener_delete(service->readiness);
-	wwh_listener_delete(service->peers);
+	wwh_listener_delete(service->caller_listener);
+	wwh_listener_delete(service->readiness_listener);
+	wwh_listener_delete(service->peer_listener);
 	wwh_job_holder_delete(service->holder);
-	wwh_job_holder_delete(service->lost_holder);
+	wwh_job_holder_delete(service->detached_holder);
 	wwh_shard_claim_delete(service->claim);
 	wwh_store_follower_delete(service->operator_records);
 	wwh_http_calls_delete(service->calls);
@@ -186,14 +194,14 @@
 	g_hash_table_destroy(service->forwards);
 	g_hash_table_destroy(service->waves);
 	wwh_job_config_unref(service->config);
-	wwh_bad_records_delete(service->bad_orders);
+	wwh_bad_records_delete(service->bad_operator_records);
 	wwh_bad_records_delete(service->bad_claims);
 	wwh_loop_lag_delete(service->lag);
 	wwh_event_log_delete(service->log);
 	wwh_counters_delete(service->counters);
 	wwh_host_settings_clear(&service->settings);
 	g_free(service->holder_address);
-	g_free(service->self);
+	g_free(service->own_address);
 	g_mutex_clear(&service->lock);
 	g_free(service);
 }
--- a/src/libwaxwinghollow/job_service_access.c
+++ b/src/libwaxwinghollow/job_service_access.c
@@ -31,18 +31,22 @@
 	return access == WWH_ACCESS_GRANTED;
 }
 
-/* A key that was removed meanwhile would go on working for as long. */
+/*
+ * Whether the configuration has been unreadable for the time limit of API keys.
+ * Without the limit, a removed key would stay valid until the configuration can
+ * be read again.
+ */
 static bool keys_are_stale(wwh_job_service_t *service)
 {
-	int64_t unread_ms;
+	int64_t unread_since_ms;
 	int64_t limit_ms;
 
 	g_mutex_lock(&service->lock);
-	unread_ms = service->config_unread_ms;
+	unread_since_ms = service->config_unread_since_ms;
 	limit_ms = service->keys_fail_after_ms;
 	g_mutex_unlock(&service->lock);
-	return limit_ms > 0 && unread_ms != 0 &&
-	       job_service_now_ms() - unread_ms >= limit_ms;
+	return limit_ms > 0 && unread_since_ms != 0 &&
+	       job_service_now_ms() - unread_since_ms >= limit_ms;
 }
 
 static void refuse(const job_call_t *call, wwh_access_t access,
--- a/src/libwaxwinghollow/job_service_clock.c
+++ b/src/libwaxwinghollow/job_service_clock.c
@@ -9,7 +9,7 @@
 {
 	struct timespec time;
 
-	/* goes on while the host is suspended, as leases do */
+	/* advances while the host is suspended, because leases expire then */
 	clock_gettime(CLOCK_BOOTTIME, &time);
 	return (int64_t)time.tv_sec * SECOND_MS + time.tv_nsec / MILLISECOND_NS;
 }
--- a/src/libwaxwinghollow/job_service_events.c
+++ b/src/libwaxwinghollow/job_service_events.c
@@ -13,33 +13,39 @@
 #define MEMBER_TTL_MS 1000
 
 /*
- * Of a core, below which a process leaves the shard to others: a holder of
- * some 350 upstreams and 100 jobs a second was measured to need a third of a
- * core at most and a tenth on average.
+ * Share of a core below which a process leaves the shard to others. A holder
+ * with some 350 upstreams and 100 jobs a second needs up to a third of a core,
+ * and a tenth on average.
  */
-#define HOLDER_PERMILLE 200
+#define HOLDER_MIN_CPU_PERMILLE 200
 
-/* Of a read of the operator's records; a silent connection costs so much. */
-#define OPERATOR_WAIT_MS 1200
+/*
+ * How long the store may wait in a read of the operator's records. A silent
+ * connection delays the next read by about this time.
+ */
+#define OPERATOR_READ_WAIT_MS 1200
 
-/* Until a silent store is noticed: the wait of a read, and its answer's way. */
-#define OPERATOR_SILENCE_MS 2400
+/*
+ * Longest time until a silent store is detected: the wait of a read and the
+ * transit time of its answer.
+ */
+#define OPERATOR_SILENCE_MAX_MS 2400
 
 static void on_operator_record(const char *key, const uint8_t *value,
 			       size_t size, void *data);
-static void on_nameless_record(int64_t offset, const char *why, void *data);
-static void take_wave(wwh_job_service_t *service, const char *key,
-		      const uint8_t *value, size_t size);
-static void take_config(wwh_job_service_t *service, const char *key,
-			const uint8_t *value, size_t size);
-static void on_reach(bool reached, const char *why, void *data);
-static void on_held(const wwh_held_t *held, void *data);
-static void on_lost(const char *why, void *data);
-static void on_holder(const char *address, int64_t epoch, void *data);
-static void explain_claim(const char *event, const char *detail, void *data);
-static void give_waves(wwh_job_service_t *service);
-
-void job_service_make_calls(wwh_job_service_t *service)
+static void on_unkeyed_record(int64_t offset, const char *why, void *data);
+static void apply_wave(wwh_job_service_t *service, const char *key,
+		       const uint8_t *value, size_t size);
+static void apply_config(wwh_job_service_t *service, const char *key,
+			 const uint8_t *value, size_t size);
+static void on_store_reachability(bool reached, const char *why, void *data);
+static void on_shard_held(const wwh_held_t *held, void *data);
+static void on_shard_lost(const char *why, void *data);
+static void on_holder_changed(const char *address, int64_t epoch, void *data);
+static void log_claim_event(const char *event, const char *detail, void *data);
+static void pass_waves_to_holder(wwh_job_service_t *service);
+
+void job_service_create_store_clients(wwh_job_service_t *service)
 {
 	wwh_shard_claim_options_t claim = {
 		.calls = service->calls,
@@ -48,25 +54,26 @@
 		.journal_part = JOURNAL_PART,
 		.notice_part = NOTICE_PART,
 		.group = GROUP,
-		.self = service->self,
+		.self = service->own_address,
 		.producer = PRODUCER,
-		.reluctant = service->settings.cpu_permille < HOLDER_PERMILLE,
+		.reluctant = service->settings.cpu_permille <
+			     HOLDER_MIN_CPU_PERMILLE,
 		.member_ttl_ms =
 			MAX(MEMBER_TTL_MS, service->settings.member_min_ms),
 		.bad_records = service->bad_claims,
-		.on_held = on_held,
-		.on_holder = on_holder,
-		.explain = explain_claim,
+		.on_held = on_shard_held,
+		.on_holder = on_holder_changed,
+		.explain = log_claim_event,
 		.client_data = service,
 	};
 	wwh_store_follower_options_t records = {
 		.calls = service->calls,
 		.endpoint = service->settings.store,
 		.topic = WIRE_TOPIC_OPERATOR,
-		.wait_ms = OPERATOR_WAIT_MS,
+		.wait_ms = OPERATOR_READ_WAIT_MS,
 		.on_record = on_operator_record,
-		.on_nameless = on_nameless_record,
-		.on_reach = on_reach,
+		.on_nameless = on_unkeyed_record,
+		.on_reach = on_store_reachability,
 		.client_data = service,
 	};
 
@@ -80,35 +87,36 @@
 	wwh_job_service_t *service = data;
 
 	if (value == NULL)
-		wwh_bad_records_gone(service->bad_orders, key);
+		wwh_bad_records_gone(service->bad_operator_records, key);
 	else if (wire_operator_is_config(key))
-		take_config(service, key, value, size);
+		apply_config(service, key, value, size);
 	else if (wire_operator_is_wave(key))
-		take_wave(service, key, value, size);
+		apply_wave(service, key, value, size);
 }
 
-static void on_nameless_record(int64_t offset, const char *why, void *data)
+static void on_unkeyed_record(int64_t offset, const char *why, void *data)
 {
 	wwh_job_service_t *service = data;
 	char *key = g_strdup_printf("(offset %" G_GINT64_FORMAT ")", offset);
 
-	wwh_bad_records_found(service->bad_orders, key, why);
+	wwh_bad_records_found(service->bad_operator_records, key, why);
 	g_free(key);
 }
 
-/* An order that can't be read leaves the one before as it is. */
-static void take_wave(wwh_job_service_t *service, const char *key,
-		      const uint8_t *value, size_t size)
+/* If the order can't be read, the previous one stays in force. */
+static void apply_wave(wwh_job_service_t *service, const char *key,
+		       const uint8_t *value, size_t size)
 {
 	wwh_message_t why;
 	wwh_wave_order_t *order = wire_operator_wave(key, value, size, &why);
 
 	if (order == NULL) {
-		wwh_bad_records_found(service->bad_orders, key, why.text);
+		wwh_bad_records_found(service->bad_operator_records, key,
+				      why.text);
 		return;
 	}
 	wwh_wave_order_delete(order);
-	wwh_bad_records_whole(service->bad_orders, key);
+	wwh_bad_records_whole(service->bad_operator_records, key);
 	g_hash_table_replace(service->waves, g_strdup(key),
 			     g_bytes_new(value, size));
 	if (service->holder != NULL)
@@ -116,11 +124,12 @@
 }
 
 /*
- * Put in force without the rows that can't be read, a configuration would have
- * callers told that their queue doesn't exist; the one before goes on.
+ * If any row of a configuration can't be read, the previous configuration stays
+ * in force: without that row, callers would be told that their queue doesn't
+ * exist.
  */
-static void take_config(wwh_job_service_t *service, const char *key,
-			const uint8_t *value, size_t size)
+static void apply_config(wwh_job_service_t *service, const char *key,
+			 const uint8_t *value, size_t size)
 {
 	wwh_message_t why = { "version isn't a number above 0" };
 	wwh_job_config_t *config = wire_operator_config(
@@ -128,10 +137,11 @@
 	bool newer;
 
 	if (config == NULL) {
-		wwh_bad_records_found(service->bad_orders, key, why.text);
+		wwh_bad_records_found(service->bad_operator_records, key,
+				      why.text);
 		return;
 	}
-	wwh_bad_records_whole(service->bad_orders, key);
+	wwh_bad_records_whole(service->bad_operator_records, key);
 	g_mutex_lock(&service->lock);
 	newer = service->config == NULL ||
 		config->version > service->config->version;
@@ -148,21 +158,21 @@
 	wwh_job_config_unref(config);
 }
 
-static void on_reach(bool reached, const char *why, void *data)
+static void on_store_reachability(bool reached, const char *why, void *data)
 {
 	wwh_job_service_t *service = data;
 
 	g_mutex_lock(&service->lock);
-	/* the last answer came before the read that failed was sent */
-	service->config_unread_ms =
-		reached ? 0 : job_service_now_ms() - OPERATOR_SILENCE_MS;
+	/* the last answer arrived before the failed read was sent */
+	service->config_unread_since_ms =
+		reached ? 0 : job_service_now_ms() - OPERATOR_SILENCE_MAX_MS;
 	g_mutex_unlock(&service->lock);
 	wwh_event_log_printf(service->log,
 			     reached ? "store-regained" : "store-lost",
 			     "operator", "result=%s", why);
 }
 
-static void on_held(const wwh_held_t *held, void *data)
+static void on_shard_held(const wwh_held_t *held, void *data)
 {
 	wwh_job_service_t *service = data;
 	wwh_job_holder_options_t options = {
@@ -181,7 +191,7 @@
 		.others_ended = held->others_ended,
 		.clock_ms = job_service_now_ms,
 		.wall_ms = job_service_wall_ms(),
-		.on_lost = on_lost,
+		.on_lost = on_shard_lost,
 		.client_data = service,
 	};
 
@@ -194,29 +204,32 @@
 	if (service->config != NULL)
 		wwh_job_holder_set_config(service->holder, service->config);
 	g_mutex_unlock(&service->lock);
-	give_waves(service);
+	pass_waves_to_holder(service);
 }
 
-/* Called by the holder itself, which the loop then deletes. */
-static void on_lost(const char *why, void *data)
+/*
+ * Also called from within the holder, so the holder isn't deleted here; the
+ * loop does so later.
+ */
+static void on_shard_lost(const char *why, void *data)
 {
 	wwh_job_service_t *service = data;
 
-	if (job_service_drop_holder(service, why))
+	if (job_service_detach_holder(service, why))
 		wwh_shard_claim_lost(service->claim, job_service_now_ms());
 }
 
-bool job_service_drop_holder(wwh_job_service_t *service, const char *why)
+bool job_service_detach_holder(wwh_job_service_t *service, const char *why)
 {
 	if (service->holder == NULL)
 		return false;
 	wwh_event_log_printf(service->log, "shard-lost", "shard", "why=%s",
 			     why);
-	service->lost_holder = g_steal_pointer(&service->holder);
+	service->detached_holder = g_steal_pointer(&service->holder);
 	return true;
 }
 
-static void on_holder(const char *address, int64_t epoch, void *data)
+static void on_holder_changed(const char *address, int64_t epoch, void *data)
 {
 	wwh_job_service_t *service = data;
 
@@ -226,18 +239,18 @@
 	g_free(service->holder_address);
 	service->holder_address = g_strdup(address);
 	if (service->holder != NULL && address != NULL &&
-	    strcmp(address, service->self) != 0)
-		on_lost("another-holder-is-known", service);
+	    strcmp(address, service->own_address) != 0)
+		on_shard_lost("another-holder-is-known", service);
 }
 
-static void explain_claim(const char *event, const char *detail, void *data)
+static void log_claim_event(const char *event, const char *detail, void *data)
 {
 	wwh_job_service_t *service = data;
 
 	wwh_event_log_write(service->log, event, "shard", detail);
 }
 
-static void give_waves(wwh_job_service_t *service)
+static void pass_waves_to_holder(wwh_job_service_t *service)
 {
 	GHashTableIter iterator;
 	gpointer key;
--- a/src/libwaxwinghollow/job_service_http.c
+++ b/src/libwaxwinghollow/job_service_http.c
@@ -4,11 +4,11 @@
 #include "waxwinghollow/metrics.h"
 #include "wire_caller.h"
 
-/* Where the caller doesn't say how long it waits. */
-#define PATIENCE_MS 3000
+/* For callers that give no deadline, in queues without a time limit. */
+#define DEFAULT_TIMEOUT_MS 3000
 
-/* Requests of peers: their callers' deadlines are theirs to watch. */
-#define PEER_PATIENCE_MS 5000
+/* For requests of peers, which enforce their callers' deadlines themselves. */
+#define PEER_TIMEOUT_MS 5000
 
 #define DUMP_PATH "/v1/dump"
 #define METRICS_PATH "/metrics"
@@ -18,21 +18,24 @@
 #define STATUS_UNAVAILABLE 503
 #define SECOND_MS 1000
 
-/* Who asks about the shard. */
+/* Which process requests the state of the shard. */
 typedef enum {
-	SHARD_ASKER_ANY = 0,
-	SHARD_ASKER_ASSIGNED, /* the group names it */
-	SHARD_ASKER_SUCCESSOR, /* and the journal takes its records */
-} shard_asker_t;
+	SHARD_REQUESTER_ANY = 0,
+	SHARD_REQUESTER_ASSIGNED, /* assigned the shard by the group */
+	SHARD_REQUESTER_SUCCESSOR, /* and the journal accepts its records */
+} shard_requester_t;
 
 static void answer_caller(const job_call_t *call,
 			  wwh_http_response_t *response);
-static bool shard_asker(const char *target, shard_asker_t *asker);
-static void answer_shard(wwh_job_service_t *service, shard_asker_t asker,
+static bool parse_shard_target(const char *target,
+			       shard_requester_t *requester);
+static void answer_shard(wwh_job_service_t *service,
+			 shard_requester_t requester,
 			 wwh_http_response_t *response);
-static bool may_have_shard(const wwh_job_service_t *service,
-			   shard_asker_t asker);
-static wwh_shard_answer_t shard_answer(const wwh_job_service_t *service);
+static bool may_request_handover(const wwh_job_service_t *service,
+				 shard_requester_t requester);
+static wwh_shard_answer_t
+current_shard_answer(const wwh_job_service_t *service);
 static void answer_text(wwh_http_response_t *response, int32_t status,
 			const char *type, const char *text);
 static void answer_job(wwh_job_service_t *service, const job_request_t *request,
@@ -43,14 +46,14 @@
 			 wwh_http_response_t *response);
 static job_request_t *read_request(const job_call_t *call,
 				   wwh_message_t *message);
-static wwh_job_config_t *config_of(wwh_job_service_t *service);
+static wwh_job_config_t *ref_config(wwh_job_service_t *service);
 
 void job_service_on_caller(const wwh_http_request_t *http,
 			   wwh_http_response_t *response, void *client_data)
 {
 	wwh_job_service_t *service = client_data;
 	const char *host = wwh_headers_get(http->headers, "Host");
-	wwh_job_config_t *config = config_of(service);
+	wwh_job_config_t *config = ref_config(service);
 	job_call_t call = { .service = service, .http = http };
 	char *path;
 
@@ -69,7 +72,7 @@
 	call.config = config;
 	call.path = path;
 	call.queue = wwh_job_config_find(config, host == NULL ? "" : host, path,
-					 &call.rest);
+					 &call.subpath);
 	if (call.queue == NULL) {
 		wwh_event_log_printf(service->log, "no-queue", path,
 				     "host=%s config=%" G_GINT64_FORMAT,
@@ -88,7 +91,7 @@
 {
 	wwh_job_service_t *service = call->service;
 	int64_t timeout_ms = call->queue->timeout_ms;
-	int64_t asked_ms = job_service_now_ms();
+	int64_t received_ms = job_service_now_ms();
 	wwh_message_t message = { "" };
 	wwh_job_answer_t answer;
 	job_request_t *request = read_request(call, &message);
@@ -100,11 +103,12 @@
 		wwh_listener_answer_error(response, WWH_ERROR_BAD_REQUEST, 0);
 		return;
 	}
-	request->limit_ms = wire_caller_patience_ms(
-		call->http->headers, timeout_ms > 0 ? timeout_ms : PATIENCE_MS);
-	answer = job_service_ask(service, request);
+	request->timeout_ms = wire_caller_patience_ms(
+		call->http->headers,
+		timeout_ms > 0 ? timeout_ms : DEFAULT_TIMEOUT_MS);
+	answer = job_service_execute(service, request);
 	wwh_histogram_add(service->answer_ms[request->kind],
-			  job_service_now_ms() - asked_ms);
+			  job_service_now_ms() - received_ms);
 	answer_job(service, request, &answer, response);
 	job_request_unref(request);
 }
@@ -135,10 +139,10 @@
 	wwh_job_service_t *service = client_data;
 	job_request_t *request;
 	wwh_job_answer_t answer;
-	shard_asker_t asker;
+	shard_requester_t requester;
 
-	if (shard_asker(http->target, &asker)) {
-		answer_shard(service, asker, response);
+	if (parse_shard_target(http->target, &requester)) {
+		answer_shard(service, requester, response);
 		return;
 	}
 	if (strcmp(http->target, METRICS_PATH) == 0) {
@@ -149,7 +153,7 @@
 		g_string_free(text, TRUE);
 		return;
 	}
-	if (!job_service_peer_request(http, &request)) {
+	if (!job_service_parse_peer_request(http, &request)) {
 		wwh_event_log_printf(service->log, "bad-peer-request",
 				     http->target,
 				     "method=%s bytes=%" G_GSIZE_FORMAT,
@@ -157,72 +161,78 @@
 		wwh_listener_answer_error(response, WWH_ERROR_BAD_REQUEST, 0);
 		return;
 	}
-	request->limit_ms = PEER_PATIENCE_MS;
-	answer = job_service_ask(service, request);
-	job_service_peer_answer(&answer, response);
+	request->timeout_ms = PEER_TIMEOUT_MS;
+	answer = job_service_execute(service, request);
+	job_service_write_peer_answer(&answer, response);
 	job_request_unref(request);
 }
 
-static bool shard_asker(const char *target, shard_asker_t *asker)
+static bool parse_shard_target(const char *target, shard_requester_t *requester)
 {
 	static const char *const targets[] = {
-		[SHARD_ASKER_ANY] = WWH_SHARD_PATH,
-		[SHARD_ASKER_ASSIGNED] = WWH_SHARD_ASSIGNED_PATH,
-		[SHARD_ASKER_SUCCESSOR] = WWH_SHARD_SUCCESSOR_PATH,
+		[SHARD_REQUESTER_ANY] = WWH_SHARD_PATH,
+		[SHARD_REQUESTER_ASSIGNED] = WWH_SHARD_ASSIGNED_PATH,
+		[SHARD_REQUESTER_SUCCESSOR] = WWH_SHARD_SUCCESSOR_PATH,
 	};
 
 	for (size_t i = 0; i < G_N_ELEMENTS(targets); i++) {
 		if (strcmp(target, targets[i]) != 0)
 			continue;
-		*asker = (shard_asker_t)i;
+		*requester = (shard_requester_t)i;
 		return true;
 	}
 	return false;
 }
 
 /*
- * A process that takes over has to know one that is cut off from one without
- * the shard: the first may still give orders. One that stops counts as without
- * it, so that it is soon replaced, but not while orders to hosts are
- * unanswered: the next holder's would overtake them, and take down a host too
- * many.
+ * A process that takes over must distinguish a holder that is cut off from a
+ * process without the shard, because the former may still give orders. A
+ * stopping holder reports that it doesn't hold the shard, so that it is
+ * replaced soon, but not while its orders to hosts are unanswered: the next
+ * holder's orders would overtake them and take down one host too many.
  */
-static void answer_shard(wwh_job_service_t *service, shard_asker_t asker,
+static void answer_shard(wwh_job_service_t *service,
+			 shard_requester_t requester,
 			 wwh_http_response_t *response)
 {
 	wwh_shard_answer_t answer;
 
 	g_mutex_lock(&service->lock);
-	answer = shard_answer(service);
-	/* the loop hands it over, and a later question is told */
-	if (answer == WWH_SHARD_YIELDS && may_have_shard(service, asker))
-		service->asked_for = true;
+	answer = current_shard_answer(service);
+	/* the loop hands the shard over; a later request reports that */
+	if (answer == WWH_SHARD_YIELDS &&
+	    may_request_handover(service, requester))
+		service->handover_requested = true;
 	g_mutex_unlock(&service->lock);
 	answer_text(response, answer, "text/plain", "");
 }
 
 /*
- * With the lock held. Turned away itself, a holder can't tell a store that is away
- * for all, in which what runs would be left to nobody.
+ * Call with the lock held. A holder that the store rejects can't tell whether
+ * the store rejects all processes. If it does, a hand-over would leave running
+ * jobs without a holder; so only a successor whose records the journal accepts
+ * may then request one.
  */
-static bool may_have_shard(const wwh_job_service_t *service,
-			   shard_asker_t asker)
+static bool may_request_handover(const wwh_job_service_t *service,
+				 shard_requester_t requester)
 {
-	return asker == SHARD_ASKER_SUCCESSOR ||
-	       (asker == SHARD_ASKER_ASSIGNED && !service->turned_away);
+	return requester == SHARD_REQUESTER_SUCCESSOR ||
+	       (requester == SHARD_REQUESTER_ASSIGNED &&
+		!service->rejected_by_store);
 }
 
-/* With the lock held. */
-static wwh_shard_answer_t shard_answer(const wwh_job_service_t *service)
+/* Call with the lock held. */
+static wwh_shard_answer_t current_shard_answer(const wwh_job_service_t *service)
 {
-	if (service->claims && !service->stopping)
+	if (service->claims_shard && !service->stopping)
 		return WWH_SHARD_UNSURE;
-	if (!service->holds && service->handed_over)
+	if (!service->holds_shard && service->handed_over)
 		return service->handed_over_early ? WWH_SHARD_HANDED_OVER_EARLY
 						  : WWH_SHARD_HANDED_OVER;
-	if (!service->holds || (service->stopping && !service->orders_hosts))
+	if (!service->holds_shard ||
+	    (service->stopping && !service->host_orders_pending))
 		return WWH_SHARD_NOT_HELD;
-	if (service->yields)
+	if (service->yields_shard)
 		return WWH_SHARD_YIELDS;
 	return service->reaches_store ? WWH_SHARD_HELD : WWH_SHARD_UNSURE;
 }
@@ -241,13 +251,13 @@
 {
 	const wwh_http_request_t *http = call->http;
 	const wwh_job_queue_t *rules = &call->queue->rules;
-	const char *rest = call->rest;
+	const char *subpath = call->subpath;
 	job_request_t *request = NULL;
-	bool names_job = wwh_job_id_valid(rest);
+	bool has_job_id = wwh_job_id_valid(subpath);
 
-	if (strcmp(http->method, "GET") == 0 && rest[0] == '\0') {
+	if (strcmp(http->method, "GET") == 0 && subpath[0] == '\0') {
 		request = job_request_new(JOB_REQUEST_PENDING);
-	} else if (!names_job) {
+	} else if (!has_job_id) {
 		wwh_message_set(message, "expected an id of %d hex digits",
 				WWH_JOB_ID_CHARS);
 		return NULL;
@@ -256,7 +266,7 @@
 	} else if (strcmp(http->method, "DELETE") == 0) {
 		request = job_request_new(JOB_REQUEST_CANCEL);
 	} else if (strcmp(http->method, "POST") == 0) {
-		wwh_job_t *job = wire_caller_job(rest, rules, http->body,
+		wwh_job_t *job = wire_caller_job(subpath, rules, http->body,
 						 http->body_size, message);
 
 		if (job == NULL)
@@ -269,7 +279,7 @@
 		wwh_message_set(message, "unknown method");
 		return NULL;
 	}
-	g_strlcpy(request->id, rest, sizeof(request->id));
+	g_strlcpy(request->id, subpath, sizeof(request->id));
 	request->queue = g_strdup(rules->name);
 	request->workspace = g_strdup(call->workspace);
 	return request;
@@ -303,8 +313,8 @@
 }
 
 /*
- * A question that got no answer has no effect to be unsure of. A submission
- * or a cancel may have been stored: it must not be called refused.
+ * A query without an answer has no effect that could be unknown. A submission
+ * or cancellation may have been stored, so it must not be reported as refused.
  */
 static void answer_error(const job_request_t *request,
 			 const wwh_job_answer_t *answer,
@@ -322,7 +332,7 @@
 				  MAX(answer->retry_after_s, 1) * SECOND_MS);
 }
 
-static wwh_job_config_t *config_of(wwh_job_service_t *service)
+static wwh_job_config_t *ref_config(wwh_job_service_t *service)
 {
 	wwh_job_config_t *config = NULL;
 
--- a/src/libwaxwinghollow/job_service_loop.c
+++ b/src/libwaxwinghollow/job_service_loop.c
@@ -2,113 +2,123 @@
 
 #include "private/job_service_state.h"
 
-/* The loop of a process that holds nothing. */
+/* Wait of the loop in a process that doesn't hold the shard. */
 #define IDLE_WAIT_MS 100
 
 /*
- * A holder decides at most this often, and takes in answers meanwhile. At the
- * top of a turn some thousand answers come in a second; a pass looks at all
- * upstreams, hosts and waiting jobs, and one after each answer left no time for
- * the answers themselves. It is a hundredth of what callers wait for a job.
+ * A holder makes scheduling decisions at most this often and reads answers in
+ * between. At peak load some thousand answers arrive per second. Each pass
+ * examines all upstreams, hosts and waiting jobs, and a pass after each answer
+ * left no time for the answers themselves. The interval is a hundredth of the
+ * time that callers wait for a job.
  */
-#define DECIDE_EVERY_MS 5
+#define MIN_RUN_INTERVAL_MS 5
 
 /*
- * The loop runs several times a second. After a gap like this, or a time
- * that the host was suspended, this process may have been replaced.
+ * Shortest gap between two passes of the loop, or time that the host was
+ * suspended, that counts as a pause. The loop runs several times a second;
+ * after a pause this process may have been replaced.
  */
-#define STOOD_STILL_MS 900
+#define PAUSE_MIN_MS 900
 
 /*
- * Orders to hosts are answered by then, or take effect at any time. Where hosts
- * check tokens, all jobs needn't wait for them: most are answered in some ms.
+ * How long a hand-over waits for answers to orders to hosts. An order without
+ * an answer by then may take effect at any time. Where hosts check fencing
+ * tokens, jobs needn't wait for all answers: most arrive within a few
+ * milliseconds.
  */
-#define HOST_ORDERS_MS 1500
-#define HOST_ORDERS_FENCED_MS 150
+#define HOST_ORDERS_WAIT_MS 1500
+#define HOST_ORDERS_FENCED_WAIT_MS 150
 
-/* What a start costs, in polls: with its payload, its answer and its log line. */
-#define START_POLLS 3
+/* Cost of a task start in polls, with its payload, answer and log line. */
+#define START_COST_POLLS 3
 
-/* The same of a request, with its thread and its record. */
-#define REQUEST_POLLS 3
+/* Cost of a request in polls, with its thread and record. */
+#define REQUEST_COST_POLLS 3
 
-/* After the last answers, for what is on its way to the store. */
-#define SETTLE_MS 750
+/* Time limit for calls to the store after the last requests were answered. */
+#define SETTLE_TIMEOUT_MS 750
 
-static void take_answers(wwh_job_service_t *service);
-static void judge_turn(wwh_job_service_t *service, int64_t wait_ms);
+static void wait_for_answers(wwh_job_service_t *service);
+static void record_turn(wwh_job_service_t *service, int64_t wait_ms);
 static int64_t work_since_last_turn(wwh_job_service_t *service);
 static void run_once(wwh_job_service_t *service);
-static bool yields(const wwh_job_service_t *service, int64_t now_ms);
-static bool is_turned_away(const wwh_job_service_t *service, int64_t now_ms);
-static void hand_over(wwh_job_service_t *service, int64_t now_ms);
-static void tell_state(wwh_job_service_t *service, int64_t now_ms);
-static bool stood_still(wwh_job_service_t *service, int64_t now_ms);
-static void take_settings(wwh_job_service_t *service);
+static bool should_yield(const wwh_job_service_t *service, int64_t now_ms);
+static bool is_rejected_by_store(const wwh_job_service_t *service,
+				 int64_t now_ms);
+static void hand_over_if_requested(wwh_job_service_t *service, int64_t now_ms);
+static void publish_state(wwh_job_service_t *service, int64_t now_ms);
+static bool was_paused(wwh_job_service_t *service, int64_t now_ms);
+static void apply_settings(wwh_job_service_t *service);
 static bool is_settled(const wwh_job_service_t *service);
 
 gpointer job_service_run_loop(gpointer data)
 {
 	wwh_job_service_t *service = data;
-	int64_t end_ms = 0;
+	int64_t settle_deadline_ms = 0;
 	bool ending = false;
 
-	while (!ending ||
-	       (!is_settled(service) && job_service_now_ms() < end_ms)) {
-		take_answers(service);
+	while (!ending || (!is_settled(service) &&
+			   job_service_now_ms() < settle_deadline_ms)) {
+		wait_for_answers(service);
 		run_once(service);
 		g_mutex_lock(&service->lock);
-		if (service->ending && !ending) {
+		if (service->loop_ending && !ending) {
 			ending = true;
-			end_ms = job_service_now_ms() + SETTLE_MS;
+			settle_deadline_ms =
+				job_service_now_ms() + SETTLE_TIMEOUT_MS;
 		}
 		g_mutex_unlock(&service->lock);
 	}
 	return NULL;
 }
 
-/* A holder may lose the shard by any of the answers. */
-static void take_answers(wwh_job_service_t *service)
+/* Any of the answers may cause the holder to lose the shard. */
+static void wait_for_answers(wwh_job_service_t *service)
 {
 	int64_t wait_ms = IDLE_WAIT_MS;
 
 	if (service->holder != NULL)
 		wait_ms = wwh_job_holder_wait_ms(service->holder);
-	judge_turn(service, wait_ms);
+	record_turn(service, wait_ms);
 	while (wait_ms > 0) {
 		wwh_http_calls_poll(service->calls, (int32_t)wait_ms);
 		if (service->holder == NULL)
 			return;
-		wait_ms = service->last_run_ms + DECIDE_EVERY_MS -
+		wait_ms = service->last_run_ms + MIN_RUN_INTERVAL_MS -
 			  job_service_now_ms();
 	}
 }
 
-/* Called between two turns: of the one that ends, and the next one's wait. */
-static void judge_turn(wwh_job_service_t *service, int64_t wait_ms)
+/*
+ * Records the turn that ends and begins the next one, which is to wait for
+ * wait_ms. A turn is one iteration of the loop.
+ */
+static void record_turn(wwh_job_service_t *service, int64_t wait_ms)
 {
 	int64_t now_ms = job_service_now_ms();
-	int64_t turn_ms = now_ms - service->turn_begun_ms;
-	int64_t overrun_ms = MAX(turn_ms - service->turn_wait_ms, 0);
-	bool was_late = wwh_loop_lag_is_overloaded(service->lag);
-	bool is_late;
+	int64_t turn_ms = now_ms - service->turn_started_ms;
+	int64_t overrun_ms = MAX(turn_ms - service->turn_planned_wait_ms, 0);
+	bool was_overloaded = wwh_loop_lag_is_overloaded(service->lag);
+	bool is_overloaded;
 
-	if (service->holder == NULL || service->turn_begun_ms == 0) {
-		service->turn_begun_ms = service->holder == NULL ? 0 : now_ms;
-		service->turn_wait_ms = wait_ms;
+	if (service->holder == NULL || service->turn_started_ms == 0) {
+		service->turn_started_ms = service->holder == NULL ? 0 : now_ms;
+		service->turn_planned_wait_ms = wait_ms;
 		return;
 	}
-	service->turn_begun_ms = now_ms;
-	service->turn_wait_ms = wait_ms;
+	service->turn_started_ms = now_ms;
+	service->turn_planned_wait_ms = wait_ms;
 	wwh_histogram_add(service->overrun_ms, overrun_ms);
 	wwh_loop_lag_add_work(service->lag, work_since_last_turn(service));
-	wwh_loop_lag_want_proof(service->lag,
-				wwh_job_holder_is_large(service->holder));
+	wwh_loop_lag_require_proof(service->lag,
+				   wwh_job_holder_is_large(service->holder));
 	wwh_loop_lag_add_turn(service->lag, turn_ms, overrun_ms);
-	is_late = wwh_loop_lag_is_overloaded(service->lag);
-	if (is_late != was_late)
+	is_overloaded = wwh_loop_lag_is_overloaded(service->lag);
+	if (is_overloaded != was_overloaded)
 		wwh_event_log_printf(
-			service->log, is_late ? "loop-late" : "loop-in-time",
+			service->log,
+			is_overloaded ? "loop-late" : "loop-in-time",
 			service->settings.name,
 			"turn_ms=%" G_GINT64_FORMAT
 			" behind_ms=%" G_GINT64_FORMAT
@@ -116,80 +126,85 @@
 			" most_per_s=%" G_GINT64_FORMAT " blames=%s",
 			turn_ms, wwh_loop_lag_ms(service->lag),
 			wwh_loop_lag_work_per_s(service->lag),
-			wwh_loop_lag_most_per_s(service->lag),
-			wwh_loop_lag_blames_host(service->lag) ? "host"
-							       : "load");
+			wwh_loop_lag_max_work_per_s(service->lag),
+			wwh_loop_lag_is_host_slow(service->lag) ? "host"
+								: "load");
 }
 
-/* In the cost of a poll, by the processor time that each takes. */
+/* In units of one poll, weighted by processor time. */
 static int64_t work_since_last_turn(wwh_job_service_t *service)
 {
-	int64_t work = wwh_counter_value(service->calls_sent) +
-		       (START_POLLS - 1) * wwh_counter_value(service->starts) +
-		       REQUEST_POLLS * service->requests_taken;
-	int64_t since = work - service->work_counted;
+	int64_t work =
+		wwh_counter_value(service->calls_sent) +
+		(START_COST_POLLS - 1) * wwh_counter_value(service->starts) +
+		REQUEST_COST_POLLS * service->requests_handled;
+	int64_t since = work - service->work_reported;
 
-	service->work_counted = work;
+	service->work_reported = work;
 	return since;
 }
 
 static void run_once(wwh_job_service_t *service)
 {
 	int64_t now_ms = job_service_now_ms();
-	bool suspended = stood_still(service, now_ms);
+	bool suspended = was_paused(service, now_ms);
 	bool stopping;
-	bool gives_up;
+	bool deadline_passed;
 
-	take_settings(service);
+	apply_settings(service);
 	wwh_store_follower_run(service->operator_records, now_ms);
 	g_mutex_lock(&service->lock);
 	stopping = service->stopping;
-	gives_up = stopping && !service->ended && now_ms >= service->give_up_ms;
+	deadline_passed = stopping && !service->requests_closed &&
+			  now_ms >= service->stop_deadline_ms;
 	g_mutex_unlock(&service->lock);
 	if (service->holder != NULL) {
-		wwh_job_holder_stop_duties(service->holder,
-					   stopping ||
-						   service->asked_for_ms != 0);
+		wwh_job_holder_stop_duties(
+			service->holder,
+			stopping || service->handover_requested_ms != 0);
 		wwh_job_holder_set_overloaded(
 			service->holder,
 			wwh_loop_lag_is_overloaded(service->lag));
 		wwh_job_holder_run(service->holder, now_ms,
 				   job_service_wall_ms(), suspended);
 	}
-	job_service_take_requests(service);
-	if (gives_up)
-		job_service_end_requests(service);
+	job_service_handle_requests(service);
+	if (deadline_passed)
+		job_service_abort_requests(service);
 	if (stopping && service->holder != NULL &&
 	    wwh_job_holder_settled(service->holder)) {
-		/* the next holder goes on at once, as nothing is on its way */
-		service->lost_holder = g_steal_pointer(&service->holder);
+		/* the next holder can continue at once: no call is pending */
+		service->detached_holder = g_steal_pointer(&service->holder);
 	}
 	if (stopping && service->holder == NULL)
 		wwh_shard_claim_give_up(service->claim, now_ms);
-	wwh_shard_claim_leave_to_others(
-		service->claim, wwh_loop_lag_blames_host(service->lag), now_ms);
-	hand_over(service, now_ms);
+	wwh_shard_claim_leave_to_others(service->claim,
+					wwh_loop_lag_is_host_slow(service->lag),
+					now_ms);
+	hand_over_if_requested(service, now_ms);
 	wwh_shard_claim_run(service->claim, now_ms);
-	if (service->lost_holder != NULL) {
-		wwh_job_holder_delete(service->lost_holder);
-		service->lost_holder = NULL;
+	if (service->detached_holder != NULL) {
+		wwh_job_holder_delete(service->detached_holder);
+		service->detached_holder = NULL;
 	}
-	tell_state(service, now_ms);
+	publish_state(service, now_ms);
 }
 
 /*
- * A holder that the store turns away can accept no job, and one whose loop can't
- * keep up lets all jobs wait, for as long as its host is slow: seconds in which
- * it answers others in time that it holds the shard.
+ * Whether the holder should hand the shard over on request. A holder that the
+ * store rejects can't accept jobs. One whose loop is overloaded by a slow host
+ * delays all jobs for seconds, while it still answers peers in time that it
+ * holds the shard.
  */
-static bool yields(const wwh_job_service_t *service, int64_t now_ms)
+static bool should_yield(const wwh_job_service_t *service, int64_t now_ms)
 {
-	return is_turned_away(service, now_ms) ||
+	return is_rejected_by_store(service, now_ms) ||
 	       (service->holder != NULL &&
-		wwh_loop_lag_blames_host(service->lag));
+		wwh_loop_lag_is_host_slow(service->lag));
 }
 
-static bool is_turned_away(const wwh_job_service_t *service, int64_t now_ms)
+static bool is_rejected_by_store(const wwh_job_service_t *service,
+				 int64_t now_ms)
 {
 	return service->holder != NULL &&
 	       wwh_job_holder_turned_away(
@@ -198,85 +213,89 @@
 }
 
 /*
- * It leaves the shard to the process that asked for it, once its orders to hosts
- * are answered: that one then needn't wait for them. Where hosts check tokens
- * that one waits with its own, and goes on with all else meanwhile. A holder that
- * is served again, and in time, goes on.
+ * Hands the shard over to the process that requested it, after the answers to
+ * its orders to hosts, so that the successor needn't wait for them. Where hosts
+ * check fencing tokens, it hands over earlier: the successor delays only its
+ * own orders to hosts. A holder that the store accepts again and whose loop
+ * keeps up drops the request and keeps the shard.
  */
-static void hand_over(wwh_job_service_t *service, int64_t now_ms)
+static void hand_over_if_requested(wwh_job_service_t *service, int64_t now_ms)
 {
-	int64_t limit_ms = service->settings.hosts_fence ? HOST_ORDERS_FENCED_MS
-							 : HOST_ORDERS_MS;
-	bool asked_for;
-	bool orders_hosts;
+	int64_t limit_ms = service->settings.hosts_fence
+				   ? HOST_ORDERS_FENCED_WAIT_MS
+				   : HOST_ORDERS_WAIT_MS;
+	bool requested;
+	bool orders_pending;
 
 	g_mutex_lock(&service->lock);
-	if (!yields(service, now_ms))
-		service->asked_for = false;
-	asked_for = service->asked_for;
+	if (!should_yield(service, now_ms))
+		service->handover_requested = false;
+	requested = service->handover_requested;
 	g_mutex_unlock(&service->lock);
-	if (!asked_for) {
-		service->asked_for_ms = 0;
+	if (!requested) {
+		service->handover_requested_ms = 0;
 		return;
 	}
-	if (service->asked_for_ms == 0)
-		service->asked_for_ms = now_ms;
-	orders_hosts = wwh_job_holder_orders_hosts(service->holder);
-	if (orders_hosts && now_ms - service->asked_for_ms < limit_ms)
+	if (service->handover_requested_ms == 0)
+		service->handover_requested_ms = now_ms;
+	orders_pending = wwh_job_holder_orders_hosts(service->holder);
+	if (orders_pending &&
+	    now_ms - service->handover_requested_ms < limit_ms)
 		return;
-	(void)job_service_drop_holder(service, "handed-over");
+	(void)job_service_detach_holder(service, "handed-over");
 	wwh_shard_claim_handed_over(service->claim, now_ms);
-	service->asked_for_ms = 0;
+	service->handover_requested_ms = 0;
 	g_mutex_lock(&service->lock);
-	service->asked_for = false;
-	service->handed_over = !orders_hosts || service->settings.hosts_fence;
-	service->handed_over_early = orders_hosts;
+	service->handover_requested = false;
+	service->handed_over = !orders_pending || service->settings.hosts_fence;
+	service->handed_over_early = orders_pending;
 	g_mutex_unlock(&service->lock);
 }
 
-/* What other processes are told of the shard. */
-static void tell_state(wwh_job_service_t *service, int64_t now_ms)
+/* Publishes the state of the shard that is reported to other processes. */
+static void publish_state(wwh_job_service_t *service, int64_t now_ms)
 {
 	const wwh_job_holder_t *holder = service->holder;
 	bool holds = holder != NULL;
 	bool claims = wwh_shard_claim_in_progress(service->claim);
 
 	g_mutex_lock(&service->lock);
-	service->holds = holds;
-	service->claims = claims;
-	service->orders_hosts = holds && wwh_job_holder_orders_hosts(holder);
+	service->holds_shard = holds;
+	service->claims_shard = claims;
+	service->host_orders_pending =
+		holds && wwh_job_holder_orders_hosts(holder);
 	service->reaches_store =
 		holds && wwh_job_holder_reaches_store(holder, now_ms);
-	service->yields = yields(service, now_ms);
-	service->turned_away = is_turned_away(service, now_ms);
+	service->yields_shard = should_yield(service, now_ms);
+	service->rejected_by_store = is_rejected_by_store(service, now_ms);
 	service->handed_over = service->handed_over && !holds && !claims;
 	g_mutex_unlock(&service->lock);
 }
 
-static bool stood_still(wwh_job_service_t *service, int64_t now_ms)
+static bool was_paused(wwh_job_service_t *service, int64_t now_ms)
 {
-	int64_t slept_ms =
+	int64_t suspended_ms =
 		now_ms - g_get_monotonic_time() / G_TIME_SPAN_MILLISECOND;
-	bool still = now_ms - service->last_run_ms > STOOD_STILL_MS ||
-		     (service->slept_ms != 0 &&
-		      slept_ms - service->slept_ms > STOOD_STILL_MS);
+	bool paused = now_ms - service->last_run_ms > PAUSE_MIN_MS ||
+		      (service->suspended_ms != 0 &&
+		       suspended_ms - service->suspended_ms > PAUSE_MIN_MS);
 
-	if (still)
+	if (paused)
 		wwh_event_log_printf(service->log, "stood-still",
 				     service->settings.name,
 				     "gap_ms=%" G_GINT64_FORMAT,
 				     now_ms - service->last_run_ms);
 	service->last_run_ms = now_ms;
-	service->slept_ms = slept_ms;
-	return still;
+	service->suspended_ms = suspended_ms;
+	return paused;
 }
 
-static void take_settings(wwh_job_service_t *service)
+static void apply_settings(wwh_job_service_t *service)
 {
 	wwh_host_settings_t *next;
 
 	g_mutex_lock(&service->lock);
-	next = g_steal_pointer(&service->settings_next);
+	next = g_steal_pointer(&service->pending_settings);
 	g_mutex_unlock(&service->lock);
 	if (next == NULL)
 		return;
@@ -289,12 +308,12 @@
 		wwh_store_follower_delete(service->operator_records);
 		wwh_host_settings_clear(&service->settings);
 		service->settings = *next;
-		job_service_make_calls(service);
+		job_service_create_store_clients(service);
 	} else if (service->holder == NULL) {
 		wwh_host_settings_clear(&service->settings);
 		service->settings = *next;
 	} else {
-		/* a holder keeps the settings that it began with */
+		/* a holder keeps the settings with which it was created */
 		wwh_host_settings_clear(next);
 	}
 	g_free(next);
--- a/src/libwaxwinghollow/job_service_peer.c
+++ b/src/libwaxwinghollow/job_service_peer.c
@@ -3,8 +3,9 @@
 #include "private/job_service_state.h"
 
 /*
- * Between processes: the job as MessagePack, answers as a line of text
- * "KIND STATE PENDING RETRY_AFTER_S WHY", with numbers of the enums.
+ * Protocol between processes: jobs are sent as MessagePack, and answers as a
+ * line of text "KIND STATE PENDING RETRY_AFTER_S WHY". KIND and STATE are the
+ * numeric values of their enums.
  */
 #define JOBS_PATH "/v1/shard/jobs"
 #define PENDING_PATH "/v1/shard/pending/"
@@ -14,8 +15,8 @@
 #define STATUS_OK 200
 #define NO_HOLDER_RETRY_AFTER_S 1
 
-static wwh_http_call_t *call_of(const wwh_job_service_t *service,
-				const job_request_t *request);
+static wwh_http_call_t *make_call(const wwh_job_service_t *service,
+				  const job_request_t *request);
 static char *job_path(const job_request_t *request);
 static void on_forwarded(const wwh_http_answer_t *answer, void *data);
 static bool read_answer(const wwh_http_answer_t *http,
@@ -31,7 +32,7 @@
 	job_forward_t *forward;
 
 	if (request->from_peer || service->holder_address == NULL ||
-	    strcmp(service->holder_address, service->self) == 0) {
+	    strcmp(service->holder_address, service->own_address) == 0) {
 		job_request_answer(&answer, request);
 		return;
 	}
@@ -39,12 +40,12 @@
 	forward->service = service;
 	forward->request = request;
 	g_hash_table_add(service->forwards, forward);
-	wwh_http_calls_send(service->calls, call_of(service, request),
+	wwh_http_calls_send(service->calls, make_call(service, request),
 			    on_forwarded, forward);
 }
 
-bool job_service_peer_request(const wwh_http_request_t *http,
-			      job_request_t **request)
+bool job_service_parse_peer_request(const wwh_http_request_t *http,
+				    job_request_t **request)
 {
 	char *path = wwh_http_path(http->target);
 	wwh_message_t message;
@@ -80,8 +81,8 @@
 	return *request != NULL;
 }
 
-void job_service_peer_answer(const wwh_job_answer_t *answer,
-			     wwh_http_response_t *response)
+void job_service_write_peer_answer(const wwh_job_answer_t *answer,
+				   wwh_http_response_t *response)
 {
 	char *text = g_strdup_printf("%d %d %d %" G_GINT64_FORMAT " %s",
 				     answer->kind, answer->state,
@@ -94,8 +95,8 @@
 	g_free(text);
 }
 
-static wwh_http_call_t *call_of(const wwh_job_service_t *service,
-				const job_request_t *request)
+static wwh_http_call_t *make_call(const wwh_job_service_t *service,
+				  const job_request_t *request)
 {
 	static const char *const methods[JOB_REQUEST_KIND_COUNT] = {
 		"POST",
@@ -105,7 +106,7 @@
 	};
 	wwh_http_call_t *call =
 		wwh_http_call_new(methods[request->kind],
-				  service->holder_address, request->limit_ms);
+				  service->holder_address, request->timeout_ms);
 	GBytes *job;
 	gsize size;
 
@@ -186,7 +187,7 @@
 		answer->state = (wwh_job_progress_t)state;
 		answer->pending = (int32_t)g_ascii_strtoll(fields[2], NULL, 10);
 		answer->retry_after_s = g_ascii_strtoll(fields[3], NULL, 10);
-		/* one of few words, kept for good */
+		/* interned texts are never freed, but there are only a few */
 		answer->why = g_intern_string(fields[4]);
 	}
 	g_strfreev(fields);
--- a/src/libwaxwinghollow/job_service_queue.c
+++ b/src/libwaxwinghollow/job_service_queue.c
@@ -2,8 +2,8 @@
 
 #include "private/job_service_state.h"
 
-/* Part of a caller's deadline that is left for the answer's way back. */
-#define ANSWER_WAY_MS 60
+/* Part of a caller's timeout reserved for sending the answer. */
+#define ANSWER_TRANSIT_MS 60
 
 const char *const job_request_kind_names[JOB_REQUEST_KIND_COUNT] = {
 	"submit",
@@ -12,7 +12,7 @@
 	"pending",
 };
 
-static void serve(wwh_job_service_t *service, job_request_t *request);
+static void handle_request(wwh_job_service_t *service, job_request_t *request);
 
 job_request_t *job_request_new(job_request_kind_t kind)
 {
@@ -37,17 +37,17 @@
 	g_free(request);
 }
 
-wwh_job_answer_t job_service_ask(wwh_job_service_t *service,
-				 job_request_t *request)
+wwh_job_answer_t job_service_execute(wwh_job_service_t *service,
+				     job_request_t *request)
 {
-	int64_t wait_ms = MAX(request->limit_ms - ANSWER_WAY_MS, 1);
+	int64_t wait_ms = MAX(request->timeout_ms - ANSWER_TRANSIT_MS, 1);
 	int64_t end_us =
 		g_get_monotonic_time() + wait_ms * G_TIME_SPAN_MILLISECOND;
 	wwh_job_answer_t answer = {
 		.kind = WWH_JOB_ANSWER_UNKNOWN,
 		.why = "deadline",
 	};
-	static const wwh_job_answer_t ended = {
+	static const wwh_job_answer_t shutting_down = {
 		.kind = WWH_JOB_ANSWER_NOT_DONE,
 		.why = "shutting-down",
 		.retry_after_s = 1,
@@ -55,10 +55,10 @@
 
 	g_atomic_int_inc(&request->references);
 	g_mutex_lock(&service->lock);
-	if (service->ended) {
+	if (service->requests_closed) {
 		g_mutex_unlock(&service->lock);
 		job_request_unref(request);
-		return ended;
+		return shutting_down;
 	}
 	g_async_queue_push(service->requests, request);
 	g_mutex_unlock(&service->lock);
@@ -75,22 +75,22 @@
 	return answer;
 }
 
-void job_service_take_requests(wwh_job_service_t *service)
+void job_service_handle_requests(wwh_job_service_t *service)
 {
 	job_request_t *request;
 
 	while ((request = g_async_queue_try_pop(service->requests)) != NULL) {
-		service->requests_taken++;
-		serve(service, request);
+		service->requests_handled++;
+		handle_request(service, request);
 	}
 }
 
 /*
- * Threads of the listeners wait for their requests up to the callers'
- * deadlines; a process that waits for those threads outlives its grace
- * period and is killed, with answers half written.
+ * The listeners' threads wait for answers until the callers' deadlines. Without
+ * this, a stopping process that waits for those threads would exceed its grace
+ * period and be killed with answers half written.
  */
-void job_service_end_requests(wwh_job_service_t *service)
+void job_service_abort_requests(wwh_job_service_t *service)
 {
 	wwh_job_answer_t not_done = {
 		.kind = WWH_JOB_ANSWER_NOT_DONE,
@@ -106,23 +106,23 @@
 	gpointer forward;
 
 	g_mutex_lock(&service->lock);
-	service->ended = true;
+	service->requests_closed = true;
 	g_mutex_unlock(&service->lock);
 	while ((request = g_async_queue_try_pop(service->requests)) != NULL)
 		job_request_answer(&not_done, request);
 	g_hash_table_iter_init(&iterator, service->forwards);
 	while (g_hash_table_iter_next(&iterator, &forward, NULL)) {
-		/* its answer may still come, and is of no use then */
+		/* the holder's answer may still arrive and is then ignored */
 		request = g_steal_pointer(&((job_forward_t *)forward)->request);
 		if (request != NULL)
 			job_request_answer(&unknown, request);
 	}
-	/* requests that wait for a record end as unknown */
+	/* answers requests that wait for a record as unknown */
 	wwh_job_holder_delete(service->holder);
 	service->holder = NULL;
 }
 
-/* Also drops the loop's reference. */
+/* Also releases the loop's reference. */
 void job_request_answer(const wwh_job_answer_t *answer, void *data)
 {
 	job_request_t *request = data;
@@ -135,7 +135,7 @@
 	job_request_unref(request);
 }
 
-static void serve(wwh_job_service_t *service, job_request_t *request)
+static void handle_request(wwh_job_service_t *service, job_request_t *request)
 {
 	wwh_job_holder_t *holder = service->holder;
 	static const wwh_job_answer_t hidden = {
