--- a/src/test_job_service/service_fixture.h
+++ b/src/test_job_service/service_fixture.h
@@ -2,8 +2,8 @@
 #define TEST_JOB_SERVICE_SERVICE_FIXTURE_H
 
 /*
- * Two processes of the job service on a stand-in of the platform, and short
- * calls that ask them what callers and other processes ask.
+ * Two processes of the job service on a stand-in platform, and helpers that
+ * send them requests as callers and other processes do.
  */
 
 #include "../test_standins/include/free_port.h"
@@ -25,16 +25,16 @@
 typedef struct {
 	standin_t *standin;
 	wwh_job_service_t *services[PROCESSES];
-	int32_t ports[PROCESSES]; /* of callers */
+	int32_t ports[PROCESSES]; /* for callers */
 	int32_t peer_ports[PROCESSES];
-	int64_t cpu_permille[PROCESSES]; /* 0: as by default */
+	int64_t cpu_permille[PROCESSES]; /* 0: the default */
 	wwh_counters_t *counters;
 	wwh_upstream_t *client;
 	int log_fd;
-	const char *patience_ms; /* of callers */
-	const char *authorization; /* the same; NULL: none */
+	const char *deadline_ms; /* header of callers' requests */
+	const char *authorization; /* header of callers' requests; NULL: none */
 	bool checks_keys;
-	int64_t keys_fail_after_ms; /* 0: they don't */
+	int64_t keys_fail_after_ms; /* 0: they don't fail */
 } fixture_t;
 
 static inline void start_process(fixture_t *fixture, int32_t index)
@@ -75,14 +75,14 @@
 	fixture->services[index] = NULL;
 }
 
-/* Without its processes. */
+/* Doesn't start the processes. */
 static inline fixture_t *fixture_new(void)
 {
 	fixture_t *fixture = g_new0(fixture_t, 1);
 	wwh_upstream_options_t options = wwh_upstream_options_defaults();
 
 	fixture->standin = standin_new();
-	fixture->patience_ms = "1500";
+	fixture->deadline_ms = "1500";
 	fixture->counters = wwh_counters_new();
 	fixture->client = wwh_upstream_new(&options, fixture->counters);
 	fixture->log_fd = open("/dev/null", O_WRONLY);
@@ -116,9 +116,13 @@
 	return 0;
 }
 
-/* The status of one request; *text gets the body, to be freed. */
-static inline int32_t ask(fixture_t *fixture, int32_t index, const char *method,
-			  const char *target, const char *body, char **text)
+/*
+ * Returns the status of one request, 0 without an answer. If text isn't NULL,
+ * *text gets the body, to be freed with g_free.
+ */
+static inline int32_t send_request(fixture_t *fixture, int32_t index,
+				   const char *method, const char *target,
+				   const char *body, char **text)
 {
 	wwh_headers_t *headers = wwh_headers_new();
 	wwh_http_request_t http = {
@@ -142,7 +146,7 @@
 
 	wwh_headers_add(headers, "Host", "h");
 	wwh_headers_add(headers, "Waxwinghollow-Deadline-Ms",
-			fixture->patience_ms);
+			fixture->deadline_ms);
 	if (fixture->authorization != NULL)
 		wwh_headers_add(headers, "Authorization",
 				fixture->authorization);
@@ -162,14 +166,15 @@
 static inline void wait_ready(fixture_t *fixture, int32_t index)
 {
 	for (int32_t i = 0; i < WAIT_LIMIT_MS / 50; i++) {
-		if (ask(fixture, index, "GET", "/q/", NULL, NULL) == 200)
+		if (send_request(fixture, index, "GET", "/q/", NULL, NULL) ==
+		    200)
 			return;
 		g_usleep(50 * 1000);
 	}
 	fail_msg("process %d doesn't serve", index);
 }
 
-static inline void submit(fixture_t *fixture, int32_t index, const char *id)
+static inline void submit_job(fixture_t *fixture, int32_t index, const char *id)
 {
 	static const char job[] =
 		"{\"spec\":\"text\",\"phases\":[{\"count\":3,\"cpu\":1000,"
@@ -178,9 +183,10 @@
 	char *target = g_strconcat("/q/", id, NULL);
 	int32_t status = 0;
 
-	/* as callers do: again with the same id while it isn't accepted */
+	/* as callers do, retries with the same id until it is accepted */
 	for (int32_t i = 0; i < 100 && status != 200; i++) {
-		status = ask(fixture, index, "POST", target, job, NULL);
+		status =
+			send_request(fixture, index, "POST", target, job, NULL);
 		if (status != 200)
 			g_usleep(100 * 1000);
 	}
@@ -188,8 +194,8 @@
 	g_free(target);
 }
 
-static inline void wait_state(fixture_t *fixture, int32_t index, const char *id,
-			      const char *state)
+static inline void wait_job_state(fixture_t *fixture, int32_t index,
+				  const char *id, const char *state)
 {
 	char *target = g_strconcat("/q/", id, NULL);
 	char *wanted = g_strdup_printf("{\"state\":\"%s\"}", state);
@@ -197,8 +203,8 @@
 
 	for (int32_t i = 0; i < WAIT_LIMIT_MS / 50 && !found; i++) {
 		char *text;
-		int32_t status =
-			ask(fixture, index, "GET", target, NULL, &text);
+		int32_t status = send_request(fixture, index, "GET", target,
+					      NULL, &text);
 
 		/* an accepted job is never unknown */
 		assert_int_not_equal(status, 410);
@@ -213,19 +219,19 @@
 	g_free(wanted);
 }
 
-/* What a process says of the shard to others. */
+/* The state of the shard that a process reports to others. */
 static inline int32_t shard_status(fixture_t *fixture, int32_t index)
 {
 	int32_t callers = fixture->ports[index];
 	int32_t status;
 
 	fixture->ports[index] = fixture->peer_ports[index];
-	status = ask(fixture, index, "GET", "/v1/shard", NULL, NULL);
+	status = send_request(fixture, index, "GET", "/v1/shard", NULL, NULL);
 	fixture->ports[index] = callers;
 	return status;
 }
 
-static inline int32_t holder_of(fixture_t *fixture)
+static inline int32_t find_holder(fixture_t *fixture)
 {
 	for (int32_t i = 0; i < PROCESSES; i++) {
 		if (shard_status(fixture, i) == 200)
@@ -235,44 +241,44 @@
 	return 0;
 }
 
-/* test_changes.c: one process holds the shard after the other */
-void a_holder_that_the_store_turns_away_hands_over(void **state);
+/* test_changes.c: changes of the shard's holder */
+void a_holder_that_the_store_rejects_hands_over(void **state);
 void a_holder_that_cannot_keep_up_hands_over(void **state);
 void a_holder_keeps_a_load_that_was_handed_over_to_it(void **state);
 void a_holder_keeps_the_shard_while_nobody_else_is_served(void **state);
-void a_lost_answer_keeps_no_pool_waiting(void **state);
+void a_lost_answer_does_not_delay_its_pool(void **state);
 void another_process_takes_over_from_one_that_stops(void **state);
 void a_stopped_holder_waits_for_its_orders_to_hosts(void **state);
-void a_slow_process_holds_the_shard_only_if_nobody_else_does(void **state);
+void a_slow_process_holds_the_shard_only_if_no_other_does(void **state);
 
 /* test_keys.c */
 #define KEY_TESTS                                                              \
 	cmocka_unit_test_setup_teardown(                                       \
-		only_callers_with_a_key_in_force_are_served, set_up_open_keys, \
-		tear_down),                                                    \
+		only_callers_with_a_valid_key_are_served,                      \
+		set_up_keys_fail_open, tear_down),                             \
 		cmocka_unit_test_setup_teardown(                               \
 			a_job_is_hidden_from_other_workspaces,                 \
-			set_up_open_keys, tear_down),                          \
+			set_up_keys_fail_open, tear_down),                     \
 		cmocka_unit_test_setup_teardown(                               \
-			keys_change_on_all_processes_and_never_back,           \
-			set_up_open_keys, tear_down),                          \
+			keys_are_replaced_on_all_processes_and_never_restored, \
+			set_up_keys_fail_open, tear_down),                     \
 		cmocka_unit_test_setup_teardown(                               \
-			a_configuration_without_keys_lets_nobody_in,           \
-			set_up_open_keys, tear_down),                          \
+			a_configuration_without_keys_authorizes_nobody,        \
+			set_up_keys_fail_open, tear_down),                     \
 		cmocka_unit_test_setup_teardown(                               \
-			keys_fail_while_their_configuration_is_unread,         \
-			set_up_closed_keys, tear_down),                        \
+			keys_are_rejected_once_the_configuration_is_stale,     \
+			set_up_keys_fail_closed, tear_down),                   \
 		cmocka_unit_test_setup_teardown(                               \
-			keys_stay_in_force_where_the_operator_says_so,         \
-			set_up_open_keys, tear_down)
+			keys_stay_valid_during_an_outage_if_not_fail_closed,   \
+			set_up_keys_fail_open, tear_down)
 
-int set_up_open_keys(void **state);
-int set_up_closed_keys(void **state);
-void only_callers_with_a_key_in_force_are_served(void **state);
+int set_up_keys_fail_open(void **state);
+int set_up_keys_fail_closed(void **state);
+void only_callers_with_a_valid_key_are_served(void **state);
 void a_job_is_hidden_from_other_workspaces(void **state);
-void keys_change_on_all_processes_and_never_back(void **state);
-void a_configuration_without_keys_lets_nobody_in(void **state);
-void keys_fail_while_their_configuration_is_unread(void **state);
-void keys_stay_in_force_where_the_operator_says_so(void **state);
+void keys_are_replaced_on_all_processes_and_never_restored(void **state);
+void a_configuration_without_keys_authorizes_nobody(void **state);
+void keys_are_rejected_once_the_configuration_is_stale(void **state);
+void keys_stay_valid_during_an_outage_if_not_fail_closed(void **state);
 
 #endif
--- a/src/test_job_service/test_changes.c
+++ b/src/test_job_service/test_changes.c
@@ -1,30 +1,34 @@
 /*
- * What callers see while the shard goes from one process to the other.
+ * What callers observe while the shard moves from one process to another.
  */
 
 #include "service_fixture.h"
 
 /*
- * From the store's first refusal until a job is accepted again: two questions
- * to the holder, a call to the group between them, a claim, and what callers
- * wait between two tries.
+ * Longest time from the store's first refusal until a job is accepted again:
+ * two requests to the holder, a call to the group between them, a claim, and
+ * the callers' delay between two attempts.
  */
-#define HAND_OVER_MS 1800
+#define HANDOVER_MAX_MS 1800
 
 /*
- * Half a second until a loop is known to be late, one to ask for the shard and
- * claim it; twice that, as each step waits for the late loop.
+ * Half a second until the loop is known to be overloaded, and one second to
+ * request the shard and claim it; twice that, because each step waits for the
+ * overloaded loop.
  */
-#define LATE_HAND_OVER_MS 3000
+#define OVERLOADED_HANDOVER_MAX_MS 3000
 
-/* Several times what a loop takes to show that it can't keep up. */
-#define OVERLOAD_MS 2500
+/* Several times the time in which an overload of a loop is detected. */
+#define OVERLOAD_OBSERVED_MS 2500
 
-/* A question, one more, and the start: each takes some ms. */
-#define LOST_ANSWER_MS 500
+/* A poll, its repetition, and the start; each takes some milliseconds. */
+#define LOST_ANSWER_DELAY_MAX_MS 500
 
-/* The store refuses the holder's records, and the group names the other. */
-static void turn_away(fixture_t *fixture, int32_t holder)
+/*
+ * The store rejects the holder's records, and the group names the other
+ * process.
+ */
+static void reject_holder(fixture_t *fixture, int32_t holder)
 {
 	standin_t *standin = fixture->standin;
 
@@ -39,12 +43,12 @@
 }
 
 /*
- * The store turns the holder away, as it can for seconds, and serves the other
- * process. Callers were turned away for two seconds and more, until that one
- * took the holder for lost; now it asks the holder to give the shard up. What
- * runs goes on, and nothing runs twice.
+ * Guards against rejected callers while the store rejects the holder, as it can
+ * for seconds, and serves the other process. Callers were rejected for two
+ * seconds and more, until the other process considered the holder lost; instead
+ * it requests a hand-over. Running tasks continue, and none runs twice.
  */
-void a_holder_that_the_store_turns_away_hands_over(void **state)
+void a_holder_that_the_store_rejects_hands_over(void **state)
 {
 	fixture_t *fixture = *state;
 	int64_t begun_ms;
@@ -55,24 +59,26 @@
 	g_mutex_unlock(&fixture->standin->lock);
 	for (int32_t i = 0; i < PROCESSES; i++)
 		wait_ready(fixture, i);
-	holder = holder_of(fixture);
-	submit(fixture, 0, "00000000000000d0");
-	turn_away(fixture, holder);
+	holder = find_holder(fixture);
+	submit_job(fixture, 0, "00000000000000d0");
+	reject_holder(fixture, holder);
 	begun_ms = standin_now_ms();
-	submit(fixture, 0, "00000000000000d1");
-	assert_true(standin_now_ms() - begun_ms < HAND_OVER_MS);
-	assert_int_equal(holder_of(fixture), 1 - holder);
+	submit_job(fixture, 0, "00000000000000d1");
+	assert_true(standin_now_ms() - begun_ms < HANDOVER_MAX_MS);
+	assert_int_equal(find_holder(fixture), 1 - holder);
 	assert_int_equal(shard_status(fixture, holder), 410);
-	wait_state(fixture, 1, "00000000000000d0", "completed");
-	wait_state(fixture, 0, "00000000000000d1", "completed");
+	wait_job_state(fixture, 1, "00000000000000d0", "completed");
+	wait_job_state(fixture, 0, "00000000000000d1", "completed");
 }
 
 /*
- * The holder's host turns six times slower in a peak. It says in time that it
- * holds the shard, so nobody replaces it, while its records, starts and ends wait
- * for its loop: on a day of 34 s it kept the shard for the 8.2 s that its host was
- * slow, 1,496 callers were turned away, and one kind of job earned a tenth of its
- * credit. Here answers that take long to read stand for the slow host.
+ * Guards against a holder that keeps the shard on a slow host. When the host
+ * becomes six times slower at peak load, the holder still answers in time that
+ * it holds the shard, so no process replaces it, while its records, starts and
+ * ends wait for its loop. In a run with a day of 34 s it kept the shard for the
+ * 8.2 s in which its host was slow: 1,496 callers were rejected, and one kind
+ * of job earned a tenth of its credit. Answers that take long to read simulate
+ * the slow host here.
  */
 void a_holder_that_cannot_keep_up_hands_over(void **state)
 {
@@ -83,28 +89,29 @@
 
 	for (int32_t i = 0; i < PROCESSES; i++)
 		wait_ready(fixture, i);
-	holder = holder_of(fixture);
-	submit(fixture, 0, "00000000000000d2");
+	holder = find_holder(fixture);
+	submit_job(fixture, 0, "00000000000000d2");
 	g_mutex_lock(&standin->lock);
 	standin->ballast = standin_ballast();
 	standin->heavy_token = standin_part(standin, "keyed.wwh", "0")->epoch;
 	g_mutex_unlock(&standin->lock);
 	begun_ms = standin_now_ms();
 	while (shard_status(fixture, 1 - holder) != 200) {
-		if (standin_now_ms() - begun_ms > LATE_HAND_OVER_MS)
-			fail_msg("a late holder keeps the shard");
+		if (standin_now_ms() - begun_ms > OVERLOADED_HANDOVER_MAX_MS)
+			fail_msg("an overloaded holder keeps the shard");
 		g_usleep(20 * 1000);
 	}
-	wait_state(fixture, 1, "00000000000000d2", "completed");
-	submit(fixture, 0, "00000000000000d3");
-	wait_state(fixture, 1, "00000000000000d3", "completed");
+	wait_job_state(fixture, 1, "00000000000000d2", "completed");
+	submit_job(fixture, 0, "00000000000000d3");
+	wait_job_state(fixture, 1, "00000000000000d3", "completed");
 }
 
 /*
- * The store takes nothing from anybody for two seconds, and answers the group. The
- * holder is turned away, and the process that the group names asks it. Handed over
- * to one that can't claim, what runs would be left to nobody until the store is
- * back, and all upstreams be asked anew for nothing.
+ * Guards against a hand-over while the store rejects the records of all
+ * processes for two seconds but still answers calls to the group. The process
+ * that the group names requests the shard. If it got it, it couldn't claim it:
+ * running tasks would be without a holder until the store recovers, and all
+ * upstreams would be polled again to no purpose.
  */
 void a_holder_keeps_the_shard_while_nobody_else_is_served(void **state)
 {
@@ -114,8 +121,8 @@
 
 	for (int32_t i = 0; i < PROCESSES; i++)
 		wait_ready(fixture, i);
-	holder = holder_of(fixture);
-	turn_away(fixture, holder);
+	holder = find_holder(fixture);
+	reject_holder(fixture, holder);
 	g_mutex_lock(&standin->lock);
 	standin->refuses_records = true;
 	g_mutex_unlock(&standin->lock);
@@ -129,27 +136,28 @@
 	standin->refuses_records = false;
 	standin->refused_epoch = 0;
 	g_mutex_unlock(&standin->lock);
-	submit(fixture, 0, "00000000000000d5");
-	wait_state(fixture, 1, "00000000000000d5", "completed");
+	submit_job(fixture, 0, "00000000000000d5");
+	wait_job_state(fixture, 1, "00000000000000d5", "completed");
 }
 
-/* More tasks than there is room for, so that some wait at any moment. */
+/* More tasks than fit at once, so that some are always waiting. */
 static void submit_many(fixture_t *fixture, const char *id)
 {
 	char *target = g_strconcat("/q/", id, NULL);
 
-	assert_int_equal(ask(fixture, 0, "POST", target,
+	assert_int_equal(
+		send_request(fixture, 0, "POST", target,
 			     "{\"spec\":\"text\",\"phases\":[{\"count\":200,"
 			     "\"cpu\":1000,\"memMb\":100,"
 			     "\"estimateMs\":300}]}",
 			     NULL),
-			 200);
+		200);
 	g_free(target);
 }
 
 /*
- * Guards against a cascade of hand-overs: a load that no process keeps up with
- * would move from each to the next, and none would get on with it.
+ * Guards against a cascade of hand-overs: a load that no process can sustain
+ * would move from one process to the next without progress.
  */
 void a_holder_keeps_a_load_that_was_handed_over_to_it(void **state)
 {
@@ -160,7 +168,7 @@
 
 	for (int32_t i = 0; i < PROCESSES; i++)
 		wait_ready(fixture, i);
-	next = 1 - holder_of(fixture);
+	next = 1 - find_holder(fixture);
 	submit_many(fixture, "00000000000000d6");
 	g_mutex_lock(&standin->lock);
 	standin->ballast = standin_ballast();
@@ -168,12 +176,12 @@
 	g_mutex_unlock(&standin->lock);
 	begun_ms = standin_now_ms();
 	while (shard_status(fixture, next) != 200) {
-		if (standin_now_ms() - begun_ms > LATE_HAND_OVER_MS)
-			fail_msg("a late holder keeps the shard");
+		if (standin_now_ms() - begun_ms > OVERLOADED_HANDOVER_MAX_MS)
+			fail_msg("an overloaded holder keeps the shard");
 		g_usleep(20 * 1000);
 	}
 	begun_ms = standin_now_ms();
-	while (standin_now_ms() - begun_ms < OVERLOAD_MS) {
+	while (standin_now_ms() - begun_ms < OVERLOAD_OBSERVED_MS) {
 		assert_int_not_equal(shard_status(fixture, next),
 				     WWH_SHARD_YIELDS);
 		g_usleep(20 * 1000);
@@ -181,13 +189,14 @@
 }
 
 /*
- * The shard changes its holder while upstreams leave one order in twelve
- * unanswered. The next one starts nothing that it inherited before each upstream
- * of the pool has answered, and asked a silent one again after 0.85 s: pools of
- * 190 upstreams waited for 3.9 s ("pool-settled after_ms=3885"), those whose
- * answers all came for 0.06 s. An answer takes some ms, so it asks again sooner.
+ * Guards against long waits after a change of the holder while upstreams leave
+ * one order in twelve unanswered. The new holder starts none of the inherited
+ * tasks of a pool before all its upstreams have answered. It polled a silent
+ * one again after 0.85 s: pools of 190 upstreams waited for 3.9 s
+ * ("pool-settled after_ms=3885"), and pools without lost answers for 0.06 s. An
+ * answer takes some milliseconds, so the poll is repeated sooner.
  */
-void a_lost_answer_keeps_no_pool_waiting(void **state)
+void a_lost_answer_does_not_delay_its_pool(void **state)
 {
 	fixture_t *fixture = *state;
 	standin_t *standin = fixture->standin;
@@ -199,7 +208,7 @@
 	g_mutex_lock(&standin->lock);
 	standin->loses_poll = true;
 	g_mutex_unlock(&standin->lock);
-	turn_away(fixture, holder_of(fixture));
+	reject_holder(fixture, find_holder(fixture));
 	for (int32_t i = 0; i < WAIT_LIMIT_MS / 50 && waited_ms < 0; i++) {
 		g_usleep(50 * 1000);
 		g_mutex_lock(&standin->lock);
@@ -208,10 +217,10 @@
 				standin->start_after_ms - standin->poll_lost_ms;
 		g_mutex_unlock(&standin->lock);
 	}
-	assert_in_range(waited_ms, 0, LOST_ANSWER_MS);
+	assert_in_range(waited_ms, 0, LOST_ANSWER_DELAY_MAX_MS);
 }
 
-/* The holder is stopped; the other goes on with what runs. */
+/* The holder is stopped; the other process continues its running tasks. */
 void another_process_takes_over_from_one_that_stops(void **state)
 {
 	fixture_t *fixture = *state;
@@ -221,15 +230,15 @@
 	g_mutex_unlock(&fixture->standin->lock);
 	for (int32_t i = 0; i < PROCESSES; i++)
 		wait_ready(fixture, i);
-	submit(fixture, 0, "00000000000000c0");
+	submit_job(fixture, 0, "00000000000000c0");
 	stop_process(fixture, 0);
-	wait_state(fixture, 1, "00000000000000c0", "completed");
-	submit(fixture, 1, "00000000000000c1");
-	wait_state(fixture, 1, "00000000000000c1", "completed");
+	wait_job_state(fixture, 1, "00000000000000c0", "completed");
+	submit_job(fixture, 1, "00000000000000c1");
+	wait_job_state(fixture, 1, "00000000000000c1", "completed");
 }
 
-/* Who gave the last order to a host, and how many there were. */
-static int32_t host_orders(fixture_t *fixture, char caller[16])
+/* Returns the number of orders to hosts; caller gets the sender of the last. */
+static int32_t count_host_orders(fixture_t *fixture, char caller[16])
 {
 	int32_t count;
 
@@ -240,23 +249,23 @@
 	return count;
 }
 
-/* The caller of the first order to a host that name didn't give. */
+/* Waits for an order to a host whose sender, stored in caller, isn't name. */
 static void wait_host_order(fixture_t *fixture, const char *name,
 			    char caller[16])
 {
 	for (int32_t i = 0; i < WAIT_LIMIT_MS / 10; i++) {
-		if (host_orders(fixture, caller) > 0 &&
+		if (count_host_orders(fixture, caller) > 0 &&
 		    strcmp(caller, name) != 0)
 			return;
 		g_usleep(10 * 1000);
 	}
-	fail_msg("no order to a host but by %s", name);
+	fail_msg("no order to a host from any caller but %s", name);
 }
 
 /*
- * The holder is stopped while a wave runs and its orders to hosts are slow.
- * The next holder gave its first ones beside them, as the shard had been given
- * up: together they take more hosts down than the wave allows.
+ * Guards against a wave that takes down more hosts than it allows when its
+ * holder is stopped while orders to hosts are slow. The holder gave up the
+ * shard at once, so the next holder's first orders overlapped with its own.
  */
 void a_stopped_holder_waits_for_its_orders_to_hosts(void **state)
 {
@@ -288,10 +297,10 @@
 }
 
 /*
- * A process with a tenth of a core takes requests and leaves the shard to
- * the other one, until that one is gone.
+ * A process with a tenth of a core accepts requests and leaves the shard to the
+ * other process until that one is stopped.
  */
-void a_slow_process_holds_the_shard_only_if_nobody_else_does(void **state)
+void a_slow_process_holds_the_shard_only_if_no_other_does(void **state)
 {
 	fixture_t *fixture = *state;
 	char *slow;
@@ -307,9 +316,9 @@
 	g_mutex_lock(&fixture->standin->lock);
 	assert_string_not_equal(fixture->standin->member, slow);
 	g_mutex_unlock(&fixture->standin->lock);
-	submit(fixture, 0, "00000000000000f0");
+	submit_job(fixture, 0, "00000000000000f0");
 	stop_process(fixture, 1);
-	wait_state(fixture, 0, "00000000000000f0", "completed");
+	wait_job_state(fixture, 0, "00000000000000f0", "completed");
 	g_mutex_lock(&fixture->standin->lock);
 	assert_string_equal(fixture->standin->member, slow);
 	g_mutex_unlock(&fixture->standin->lock);
--- a/src/test_job_service/test_keys.c
+++ b/src/test_job_service/test_keys.c
@@ -1,4 +1,4 @@
-/* Callers with API keys, without, and with keys that come and go. */
+/* Callers with and without API keys, and keys that are added and removed. */
 
 #include "service_fixture.h"
 
@@ -15,7 +15,7 @@
 
 #define STATUS_UNAUTHORIZED 401
 #define KEYS_FAIL_AFTER_MS 3000
-#define ANSWERS_AT_ONCE_MS 400
+#define REJECTION_MAX_MS 400
 
 static int set_up_keys(void **state, bool fails_closed)
 {
@@ -35,12 +35,12 @@
 	return 0;
 }
 
-int set_up_open_keys(void **state)
+int set_up_keys_fail_open(void **state)
 {
 	return set_up_keys(state, false);
 }
 
-int set_up_closed_keys(void **state)
+int set_up_keys_fail_closed(void **state)
 {
 	return set_up_keys(state, true);
 }
@@ -53,15 +53,15 @@
 	g_mutex_unlock(&fixture->standin->lock);
 }
 
-static int32_t status_with(fixture_t *fixture, int32_t index,
-			   const char *authorization)
+static int32_t status_with_key(fixture_t *fixture, int32_t index,
+			       const char *authorization)
 {
 	fixture->authorization = authorization;
-	return ask(fixture, index, "GET", "/q/", NULL, NULL);
+	return send_request(fixture, index, "GET", "/q/", NULL, NULL);
 }
 
-/* Guards against jobs that anyone who reaches a process can run and read. */
-void only_callers_with_a_key_in_force_are_served(void **state)
+/* Guards against jobs that unauthorized callers can run and read. */
+void only_callers_with_a_valid_key_are_served(void **state)
 {
 	static const char *const wrong[] = { NULL,	    "",
 					     "Token",	    "Token other",
@@ -75,31 +75,35 @@
 		for (size_t k = 0; k < G_N_ELEMENTS(methods); k++) {
 			fixture->authorization = wrong[i];
 			begun_ms = standin_now_ms();
-			assert_int_equal(ask(fixture, (int32_t)i % PROCESSES,
+			assert_int_equal(
+				send_request(fixture, (int32_t)i % PROCESSES,
 					     methods[k], "/q/00000000000000a0",
 					     "no job", &text),
-					 STATUS_UNAUTHORIZED);
+				STATUS_UNAUTHORIZED);
 			assert_true(standin_now_ms() - begun_ms <
-				    ANSWERS_AT_ONCE_MS);
+				    REJECTION_MAX_MS);
 			assert_non_null(strstr(text, "unauthorized"));
 			g_free(text);
 		}
 	}
-	assert_int_equal(ask(fixture, 0, "GET", "/open/", NULL, NULL), 200);
+	assert_int_equal(send_request(fixture, 0, "GET", "/open/", NULL, NULL),
+			 200);
 	fixture->authorization = "Token kept";
-	submit(fixture, 0, "00000000000000a1");
-	wait_state(fixture, 1, "00000000000000a1", "completed");
+	submit_job(fixture, 0, "00000000000000a1");
+	wait_job_state(fixture, 1, "00000000000000a1", "completed");
 }
 
-static int32_t status_of(fixture_t *fixture, int32_t index, const char *method,
-			 const char *id, const char *key)
+static int32_t job_status_with_key(fixture_t *fixture, int32_t index,
+				   const char *method, const char *id,
+				   const char *key)
 {
 	char *target = g_strconcat("/q/", id, NULL);
 	int32_t status;
 
 	fixture->authorization = key;
-	status = ask(fixture, index, method, target,
-		     "{\"spec\":\"text\",\"phases\":[{\"count\":1}]}", NULL);
+	status = send_request(fixture, index, method, target,
+			      "{\"spec\":\"text\",\"phases\":[{\"count\":1}]}",
+			      NULL);
 	g_free(target);
 	return status;
 }
@@ -112,79 +116,89 @@
 	fixture_t *fixture = *state;
 
 	fixture->authorization = "Token kept";
-	submit(fixture, 0, id);
+	submit_job(fixture, 0, id);
 	for (int32_t i = 0; i < PROCESSES; i++) {
 		for (size_t k = 0; k < G_N_ELEMENTS(methods); k++)
-			assert_int_equal(status_of(fixture, i, methods[k], id,
-						   "Token theirs"),
+			assert_int_equal(job_status_with_key(fixture, i,
+							     methods[k], id,
+							     "Token theirs"),
 					 410);
 	}
-	/* all of its workspace's keys will do */
-	assert_int_equal(status_of(fixture, 0, "GET", id, "Token old"), 200);
-	wait_state(fixture, 1, id, "completed");
-	/* also once it has ended, and with another holder */
-	stop_process(fixture, holder_of(fixture));
+	/* every key of the job's workspace is valid */
+	assert_int_equal(
+		job_status_with_key(fixture, 0, "GET", id, "Token old"), 200);
+	wait_job_state(fixture, 1, id, "completed");
+	/* the same after the job has ended and with another holder */
+	stop_process(fixture, find_holder(fixture));
 	for (int32_t i = 0; i < PROCESSES; i++) {
 		if (fixture->services[i] == NULL)
 			start_process(fixture, i);
 		wait_ready(fixture, i);
 	}
 	for (int32_t i = 0; i < PROCESSES; i++) {
-		assert_int_equal(
-			status_of(fixture, i, "GET", id, "Token theirs"), 410);
-		assert_int_equal(status_of(fixture, i, "GET", id, "Token kept"),
+		assert_int_equal(job_status_with_key(fixture, i, "GET", id,
+						     "Token theirs"),
+				 410);
+		assert_int_equal(job_status_with_key(fixture, i, "GET", id,
+						     "Token kept"),
 				 200);
 	}
 }
 
-/* Guards against keys that work on after they were removed, or not yet. */
-void keys_change_on_all_processes_and_never_back(void **state)
+/*
+ * Guards against removed keys that stay valid or become valid again, and added
+ * keys that aren't valid.
+ */
+void keys_are_replaced_on_all_processes_and_never_restored(void **state)
 {
 	fixture_t *fixture = *state;
 
-	assert_int_equal(status_with(fixture, 0, "Token old"), 200);
+	assert_int_equal(status_with_key(fixture, 0, "Token old"), 200);
 	put_config(fixture, WITH_KEYS("5", "\"kept\",\"new\""));
 	for (int32_t i = 0; i < PROCESSES; i++) {
 		for (int32_t tries = 0;
-		     tries < 20 && status_with(fixture, i, "Token new") != 200;
+		     tries < 20 &&
+		     status_with_key(fixture, i, "Token new") != 200;
 		     tries++)
 			g_usleep(100 * 1000);
 	}
 	for (int32_t round = 0; round < 10; round++) {
 		for (int32_t i = 0; i < PROCESSES; i++) {
-			assert_int_equal(status_with(fixture, i, "Token new"),
-					 200);
-			assert_int_equal(status_with(fixture, i, "Token old"),
-					 STATUS_UNAUTHORIZED);
+			assert_int_equal(
+				status_with_key(fixture, i, "Token new"), 200);
+			assert_int_equal(
+				status_with_key(fixture, i, "Token old"),
+				STATUS_UNAUTHORIZED);
 		}
 		put_config(fixture, WITH_KEYS("4", "\"old\",\"kept\""));
 		g_usleep(100 * 1000);
 	}
 }
 
-/* Guards against a configuration that lost its keys and lets all callers in. */
-void a_configuration_without_keys_lets_nobody_in(void **state)
+/* Guards against a configuration without keys that authorizes all callers. */
+void a_configuration_without_keys_authorizes_nobody(void **state)
 {
 	fixture_t *fixture = *state;
 
 	put_config(fixture, "{\"version\":9," QUEUES "}");
 	g_usleep(700 * 1000);
 	for (int32_t i = 0; i < PROCESSES; i++) {
-		assert_int_equal(status_with(fixture, i, NULL),
+		assert_int_equal(status_with_key(fixture, i, NULL),
 				 STATUS_UNAUTHORIZED);
-		assert_int_equal(status_with(fixture, i, "Token kept"), 200);
+		assert_int_equal(status_with_key(fixture, i, "Token kept"),
+				 200);
 	}
 }
 
-static bool says_no_configuration(fixture_t *fixture)
+static bool is_rejected_without_configuration(fixture_t *fixture)
 {
 	char *text;
-	bool says;
+	bool rejected;
 
-	(void)ask(fixture, 0, "GET", "/q/", NULL, &text);
-	says = strstr(text, "no-configuration") != NULL;
+	(void)send_request(fixture, 0, "GET", "/q/", NULL, &text);
+	rejected = strstr(text, "no-configuration") != NULL;
 	g_free(text);
-	return says;
+	return rejected;
 }
 
 static void set_store_busy(fixture_t *fixture, bool busy)
@@ -194,15 +208,17 @@
 	g_mutex_unlock(&fixture->standin->lock);
 }
 
-/* Guards against removed keys that work on where nobody can read of it. */
-void keys_fail_while_their_configuration_is_unread(void **state)
+/*
+ * Guards against removed keys that stay valid while no configuration is read.
+ */
+void keys_are_rejected_once_the_configuration_is_stale(void **state)
 {
 	fixture_t *fixture = *state;
 	int64_t begun_ms = standin_now_ms();
 
-	assert_false(says_no_configuration(fixture));
+	assert_false(is_rejected_without_configuration(fixture));
 	set_store_busy(fixture, true);
-	while (!says_no_configuration(fixture)) {
+	while (!is_rejected_without_configuration(fixture)) {
 		assert_true(standin_now_ms() - begun_ms <
 			    2 * KEYS_FAIL_AFTER_MS);
 		g_usleep(50 * 1000);
@@ -211,16 +227,18 @@
 	wait_ready(fixture, 0);
 }
 
-/* Guards against an outage of the store that turns away callers with keys. */
-void keys_stay_in_force_where_the_operator_says_so(void **state)
+/*
+ * Guards against rejecting callers with valid keys in an outage of the store.
+ */
+void keys_stay_valid_during_an_outage_if_not_fail_closed(void **state)
 {
 	fixture_t *fixture = *state;
 	int64_t begun_ms = standin_now_ms();
 
 	set_store_busy(fixture, true);
 	while (standin_now_ms() - begun_ms < KEYS_FAIL_AFTER_MS) {
-		assert_false(says_no_configuration(fixture));
-		assert_int_equal(status_with(fixture, 0, "Token other"),
+		assert_false(is_rejected_without_configuration(fixture));
+		assert_int_equal(status_with_key(fixture, 0, "Token other"),
 				 STATUS_UNAUTHORIZED);
 		fixture->authorization = "Token kept";
 		g_usleep(200 * 1000);
