--- a/src/libwaxwinghollow/host_waves.c
+++ b/src/libwaxwinghollow/host_waves.c
@@ -394,8 +394,9 @@
 	while (g_hash_table_iter_next(&iterator, &name, NULL))
 		msgpack_pack_str_with_body(&packer, name, strlen(name));
 	value = g_bytes_new(buffer.data, buffer.size);
-	wave->kept = duties->calls.keep(WWH_KEEP_WAVE, key, value,
-					duties->calls.client_data);
+	wave->kept =
+		duties->calls.write_record(WWH_SCHEDULER_RECORD_WAVE, key,
+					   value, duties->calls.client_data);
 	wave->kept_dirty = false;
 	g_bytes_unref(value);
 	msgpack_sbuffer_destroy(&buffer);
