--- a/include/waxwinghollow/upstream.h
+++ b/include/waxwinghollow/upstream.h
@@ -3,22 +3,24 @@
 
 /*
  * NAME
- *	upstream - one request to one minion, over kept connections
+ *	upstream - HTTP client that sends requests to minions over pooled
+ *	connections
  *
  * USE
- *	wwh_upstream_send blocks the calling thread until the minion's whole
- *	answer is there, the deadline has passed or the caller has gone. It
- *	sends the request at most once: whoever wants a retry calls again.
+ *	wwh_upstream_send blocks the calling thread until the minion's complete
+ *	answer was received, the deadline has passed or the caller has
+ *	disconnected. It sends the request at most once; for a retry it is
+ *	called again.
  *
- *	Connections are kept by minion address. A thread takes one out, uses
- *	it alone and puts it back, so the number of connections to a minion
- *	is the number of threads that talk to it at once, and never above
- *	the bound given with the request.
+ *	Idle connections are pooled by minion address. A thread acquires a
+ *	connection, has exclusive use of it and releases it, so the number of
+ *	connections to a minion is the number of threads that call it at once,
+ *	and never exceeds the limit given with the request.
  *
  * OUTCOMES
- *	Where "sent" is false, no byte of the request left this process.
- *	An answer is whole or it is not given: Content-Length reached, the
- *	last chunk seen, or a status that has no body.
+ *	If "sent" is false, no byte of the request left this process.
+ *	Only complete answers are returned: Content-Length bytes or the last
+ *	chunk were received, or the status has no body.
  *
  * ORDER OF CALLS
  *	wwh_upstream_new; wwh_upstream_send and wwh_upstream_sweep from any
@@ -37,12 +39,12 @@
 
 typedef enum {
 	WWH_UPSTREAM_ANSWERED = 0,
-	WWH_UPSTREAM_REFUSED, /* the minion says that it did not run it */
-	WWH_UPSTREAM_NO_CONNECTION, /* nothing was sent */
-	WWH_UPSTREAM_NO_ROOM, /* at the bound of connections; not sent */
+	WWH_UPSTREAM_REFUSED, /* the minion answered that it didn't run it */
+	WWH_UPSTREAM_NO_CONNECTION, /* not sent */
+	WWH_UPSTREAM_NO_ROOM, /* connection limit reached; not sent */
 	WWH_UPSTREAM_DEADLINE,
 	WWH_UPSTREAM_LOST, /* the connection ended before an answer */
-	WWH_UPSTREAM_TRUNCATED, /* or the answer's end can't be verified */
+	WWH_UPSTREAM_TRUNCATED, /* or the end of the answer isn't verifiable */
 	WWH_UPSTREAM_TOO_LARGE,
 	WWH_UPSTREAM_CALLER_GONE,
 	WWH_UPSTREAM_OUTCOME_COUNT
@@ -53,28 +55,28 @@
 
 typedef struct {
 	int32_t connect_timeout_ms;
-	int32_t idle_limit_ms; /* unused connections are closed after this */
+	int32_t idle_limit_ms; /* idle connections are closed after this */
 	int64_t max_header_bytes; /* of an answer */
-	bool allow_resend; /* libcurl's own resend; for tests only */
+	bool allow_resend; /* libcurl's automatic resend; only for tests */
 } wwh_upstream_options_t;
 
 typedef struct {
-	const char *address; /* IP number */
+	const char *address; /* IP address */
 	int32_t port;
 	const wwh_http_request_t *http;
 	int64_t timeout_ms;
 	int64_t max_answer_bytes;
-	int32_t max_connections; /* to this minion, from this process */
+	int32_t max_connections; /* of this process to this minion */
 } wwh_upstream_request_t;
 
 typedef struct {
 	wwh_upstream_outcome_t outcome;
 	bool sent; /* a byte of the request may have left */
-	bool minion_leaving; /* the minion said so in its answer */
-	bool connection_silent; /* no byte came back on a kept connection */
-	int64_t retry_after_ms; /* what the minion asked for; -1: nothing */
+	bool minion_leaving; /* the minion's answer says that it shuts down */
+	bool connection_silent; /* reused connection, no byte received */
+	int64_t retry_after_ms; /* the minion's Retry-After; -1: none */
 	int64_t elapsed_ms;
-	wwh_http_response_t response; /* set when ANSWERED */
+	wwh_http_response_t response; /* valid for WWH_UPSTREAM_ANSWERED */
 } wwh_upstream_answer_t;
 
 typedef struct wwh_upstream wwh_upstream_t;
@@ -84,21 +86,21 @@
 				 wwh_counters_t *counters);
 void wwh_upstream_delete(wwh_upstream_t *upstream);
 
-/* answer is always set up; the caller clears answer->response. */
+/* Always initializes answer; the caller clears answer->response. */
 void wwh_upstream_send(wwh_upstream_t *upstream,
 		       const wwh_upstream_request_t *request,
 		       wwh_upstream_answer_t *answer);
 
-/* Closes connections that were idle for too long; call about once a second. */
+/* Closes connections past their idle limit; call about once a second. */
 void wwh_upstream_sweep(wwh_upstream_t *upstream);
 
 /*
- * Closes all idle connections: called when this process's part of the
- * connections shrinks, so that what is kept doesn't exceed the new part.
+ * Closes all idle connections: called when this process's share of the
+ * connections shrinks, so that pooled ones don't exceed the new share.
  */
 void wwh_upstream_close_idle(wwh_upstream_t *upstream);
 
-/* Connections to a minion, in use and idle. */
+/* Number of connections to a minion, in use and idle. */
 int32_t wwh_upstream_connections(wwh_upstream_t *upstream, const char *address,
 				 int32_t port);
 
--- a/src/libwaxwinghollow/upstream.c
+++ b/src/libwaxwinghollow/upstream.c
@@ -9,11 +9,11 @@
 
 #include "private/upstream_pool.h"
 
-/* How often a waiting thread looks at the caller's socket by itself. */
+/* Interval at which a waiting thread checks the caller's socket. */
 #define CALLER_CHECK_MS 50
 #define MILLISECOND_US 1000
 
-/* More than this is no time that a caller would wait for. */
+/* Longer Retry-After values are cut, as no caller would wait for them. */
 #define RETRY_AFTER_LIMIT_S 3600
 
 const char *const wwh_upstream_outcome_names[WWH_UPSTREAM_OUTCOME_COUNT] = {
@@ -26,8 +26,8 @@
 	wwh_upstream_pool_t *pool;
 	wwh_counter_t *requests;
 	wwh_counter_t *resends_stopped;
-	wwh_counter_t *silent;
-	wwh_counter_t *truncated;
+	wwh_counter_t *silent_connections;
+	wwh_counter_t *truncated_answers;
 };
 
 /* One request in progress. */
@@ -38,7 +38,7 @@
 	CURL *easy;
 	struct curl_slist *headers;
 	int32_t times_sent;
-	bool bytes_came;
+	bool has_received_bytes;
 	bool has_length;
 	bool is_chunked;
 	bool too_large;
@@ -49,20 +49,23 @@
 		     int local_port);
 static size_t on_header(char *line, size_t size, size_t count, void *data);
 static size_t on_body(char *bytes, size_t size, size_t count, void *data);
-static void take_status_line(transfer_t *transfer);
-static void take_header(transfer_t *transfer, const char *name,
-			const char *value);
+static void handle_status_line(transfer_t *transfer);
+static void handle_header(transfer_t *transfer, const char *name,
+			  const char *value);
 static void set_target(transfer_t *transfer);
 static void set_headers(transfer_t *transfer);
 static void set_body(transfer_t *transfer);
 static void set_callbacks(transfer_t *transfer);
-static CURLcode run(transfer_t *transfer, wwh_upstream_connection_t *conn,
-		    int64_t end_us);
-static bool caller_gone(int fd);
-static bool wait_for_bytes(transfer_t *transfer, CURLM *multi, int64_t end_us);
-static wwh_upstream_outcome_t outcome_of(transfer_t *transfer, CURLcode code);
-static bool end_is_verified(const transfer_t *transfer);
-static int64_t remaining_ms(int64_t end_us);
+static CURLcode run_transfer(transfer_t *transfer,
+			     wwh_upstream_connection_t *conn,
+			     int64_t deadline_us);
+static bool has_caller_disconnected(int fd);
+static bool wait_for_activity(transfer_t *transfer, CURLM *multi,
+			      int64_t deadline_us);
+static wwh_upstream_outcome_t transfer_outcome(transfer_t *transfer,
+					       CURLcode code);
+static bool is_end_verified(const transfer_t *transfer);
+static int64_t remaining_ms(int64_t deadline_us);
 
 wwh_upstream_options_t wwh_upstream_options_defaults(void)
 {
@@ -87,9 +90,9 @@
 	upstream->requests = wwh_counters_get(counters, "upstream.requests");
 	upstream->resends_stopped =
 		wwh_counters_get(counters, "upstream.resends_stopped");
-	upstream->silent =
+	upstream->silent_connections =
 		wwh_counters_get(counters, "upstream.silent_connections");
-	upstream->truncated =
+	upstream->truncated_answers =
 		wwh_counters_get(counters, "upstream.truncated_answers");
 	return upstream;
 }
@@ -123,7 +126,7 @@
 		       wwh_upstream_answer_t *answer)
 {
 	int64_t start_us = g_get_monotonic_time();
-	int64_t end_us = start_us + request->timeout_ms * MILLISECOND_US;
+	int64_t deadline_us = start_us + request->timeout_ms * MILLISECOND_US;
 	transfer_t transfer = {
 		.upstream = upstream,
 		.request = request,
@@ -136,8 +139,9 @@
 	answer->retry_after_ms = -1;
 	wwh_http_response_init(&answer->response);
 	wwh_counter_add(upstream->requests, 1);
-	conn = wwh_upstream_pool_take(upstream->pool, request->address,
-				      request->port, request->max_connections);
+	conn = wwh_upstream_pool_acquire(upstream->pool, request->address,
+					 request->port,
+					 request->max_connections);
 	if (conn == NULL) {
 		answer->outcome = WWH_UPSTREAM_NO_ROOM;
 		return;
@@ -148,36 +152,36 @@
 	set_headers(&transfer);
 	set_body(&transfer);
 	set_callbacks(&transfer);
-	code = run(&transfer, conn, end_us);
+	code = run_transfer(&transfer, conn, deadline_us);
 	answer->sent = transfer.times_sent > 0;
-	answer->outcome = outcome_of(&transfer, code);
+	answer->outcome = transfer_outcome(&transfer, code);
 	answer->elapsed_ms =
 		(g_get_monotonic_time() - start_us) / MILLISECOND_US;
 	curl_slist_free_all(transfer.headers);
 	if (answer->outcome == WWH_UPSTREAM_DEADLINE && answer->sent &&
-	    !transfer.bytes_came && conn->answers > 0)
+	    !transfer.has_received_bytes && conn->answers > 0)
 		answer->connection_silent = true;
 	if (answer->connection_silent) {
-		wwh_counter_add(upstream->silent, 1);
-		wwh_upstream_pool_distrust(upstream->pool, conn, start_us);
+		wwh_counter_add(upstream->silent_connections, 1);
+		wwh_upstream_pool_close_suspect(upstream->pool, conn, start_us);
 	}
 	/*
-	 * A connection whose answer did not end as it should may still carry
+	 * A connection whose answer was not received to its end may still carry
 	 * the rest of that answer. It is closed, so that a late answer never
-	 * reaches the request that would use the connection next.
+	 * reaches the next request on this connection.
 	 */
-	if (code == CURLE_OK && end_is_verified(&transfer))
-		wwh_upstream_pool_give(upstream->pool, conn);
+	if (code == CURLE_OK && is_end_verified(&transfer))
+		wwh_upstream_pool_release(upstream->pool, conn);
 	else
 		wwh_upstream_pool_close(upstream->pool, conn);
 }
 
 /*
- * libcurl sends a request again by itself when a kept connection ends before
- * the first byte of an answer. The minion may have run the first one, so a
- * non-idempotent request would run twice. This callback comes before each
- * sending, on a new connection or a kept one; refusing the second leaves the
- * decision to whoever knows whether the request may be repeated.
+ * libcurl resends a request when a reused connection closes before the first
+ * byte of an answer. The minion may have run the request already, so a
+ * non-idempotent one would run twice. libcurl calls this function before each
+ * sending, on new and reused connections; aborting the second one leaves the
+ * decision to the caller, which knows whether the request may be repeated.
  */
 static int on_prereq(void *data, char *peer_ip, char *local_ip, int peer_port,
 		     int local_port)
@@ -204,7 +208,7 @@
 	char *text;
 	char *colon;
 
-	transfer->bytes_came = true;
+	transfer->has_received_bytes = true;
 	transfer->header_bytes += (int64_t)length;
 	if (transfer->header_bytes >
 	    transfer->upstream->options.max_header_bytes) {
@@ -214,12 +218,12 @@
 	text = g_strndup(line, length);
 	g_strchomp(text);
 	if (g_str_has_prefix(text, "HTTP/")) {
-		take_status_line(transfer);
+		handle_status_line(transfer);
 	} else {
 		colon = strchr(text, ':');
 		if (colon != NULL) {
 			*colon = '\0';
-			take_header(transfer, text, g_strchug(colon + 1));
+			handle_header(transfer, text, g_strchug(colon + 1));
 		}
 	}
 	g_free(text);
@@ -241,8 +245,8 @@
 	return length;
 }
 
-/* Headers before a status line belong to an interim answer (1xx). */
-static void take_status_line(transfer_t *transfer)
+/* Headers before this status line belong to an interim response (1xx). */
+static void handle_status_line(transfer_t *transfer)
 {
 	wwh_http_response_t *response = &transfer->answer->response;
 
@@ -252,8 +256,8 @@
 	transfer->is_chunked = false;
 }
 
-static void take_header(transfer_t *transfer, const char *name,
-			const char *value)
+static void handle_header(transfer_t *transfer, const char *name,
+			  const char *value)
 {
 	wwh_http_response_t *response = &transfer->answer->response;
 
@@ -303,7 +307,7 @@
 		    g_ascii_strcasecmp(header->name, "Content-Length") == 0 ||
 		    g_ascii_strcasecmp(header->name, "Expect") == 0)
 			continue;
-		/* libcurl's way to write a header without a value */
+		/* libcurl's syntax for a header with an empty value */
 		line = *header->value == '\0'
 			       ? g_strconcat(header->name, ";", NULL)
 			       : g_strconcat(header->name, ": ", header->value,
@@ -311,7 +315,7 @@
 		list = curl_slist_append(list, line);
 		g_free(line);
 	}
-	/* libcurl adds these by itself unless they are named without value */
+	/* libcurl adds these headers unless they are listed without a value */
 	for (size_t i = 0; i < G_N_ELEMENTS(own_headers); i++) {
 		char *line = g_strconcat(own_headers[i], ":", NULL);
 
@@ -346,19 +350,19 @@
 }
 
 /*
- * Data that the other end never acknowledges means that something between the
- * two ends has lost track of the connection. Without this limit the request
- * would wait for its whole deadline on a connection that is dead for good.
+ * If the minion never acknowledges data, a device on the path has probably lost
+ * track of the connection. Without this limit the request would wait on the dead
+ * connection until its deadline.
  */
-static int on_socket(void *data, curl_socket_t fd, curlsocktype purpose)
+static int on_socket_created(void *data, curl_socket_t fd, curlsocktype purpose)
 {
-	unsigned int unacknowledged_limit_ms = 3000;
+	unsigned int unacknowledged_timeout_ms = 3000;
 
 	(void)data;
 	(void)purpose;
 	(void)setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT,
-			 &unacknowledged_limit_ms,
-			 sizeof(unacknowledged_limit_ms));
+			 &unacknowledged_timeout_ms,
+			 sizeof(unacknowledged_timeout_ms));
 	return CURL_SOCKOPT_OK;
 }
 
@@ -372,14 +376,15 @@
 	curl_easy_setopt(easy, CURLOPT_HEADERDATA, transfer);
 	curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, on_body);
 	curl_easy_setopt(easy, CURLOPT_WRITEDATA, transfer);
-	curl_easy_setopt(easy, CURLOPT_SOCKOPTFUNCTION, on_socket);
+	curl_easy_setopt(easy, CURLOPT_SOCKOPTFUNCTION, on_socket_created);
 	curl_easy_setopt(easy, CURLOPT_TCP_KEEPALIVE, 1L);
 	curl_easy_setopt(easy, CURLOPT_TCP_KEEPIDLE, 5L);
 	curl_easy_setopt(easy, CURLOPT_TCP_KEEPINTVL, 2L);
 }
 
-static CURLcode run(transfer_t *transfer, wwh_upstream_connection_t *conn,
-		    int64_t end_us)
+static CURLcode run_transfer(transfer_t *transfer,
+			     wwh_upstream_connection_t *conn,
+			     int64_t deadline_us)
 {
 	CURLcode code = CURLE_OPERATION_TIMEDOUT;
 	CURLMsg *message;
@@ -392,10 +397,10 @@
 		if (curl_multi_perform(conn->multi, &running) != CURLM_OK)
 			break;
 		if (running > 0 &&
-		    !wait_for_bytes(transfer, conn->multi, end_us))
+		    !wait_for_activity(transfer, conn->multi, deadline_us))
 			break;
 	}
-	if (running > 0 && remaining_ms(end_us) > 0)
+	if (running > 0 && remaining_ms(deadline_us) > 0)
 		code = CURLE_ABORTED_BY_CALLBACK;
 	message = curl_multi_info_read(conn->multi, &left);
 	if (message != NULL && message->msg == CURLMSG_DONE)
@@ -404,7 +409,7 @@
 	return code;
 }
 
-static bool caller_gone(int fd)
+static bool has_caller_disconnected(int fd)
 {
 	struct pollfd entry = { .fd = fd, .events = POLLRDHUP };
 
@@ -413,22 +418,24 @@
 	return (entry.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
-/* False when the deadline has passed or the caller has gone. */
-static bool wait_for_bytes(transfer_t *transfer, CURLM *multi, int64_t end_us)
+/* Returns false if the deadline has passed or the caller has disconnected. */
+static bool wait_for_activity(transfer_t *transfer, CURLM *multi,
+			      int64_t deadline_us)
 {
-	int64_t left_ms = remaining_ms(end_us);
+	int64_t left_ms = remaining_ms(deadline_us);
 	int64_t wait_ms = MIN(left_ms, CALLER_CHECK_MS);
 
 	if (left_ms <= 0)
 		return false;
-	if (caller_gone(transfer->request->http->caller_fd)) {
+	if (has_caller_disconnected(transfer->request->http->caller_fd)) {
 		transfer->answer->outcome = WWH_UPSTREAM_CALLER_GONE;
 		return false;
 	}
 	return curl_multi_poll(multi, NULL, 0, (int)wait_ms, NULL) == CURLM_OK;
 }
 
-static wwh_upstream_outcome_t outcome_of(transfer_t *transfer, CURLcode code)
+static wwh_upstream_outcome_t transfer_outcome(transfer_t *transfer,
+					       CURLcode code)
 {
 	wwh_upstream_answer_t *answer = transfer->answer;
 	const char *run_class;
@@ -444,10 +451,10 @@
 				    : WWH_UPSTREAM_NO_CONNECTION;
 	if (transfer->times_sent == 0)
 		return WWH_UPSTREAM_NO_CONNECTION;
-	if (!transfer->bytes_came)
+	if (!transfer->has_received_bytes)
 		return WWH_UPSTREAM_LOST;
-	if (code != CURLE_OK || !end_is_verified(transfer)) {
-		wwh_counter_add(transfer->upstream->truncated, 1);
+	if (code != CURLE_OK || !is_end_verified(transfer)) {
+		wwh_counter_add(transfer->upstream->truncated_answers, 1);
 		return WWH_UPSTREAM_TRUNCATED;
 	}
 	curl_easy_getinfo(transfer->easy, CURLINFO_RESPONSE_CODE, &status);
@@ -467,11 +474,11 @@
 }
 
 /*
- * An answer without length and chunks ends when the connection does, which a
- * crash of the minion looks like too: the caller would get half an answer as
- * a whole one.
+ * An answer with neither Content-Length nor chunks ends when the connection
+ * closes. A crash of the minion looks the same, and the caller would get a
+ * truncated answer as a complete one.
  */
-static bool end_is_verified(const transfer_t *transfer)
+static bool is_end_verified(const transfer_t *transfer)
 {
 	long status = 0;
 
@@ -483,7 +490,7 @@
 	return transfer->has_length || transfer->is_chunked;
 }
 
-static int64_t remaining_ms(int64_t end_us)
+static int64_t remaining_ms(int64_t deadline_us)
 {
-	return (end_us - g_get_monotonic_time()) / MILLISECOND_US;
+	return (deadline_us - g_get_monotonic_time()) / MILLISECOND_US;
 }
--- a/src/libwaxwinghollow/upstream_pool.c
+++ b/src/libwaxwinghollow/upstream_pool.c
@@ -14,18 +14,20 @@
 	int64_t idle_limit_us;
 	wwh_counter_t *opened;
 	wwh_counter_t *closed;
-	wwh_counter_t *distrusted;
+	wwh_counter_t *closed_suspect;
 };
 
-static minion_pool_t *minion_pool(wwh_upstream_pool_t *pool, const char *key);
-static char *key_of(const char *address, int32_t port);
+static minion_pool_t *get_minion_pool(wwh_upstream_pool_t *pool,
+				      const char *key);
+static char *connection_key(const char *address, int32_t port);
 static wwh_upstream_connection_t *connection_new(wwh_upstream_pool_t *pool,
 						 const char *key);
 static void connection_delete(wwh_upstream_pool_t *pool,
 			      wwh_upstream_connection_t *conn);
 static void minion_pool_delete(gpointer data);
-static void close_idle_above(wwh_upstream_pool_t *pool, minion_pool_t *minion,
-			     int32_t max_connections);
+static void close_idle_over_limit(wwh_upstream_pool_t *pool,
+				  minion_pool_t *minion,
+				  int32_t max_connections);
 static int32_t close_idle_before(wwh_upstream_pool_t *pool,
 				 minion_pool_t *minion, int64_t since_us);
 
@@ -40,7 +42,8 @@
 	pool->idle_limit_us = (int64_t)idle_limit_ms * MILLISECOND_US;
 	pool->opened = wwh_counters_get(counters, "upstream.opened");
 	pool->closed = wwh_counters_get(counters, "upstream.closed");
-	pool->distrusted = wwh_counters_get(counters, "upstream.distrusted");
+	pool->closed_suspect =
+		wwh_counters_get(counters, "upstream.distrusted");
 	return pool;
 }
 
@@ -59,19 +62,19 @@
 	g_free(pool);
 }
 
-wwh_upstream_connection_t *wwh_upstream_pool_take(wwh_upstream_pool_t *pool,
-						  const char *address,
-						  int32_t port,
-						  int32_t max_connections)
+wwh_upstream_connection_t *wwh_upstream_pool_acquire(wwh_upstream_pool_t *pool,
+						     const char *address,
+						     int32_t port,
+						     int32_t max_connections)
 {
-	char *key = key_of(address, port);
+	char *key = connection_key(address, port);
 	wwh_upstream_connection_t *conn;
 	minion_pool_t *minion;
 
 	g_mutex_lock(&pool->lock);
-	minion = minion_pool(pool, key);
+	minion = get_minion_pool(pool, key);
 	conn = g_queue_pop_head(&minion->idle);
-	close_idle_above(pool, minion, max_connections);
+	close_idle_over_limit(pool, minion, max_connections);
 	if (conn == NULL && minion->count < max_connections) {
 		minion->count++;
 		conn = connection_new(pool, key);
@@ -81,13 +84,13 @@
 	return conn;
 }
 
-void wwh_upstream_pool_give(wwh_upstream_pool_t *pool,
-			    wwh_upstream_connection_t *conn)
+void wwh_upstream_pool_release(wwh_upstream_pool_t *pool,
+			       wwh_upstream_connection_t *conn)
 {
 	conn->answers++;
 	conn->last_answer_us = g_get_monotonic_time();
 	g_mutex_lock(&pool->lock);
-	g_queue_push_head(&minion_pool(pool, conn->key)->idle, conn);
+	g_queue_push_head(&get_minion_pool(pool, conn->key)->idle, conn);
 	g_mutex_unlock(&pool->lock);
 }
 
@@ -96,25 +99,25 @@
 {
 	char *key = g_strdup(conn->key);
 
-	/* closed first, counted out after: the bound holds at any moment */
+	/* closed before the count drops, so the limit always holds */
 	connection_delete(pool, conn);
 	g_mutex_lock(&pool->lock);
-	minion_pool(pool, key)->count--;
+	get_minion_pool(pool, key)->count--;
 	g_mutex_unlock(&pool->lock);
 	g_free(key);
 }
 
-void wwh_upstream_pool_distrust(wwh_upstream_pool_t *pool,
-				const wwh_upstream_connection_t *conn,
-				int64_t since_us)
+void wwh_upstream_pool_close_suspect(wwh_upstream_pool_t *pool,
+				     const wwh_upstream_connection_t *conn,
+				     int64_t since_us)
 {
 	int32_t closed;
 
 	g_mutex_lock(&pool->lock);
-	closed =
-		close_idle_before(pool, minion_pool(pool, conn->key), since_us);
+	closed = close_idle_before(pool, get_minion_pool(pool, conn->key),
+				   since_us);
 	g_mutex_unlock(&pool->lock);
-	wwh_counter_add(pool->distrusted, closed);
+	wwh_counter_add(pool->closed_suspect, closed);
 }
 
 void wwh_upstream_pool_sweep(wwh_upstream_pool_t *pool, int64_t now_us)
@@ -137,7 +140,7 @@
 int32_t wwh_upstream_pool_count(wwh_upstream_pool_t *pool, const char *address,
 				int32_t port)
 {
-	char *key = key_of(address, port);
+	char *key = connection_key(address, port);
 	minion_pool_t *minion;
 	int32_t count;
 
@@ -149,7 +152,8 @@
 	return count;
 }
 
-static minion_pool_t *minion_pool(wwh_upstream_pool_t *pool, const char *key)
+static minion_pool_t *get_minion_pool(wwh_upstream_pool_t *pool,
+				      const char *key)
 {
 	minion_pool_t *minion = g_hash_table_lookup(pool->minions, key);
 
@@ -161,7 +165,7 @@
 	return minion;
 }
 
-static char *key_of(const char *address, int32_t port)
+static char *connection_key(const char *address, int32_t port)
 {
 	return g_strdup_printf("%s %d", address, port);
 }
@@ -199,9 +203,10 @@
 	g_free(minion);
 }
 
-/* The bound may have shrunk since the idle ones were put back. */
-static void close_idle_above(wwh_upstream_pool_t *pool, minion_pool_t *minion,
-			     int32_t max_connections)
+/* The limit may have shrunk since the idle connections were released. */
+static void close_idle_over_limit(wwh_upstream_pool_t *pool,
+				  minion_pool_t *minion,
+				  int32_t max_connections)
 {
 	while (minion->count > max_connections &&
 	       !g_queue_is_empty(&minion->idle)) {
--- a/src/test_upstream/test_upstream.c
+++ b/src/test_upstream/test_upstream.c
@@ -40,9 +40,9 @@
 	return 0;
 }
 
-static void send_one(fixture_t *fixture, const char *method, const char *target,
-		     const char *body, int64_t timeout_ms,
-		     wwh_upstream_answer_t *answer)
+static void send_request(fixture_t *fixture, const char *method,
+			 const char *target, const char *body,
+			 int64_t timeout_ms, wwh_upstream_answer_t *answer)
 {
 	wwh_http_request_t http = {
 		.method = method,
@@ -64,12 +64,14 @@
 	wwh_upstream_send(fixture->upstream, &request, answer);
 }
 
-static wwh_upstream_outcome_t outcome(fixture_t *fixture, const char *method,
-				      int64_t timeout_ms, bool *sent)
+static wwh_upstream_outcome_t send_and_get_outcome(fixture_t *fixture,
+						   const char *method,
+						   int64_t timeout_ms,
+						   bool *sent)
 {
 	wwh_upstream_answer_t answer;
 
-	send_one(fixture, method, "/x", "", timeout_ms, &answer);
+	send_request(fixture, method, "/x", "", timeout_ms, &answer);
 	wwh_http_response_clear(&answer.response);
 	if (sent != NULL)
 		*sent = answer.sent;
@@ -77,62 +79,62 @@
 }
 
 /*
- * The caller's charge is booked once. A POST goes out on a kept connection,
- * the minion runs it and closes without an answer; libcurl would send it
- * again on a new connection and the charge would be made twice.
+ * A POST is sent on a reused connection, and the minion runs it and closes the
+ * connection without an answer. libcurl would resend it on a new connection, and
+ * the caller would be charged twice.
  */
-static void a_post_is_never_sent_again_by_the_library(void **state)
+static void a_post_is_never_resent_by_libcurl(void **state)
 {
 	fixture_t *fixture = *state;
 	bool sent;
 
 	wwh_headers_add(fixture->headers, "X-Request-Id", "charge-1");
-	assert_int_equal(outcome(fixture, "POST", 2000, &sent),
+	assert_int_equal(send_and_get_outcome(fixture, "POST", 2000, &sent),
 			 WWH_UPSTREAM_ANSWERED);
 	assert_int_equal(minion_runs_of(fixture->minion, "charge-1"), 1);
 	minion_set_mode(fixture->minion, MINION_CLOSE_KEPT);
-	assert_int_equal(outcome(fixture, "POST", 2000, &sent),
+	assert_int_equal(send_and_get_outcome(fixture, "POST", 2000, &sent),
 			 WWH_UPSTREAM_LOST);
 	assert_true(sent);
 	assert_int_equal(minion_runs_of(fixture->minion, "charge-1"), 2);
 }
 
 /*
- * The caller never sees half an answer as a whole one: the minion announces
- * 99 bytes and sends 4, leaves out the last chunk, or gives no length at all.
+ * A truncated answer must not be returned as a complete one: the minion announces
+ * 99 bytes and sends 4, omits the last chunk, or gives no length at all.
  */
-static void an_answer_without_its_end_is_not_an_answer(void **state)
+static void an_answer_without_a_verified_end_is_truncated(void **state)
 {
 	fixture_t *fixture = *state;
 
 	minion_set_mode(fixture->minion, MINION_TRUNCATE);
-	assert_int_equal(outcome(fixture, "GET", 2000, NULL),
+	assert_int_equal(send_and_get_outcome(fixture, "GET", 2000, NULL),
 			 WWH_UPSTREAM_TRUNCATED);
 	minion_set_mode(fixture->minion, MINION_TRUNCATE_CHUNKED);
-	assert_int_equal(outcome(fixture, "GET", 2000, NULL),
+	assert_int_equal(send_and_get_outcome(fixture, "GET", 2000, NULL),
 			 WWH_UPSTREAM_TRUNCATED);
 	minion_set_mode(fixture->minion, MINION_NO_LENGTH);
-	assert_int_equal(outcome(fixture, "GET", 2000, NULL),
+	assert_int_equal(send_and_get_outcome(fixture, "GET", 2000, NULL),
 			 WWH_UPSTREAM_TRUNCATED);
 }
 
 /*
- * A request that was given up at its deadline is answered late by the minion.
- * The next request over the same address gets its own answer, not that one.
+ * The minion answers a request after its deadline. The next request to the same
+ * address must get its own answer, not that one.
  */
-static void a_late_answer_reaches_nobody(void **state)
+static void a_late_answer_reaches_no_other_request(void **state)
 {
 	fixture_t *fixture = *state;
 	wwh_upstream_answer_t answer;
 
 	minion_set_mode(fixture->minion, MINION_LATE);
-	send_one(fixture, "GET", "/first", "", 100, &answer);
+	send_request(fixture, "GET", "/first", "", 100, &answer);
 	assert_int_equal(answer.outcome, WWH_UPSTREAM_DEADLINE);
 	assert_true(answer.sent);
 	wwh_http_response_clear(&answer.response);
 	minion_set_mode(fixture->minion, MINION_OK);
 	g_usleep(350 * 1000);
-	send_one(fixture, "GET", "/echo/second", "", 2000, &answer);
+	send_request(fixture, "GET", "/echo/second", "", 2000, &answer);
 	assert_int_equal(answer.outcome, WWH_UPSTREAM_ANSWERED);
 	g_byte_array_append(answer.response.body, (const guint8 *)"", 1);
 	assert_non_null(
@@ -141,21 +143,22 @@
 }
 
 /*
- * "Not run" must be true: where nothing listens, no byte has left; where the
- * minion says that it refused, it has not run the request.
+ * Outcomes that mean "not run" must be true: if nothing listens on the port, no
+ * byte was sent; if the minion answers that it refused the request, it didn't run
+ * it.
  */
-static void not_run_is_said_only_when_nothing_was_sent(void **state)
+static void not_run_is_reported_only_if_the_request_did_not_run(void **state)
 {
 	fixture_t *fixture = *state;
 	bool sent = true;
 	int32_t port = fixture->minion->port;
 
 	minion_set_mode(fixture->minion, MINION_REFUSE);
-	assert_int_equal(outcome(fixture, "POST", 2000, &sent),
+	assert_int_equal(send_and_get_outcome(fixture, "POST", 2000, &sent),
 			 WWH_UPSTREAM_REFUSED);
 	assert_int_equal(fixture->minion->total_runs, 0);
 	fixture->minion->port = 1;
-	assert_int_equal(outcome(fixture, "POST", 2000, &sent),
+	assert_int_equal(send_and_get_outcome(fixture, "POST", 2000, &sent),
 			 WWH_UPSTREAM_NO_CONNECTION);
 	assert_false(sent);
 	fixture->minion->port = port;
@@ -165,17 +168,17 @@
 {
 	fixture_t *fixture = data;
 
-	assert_int_equal(outcome(fixture, "GET", 2000, NULL),
+	assert_int_equal(send_and_get_outcome(fixture, "GET", 2000, NULL),
 			 WWH_UPSTREAM_ANSWERED);
 	return NULL;
 }
 
 /*
- * All kept connections go silent for good while new ones work. The first
- * request over one of them costs its deadline; the others of the same age are
- * closed with it, so the next request is answered at once.
+ * All pooled connections become silent for good, while new ones work. The first
+ * request on one of them misses its deadline; the others of the same age are
+ * closed with it, so that the next request is answered at once.
  */
-static void silent_connections_are_dropped_together(void **state)
+static void silent_connections_are_closed_together(void **state)
 {
 	fixture_t *fixture = *state;
 	wwh_upstream_answer_t answer;
@@ -192,7 +195,7 @@
 						  fixture->minion->port),
 			 3);
 	minion_set_mode(fixture->minion, MINION_SILENT_OLD);
-	send_one(fixture, "GET", "/x", "", 200, &answer);
+	send_request(fixture, "GET", "/x", "", 200, &answer);
 	assert_int_equal(answer.outcome, WWH_UPSTREAM_DEADLINE);
 	assert_true(answer.connection_silent);
 	wwh_http_response_clear(&answer.response);
@@ -200,12 +203,12 @@
 						  "127.0.0.1",
 						  fixture->minion->port),
 			 0);
-	assert_int_equal(outcome(fixture, "GET", 2000, NULL),
+	assert_int_equal(send_and_get_outcome(fixture, "GET", 2000, NULL),
 			 WWH_UPSTREAM_ANSWERED);
 }
 
-/* Path, query, repeated and odd headers, and the body arrive as they were. */
-static void a_request_arrives_as_it_was_sent(void **state)
+/* Path, query, repeated and unusual headers and the body arrive unchanged. */
+static void a_request_arrives_unchanged(void **state)
 {
 	fixture_t *fixture = *state;
 	wwh_upstream_answer_t answer;
@@ -218,8 +221,8 @@
 	wwh_headers_add(fixture->headers, "X-Empty", "");
 	wwh_headers_add(fixture->headers, "Connection", "keep-alive, X-Hop");
 	wwh_headers_add(fixture->headers, "X-Hop", "dropped");
-	send_one(fixture, "PATCH", "/echo/a%26b/../c?q=%20&q=2", "body", 2000,
-		 &answer);
+	send_request(fixture, "PATCH", "/echo/a%26b/../c?q=%20&q=2", "body",
+		     2000, &answer);
 	assert_int_equal(answer.outcome, WWH_UPSTREAM_ANSWERED);
 	text = g_strndup((char *)answer.response.body->data,
 			 answer.response.body->len);
@@ -237,21 +240,21 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test_setup_teardown(
-			a_post_is_never_sent_again_by_the_library, set_up,
-			tear_down),
+			a_post_is_never_resent_by_libcurl, set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
-			an_answer_without_its_end_is_not_an_answer, set_up,
+			an_answer_without_a_verified_end_is_truncated, set_up,
 			tear_down),
-		cmocka_unit_test_setup_teardown(a_late_answer_reaches_nobody,
-						set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
-			not_run_is_said_only_when_nothing_was_sent, set_up,
+			a_late_answer_reaches_no_other_request, set_up,
 			tear_down),
 		cmocka_unit_test_setup_teardown(
-			silent_connections_are_dropped_together, set_up,
-			tear_down),
+			not_run_is_reported_only_if_the_request_did_not_run,
+			set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
-			a_request_arrives_as_it_was_sent, set_up, tear_down),
+			silent_connections_are_closed_together, set_up,
+			tear_down),
+		cmocka_unit_test_setup_teardown(a_request_arrives_unchanged,
+						set_up, tear_down),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
