--- a/include/waxwinghollow/host_duties.h
+++ b/include/waxwinghollow/host_duties.h
@@ -17,7 +17,7 @@
  *
  * ORDER OF CALLS
  *	wwh_host_duties_new; wwh_host_duties_restore for each stored record;
- *	then events in any order, each followed by wwh_host_duties_run;
+ *	then events in any order, followed by wwh_host_duties_run;
  *	wwh_host_duties_delete.
  */
 
--- /dev/null
+++ b/src/test_host_duties/duties_fixture.h
@@ -0,0 +1,415 @@
+#ifndef TEST_HOST_DUTIES_DUTIES_FIXTURE_H
+#define TEST_HOST_DUTIES_DUTIES_FIXTURE_H
+
+/*
+ * NAME
+ *	duties_fixture - host duties with their own scheduler
+ *
+ * USE
+ *	Fixture shared by the files of this test program. It records the orders
+ *	that host duties give, and has helpers for lists of hosts and results.
+ */
+
+#include "../test_scheduler/rig.h"
+
+#include "waxwinghollow/host_duties.h"
+
+#define JOB_A "00000000000000aa"
+#define WAVE 7
+
+typedef struct {
+	rig_t *sched;
+	wwh_host_duties_t *duties;
+	wwh_host_duties_options_t options;
+	int32_t lists_requested;
+	GPtrArray *upkeeps; /* names of hosts, owned */
+	GPtrArray *moves; /* "HOST POOL", owned */
+	int32_t active_reports;
+	int32_t completed_reports;
+	int64_t last_record;
+} duties_fixture_t;
+
+static inline void duties_fixture_on_list(void *data)
+{
+	duties_fixture_t *self = data;
+
+	self->lists_requested++;
+	wwh_host_duties_list_begin(self->duties);
+}
+
+static inline void duties_fixture_on_upkeep(const char *host, int64_t wave,
+					    void *data)
+{
+	duties_fixture_t *self = data;
+
+	assert_int_equal(wave, WAVE);
+	g_ptr_array_add(self->upkeeps, g_strdup(host));
+}
+
+static inline void duties_fixture_on_move(const char *host, const char *pool,
+					  void *data)
+{
+	duties_fixture_t *self = data;
+
+	g_ptr_array_add(self->moves, g_strconcat(host, " ", pool, NULL));
+}
+
+static inline void duties_fixture_on_report(const wwh_wave_order_t *order,
+					    bool completed, void *data)
+{
+	duties_fixture_t *self = data;
+
+	assert_int_equal(order->number, WAVE);
+	self->active_reports += !completed;
+	self->completed_reports += completed;
+}
+
+static inline int64_t duties_fixture_on_record(wwh_keep_kind_t kind,
+					       const char *key, GBytes *value,
+					       void *data)
+{
+	duties_fixture_t *self = data;
+
+	assert_int_equal(kind, WWH_KEEP_WAVE);
+	assert_non_null(key);
+	assert_non_null(value);
+	return ++self->last_record;
+}
+
+static inline void duties_fixture_on_event(const char *event,
+					   const char *subject,
+					   const char *detail, void *data)
+{
+	(void)event;
+	(void)subject;
+	(void)detail;
+	(void)data;
+}
+
+static inline wwh_host_duties_t *
+duties_fixture_make_duties(duties_fixture_t *self)
+{
+	wwh_host_duties_calls_t calls = {
+		.list = duties_fixture_on_list,
+		.upkeep = duties_fixture_on_upkeep,
+		.move = duties_fixture_on_move,
+		.report = duties_fixture_on_report,
+		.keep = duties_fixture_on_record,
+		.explain = duties_fixture_on_event,
+		.client_data = self,
+	};
+
+	return wwh_host_duties_new(&self->options, &calls);
+}
+
+static inline duties_fixture_t *duties_fixture_new(int64_t first_order_ms)
+{
+	duties_fixture_t *self = g_new0(duties_fixture_t, 1);
+
+	self->sched = rig_new();
+	self->options.scheduler = self->sched->scheduler;
+	self->options.upkeep_ms = 2000;
+	self->options.move_ms = 1500;
+	self->options.first_order_ms = first_order_ms;
+	self->upkeeps = g_ptr_array_new_with_free_func(g_free);
+	self->moves = g_ptr_array_new_with_free_func(g_free);
+	self->duties = duties_fixture_make_duties(self);
+	return self;
+}
+
+/* Makes the duties of the new holder; called after rig_take_over. */
+static inline void duties_fixture_take_over(duties_fixture_t *self)
+{
+	wwh_host_duties_delete(self->duties);
+	self->options.scheduler = self->sched->scheduler;
+	self->duties = duties_fixture_make_duties(self);
+}
+
+static inline void duties_fixture_delete(duties_fixture_t *self)
+{
+	wwh_host_duties_delete(self->duties);
+	rig_delete(self->sched);
+	g_ptr_array_unref(self->upkeeps);
+	g_ptr_array_unref(self->moves);
+	g_free(self);
+}
+
+static inline void duties_fixture_run(duties_fixture_t *self,
+				      int64_t forward_ms)
+{
+	self->sched->now_ms += forward_ms;
+	wwh_host_duties_run(self->duties, self->sched->now_ms);
+}
+
+static inline void duties_fixture_list_host(duties_fixture_t *self,
+					    const char *name, const char *pool,
+					    const char *upstream,
+					    wwh_host_run_state_t state)
+{
+	wwh_listed_host_t host = {
+		.name = name, .pool = pool, .upstream = upstream, .state = state
+	};
+
+	wwh_host_duties_list_host(self->duties, &host);
+}
+
+/* Lists an unreadable row; name is NULL if the name is unreadable too. */
+static inline void duties_fixture_list_unreadable_host(duties_fixture_t *self,
+						       const char *name)
+{
+	wwh_listed_host_t host = { .name = name, .unreadable = "a test" };
+
+	wwh_host_duties_list_host(self->duties, &host);
+}
+
+static inline void duties_fixture_end_list(duties_fixture_t *self)
+{
+	wwh_host_duties_list_end(self->duties, true, self->sched->now_ms);
+}
+
+static inline void duties_fixture_add_wave(duties_fixture_t *self,
+					   int32_t hosts, int32_t max_down)
+{
+	wwh_wave_order_t *order = wwh_wave_order_new(WAVE);
+
+	for (int32_t i = 1; i <= hosts; i++)
+		g_ptr_array_add(order->hosts, g_strdup_printf("h%d", i));
+	order->max_down = max_down;
+	order->duration_ms = 60000;
+	wwh_host_duties_add_wave(self->duties, order, self->sched->now_ms);
+}
+
+/*
+ * Lists hosts h1 to hN of the scheduler fixture's pool, each with its upstream
+ * u1 to uN or with none, and ends the list.
+ */
+static inline void duties_fixture_list_hosts(duties_fixture_t *self,
+					     int32_t count, bool with_upstreams,
+					     wwh_host_run_state_t first_state)
+{
+	for (int32_t i = 1; i <= count; i++) {
+		char name[16];
+		char upstream[16];
+
+		snprintf(name, sizeof(name), "h%d", i);
+		snprintf(upstream, sizeof(upstream), "u%d", i);
+		duties_fixture_list_host(self, name, RIG_POOL,
+					 with_upstreams ? upstream : NULL,
+					 i == 1 ? first_state : WWH_HOST_UP);
+	}
+	duties_fixture_end_list(self);
+}
+
+/* Returns the move order with this index as "HOST POOL". */
+static inline const char *duties_fixture_move_at(const duties_fixture_t *self,
+						 guint index)
+{
+	assert_true(index < self->moves->len);
+	return g_ptr_array_index(self->moves, index);
+}
+
+static inline void duties_fixture_answer_move(duties_fixture_t *self,
+					      guint index)
+{
+	const char *moved = duties_fixture_move_at(self, index);
+	char *host = g_strndup(moved, strcspn(moved, " "));
+
+	wwh_host_duties_handle_move_result(self->duties, host, WWH_DUTY_DONE,
+					   self->sched->now_ms);
+	g_free(host);
+}
+
+/* Returns whether u1 or u2 is cordoned. */
+static inline bool
+duties_fixture_has_cordoned_upstream(const duties_fixture_t *self)
+{
+	wwh_scheduler_t *scheduler = self->sched->scheduler;
+
+	return wwh_scheduler_upstream_load(scheduler, "u1").cordoned ||
+	       wwh_scheduler_upstream_load(scheduler, "u2").cordoned;
+}
+
+/*
+ * Answers a move to the standby pool and lists the host there when it is over.
+ */
+static inline void
+duties_fixture_complete_move_to_standby(duties_fixture_t *self,
+					const char *moved)
+{
+	char *host = g_strndup(moved, strcspn(moved, " "));
+
+	wwh_host_duties_handle_move_result(self->duties, host, WWH_DUTY_DONE,
+					   self->sched->now_ms);
+	duties_fixture_run(self, self->options.move_ms);
+	wwh_host_duties_list_begin(self->duties);
+	duties_fixture_list_host(
+		self, strcmp(host, "h1") == 0 ? "h2" : "h1", RIG_POOL,
+		strcmp(host, "h1") == 0 ? "u2" : "u1", WWH_HOST_UP);
+	duties_fixture_list_host(self, host, "standby", NULL, WWH_HOST_UP);
+	duties_fixture_end_list(self);
+	g_free(host);
+}
+
+static inline int set_up(void **state)
+{
+	*state = duties_fixture_new(0);
+	return 0;
+}
+
+/* Orders of the previous holder may still be in flight for 3 s. */
+static inline int set_up_after_a_silent_holder(void **state)
+{
+	*state = duties_fixture_new(103000);
+	return 0;
+}
+
+static inline int tear_down(void **state)
+{
+	duties_fixture_delete(*state);
+	return 0;
+}
+
+#define WAVE_TESTS                                                              \
+	cmocka_unit_test_setup_teardown(                                        \
+		no_more_hosts_are_down_than_the_wave_allows, set_up,            \
+		tear_down),                                                     \
+		cmocka_unit_test_setup_teardown(                                \
+			a_wave_is_reported_complete_once_its_record_is_durable, \
+			set_up, tear_down),                                     \
+		cmocka_unit_test_setup_teardown(                                \
+			a_removed_host_is_not_waited_for, set_up, tear_down),   \
+		cmocka_unit_test_setup_teardown(                                \
+			a_repeated_upkeep_order_ends_no_task, set_up,           \
+			tear_down),                                             \
+		cmocka_unit_test_setup_teardown(                                \
+			a_wave_with_slack_skips_a_pool_that_lacks_hosts,        \
+			set_up, tear_down),                                     \
+		cmocka_unit_test_setup_teardown(an_unlisted_host_has_no_pool,   \
+						set_up, tear_down),             \
+		cmocka_unit_test_setup_teardown(                                \
+			a_host_drained_for_a_wave_is_replaced, set_up,          \
+			tear_down),                                             \
+		cmocka_unit_test_setup_teardown(                                \
+			a_new_holder_waits_before_its_first_order,              \
+			set_up_after_a_silent_holder, tear_down)
+
+void no_more_hosts_are_down_than_the_wave_allows(void **state);
+void a_wave_is_reported_complete_once_its_record_is_durable(void **state);
+void a_removed_host_is_not_waited_for(void **state);
+void a_repeated_upkeep_order_ends_no_task(void **state);
+void a_wave_with_slack_skips_a_pool_that_lacks_hosts(void **state);
+void an_unlisted_host_has_no_pool(void **state);
+void a_host_drained_for_a_wave_is_replaced(void **state);
+void a_new_holder_waits_before_its_first_order(void **state);
+
+#define MOVE_TESTS                                                             \
+	cmocka_unit_test_setup_teardown(a_pool_with_work_gets_standby_hosts,   \
+					set_up, tear_down),                    \
+		cmocka_unit_test_setup_teardown(                               \
+			a_pool_without_work_sends_hosts_to_standby, set_up,    \
+			tear_down),                                            \
+		cmocka_unit_test_setup_teardown(                               \
+			a_host_moves_directly_to_the_next_busy_pool, set_up,   \
+			tear_down),                                            \
+		cmocka_unit_test_setup_teardown(                               \
+			a_waiting_lasting_task_retains_a_new_host, set_up,     \
+			tear_down),                                            \
+		cmocka_unit_test_setup_teardown(                               \
+			an_idle_phase_of_a_pool_moves_no_host, set_up,         \
+			tear_down),                                            \
+		cmocka_unit_test_setup_teardown(                               \
+			a_surplus_host_takes_late_work, set_up, tear_down),    \
+		cmocka_unit_test_setup_teardown(                               \
+			a_surplus_host_goes_to_standby_after_the_delay,        \
+			set_up, tear_down),                                    \
+		cmocka_unit_test_setup_teardown(                               \
+			a_pause_within_a_busy_phase_moves_no_host, set_up,     \
+			tear_down),                                            \
+		cmocka_unit_test_setup_teardown(                               \
+			a_standby_host_is_called_back_at_once, set_up,         \
+			tear_down),                                            \
+		cmocka_unit_test_setup_teardown(                               \
+			a_leaving_host_is_replaced_before_it_is_gone, set_up,  \
+			tear_down)
+
+void a_pool_with_work_gets_standby_hosts(void **state);
+void a_pool_without_work_sends_hosts_to_standby(void **state);
+void a_host_moves_directly_to_the_next_busy_pool(void **state);
+void a_pause_within_a_busy_phase_moves_no_host(void **state);
+void a_waiting_lasting_task_retains_a_new_host(void **state);
+void an_idle_phase_of_a_pool_moves_no_host(void **state);
+void a_surplus_host_takes_late_work(void **state);
+void a_surplus_host_goes_to_standby_after_the_delay(void **state);
+void a_standby_host_is_called_back_at_once(void **state);
+void a_leaving_host_is_replaced_before_it_is_gone(void **state);
+
+#define INCARNATION_TESTS                                                                \
+	cmocka_unit_test_setup_teardown(                                                 \
+		an_incarnation_that_no_host_runs_is_not_waited_for, set_up,              \
+		tear_down),                                                              \
+		cmocka_unit_test_setup_teardown(                                         \
+			an_incarnation_of_a_removed_host_is_not_waited_for,              \
+			set_up, tear_down),                                              \
+		cmocka_unit_test_setup_teardown(                                         \
+			an_incarnation_of_a_moving_host_is_not_waited_for,               \
+			set_up, tear_down),                                              \
+		cmocka_unit_test_setup_teardown(                                         \
+			an_incarnation_that_a_host_runs_is_waited_for, set_up,           \
+			tear_down),                                                      \
+		cmocka_unit_test_setup_teardown(                                         \
+			a_down_host_without_an_incarnation_may_run_any,                  \
+			set_up, tear_down),                                              \
+		cmocka_unit_test_setup_teardown(                                         \
+			an_up_host_without_an_incarnation_may_run_any, set_up,           \
+			tear_down),                                                      \
+		cmocka_unit_test_setup_teardown(                                         \
+			a_truncated_list_terminates_no_incarnation, set_up,              \
+			tear_down),                                                      \
+		cmocka_unit_test_setup_teardown(                                         \
+			an_announced_incarnation_is_waited_for, set_up,                  \
+			tear_down),                                                      \
+		cmocka_unit_test_setup_teardown(an_unreadable_row_may_run_any,           \
+						set_up, tear_down),                      \
+		cmocka_unit_test_setup_teardown(                                         \
+			an_unreadable_row_without_a_name_may_run_any, set_up,            \
+			tear_down),                                                      \
+		cmocka_unit_test_setup_teardown(                                         \
+			a_list_without_a_live_incarnation_terminates_none,               \
+			set_up, tear_down),                                              \
+		cmocka_unit_test_setup_teardown(                                         \
+			a_list_is_accepted_although_hosts_join_meanwhile,                \
+			set_up, tear_down),                                              \
+		cmocka_unit_test_setup_teardown(                                         \
+			a_list_without_a_live_incarnation_is_rejected_while_hosts_join,  \
+			set_up, tear_down),                                              \
+		cmocka_unit_test_setup_teardown(                                         \
+			a_list_is_accepted_although_a_host_is_ordered_into_upkeep,       \
+			set_up, tear_down),                                              \
+		cmocka_unit_test_setup_teardown(                                         \
+			an_announced_incarnation_that_many_lists_lack_is_not_waited_for, \
+			set_up, tear_down),                                              \
+		cmocka_unit_test_setup_teardown(                                         \
+			an_announced_incarnation_is_waited_for_without_a_complete_list,  \
+			set_up, tear_down)
+
+void an_incarnation_that_no_host_runs_is_not_waited_for(void **state);
+void an_incarnation_of_a_removed_host_is_not_waited_for(void **state);
+void an_incarnation_of_a_moving_host_is_not_waited_for(void **state);
+void an_incarnation_that_a_host_runs_is_waited_for(void **state);
+void a_down_host_without_an_incarnation_may_run_any(void **state);
+void an_up_host_without_an_incarnation_may_run_any(void **state);
+void a_truncated_list_terminates_no_incarnation(void **state);
+void an_announced_incarnation_is_waited_for(void **state);
+void an_unreadable_row_may_run_any(void **state);
+void an_unreadable_row_without_a_name_may_run_any(void **state);
+void a_list_without_a_live_incarnation_terminates_none(void **state);
+void a_list_is_accepted_although_hosts_join_meanwhile(void **state);
+void a_list_without_a_live_incarnation_is_rejected_while_hosts_join(
+	void **state);
+void a_list_is_accepted_although_a_host_is_ordered_into_upkeep(void **state);
+void an_announced_incarnation_that_many_lists_lack_is_not_waited_for(
+	void **state);
+void an_announced_incarnation_is_waited_for_without_a_complete_list(
+	void **state);
+
+#endif
--- a/src/test_host_duties/test_host_duties.c
+++ b/src/test_host_duties/test_host_duties.c
@@ -1,55 +1,57 @@
 /*
- * Waves of upkeep and moves between pools, on a scheduler of its own whose
- * upstreams are as each test says. Here: what lists of hosts say, and main.
+ * Tests of upkeep waves and moves between pools. This file has the tests of
+ * lists of hosts, and main.
  */
 
-#include "crew.h"
+#include "duties_fixture.h"
 
-static void a_host_listed_as_away_has_ended_its_tasks(void **state)
+static void a_host_listed_in_upkeep_has_ended_its_tasks(void **state)
 {
-	crew_t *crew = *state;
+	duties_fixture_t *fixture = *state;
 
-	rig_add_upstream(crew->rig, "u1", "10.0.0.1:1");
-	rig_submit(crew->rig, rig_job(JOB_A, 1, 1000));
-	crew_run(crew, 1);
-	crew_hosts(crew, 1, true, WWH_HOST_UP);
-	crew_run(crew, 600);
-	crew_hosts(crew, 1, true, WWH_HOST_UPKEEP);
-	assert_int_equal(wwh_scheduler_counts(crew->rig->scheduler).tasks_out,
-			 0);
+	rig_add_upstream(fixture->sched, "u1", "10.0.0.1:1");
+	rig_submit(fixture->sched, rig_job(JOB_A, 1, 1000));
+	duties_fixture_run(fixture, 1);
+	duties_fixture_list_hosts(fixture, 1, true, WWH_HOST_UP);
+	duties_fixture_run(fixture, 600);
+	duties_fixture_list_hosts(fixture, 1, true, WWH_HOST_UPKEEP);
+	assert_int_equal(
+		wwh_scheduler_counts(fixture->sched->scheduler).tasks_out, 0);
 }
 
 /*
- * A list that was asked for before an order shows the host as it was. Taken
- * for new, it undid the move in the books, and the host was moved twice.
+ * A list that was requested before an order shows the host as it was. If it
+ * were applied, it would revert the recorded move, and the host would be moved
+ * twice.
  */
-static void a_list_from_before_an_order_is_not_believed(void **state)
+static void a_list_requested_before_an_order_is_not_applied(void **state)
 {
-	crew_t *crew = *state;
+	duties_fixture_t *fixture = *state;
 
-	wwh_host_duties_set_pool(crew->duties, RIG_POOL, false);
-	wwh_host_duties_set_pool(crew->duties, "rest", true);
-	rig_add_upstream(crew->rig, "u9", "10.0.0.9:1");
-	rig_submit(crew->rig, rig_job(JOB_A, 60, 1000));
-	crew_run(crew, 1);
-	crew_host(crew, "h1", "rest", NULL, WWH_HOST_UP);
-	crew_listed(crew);
-	crew_run(crew, 600);
-	assert_int_equal(crew->moves->len, 1);
-	assert_string_equal(g_ptr_array_index(crew->moves, 0), "h1 " RIG_POOL);
-	crew->rig->now_ms += 10;
-	wwh_host_duties_handle_move_result(crew->duties, "h1", WWH_DUTY_DONE,
-					   crew->rig->now_ms);
-	crew_host(crew, "h1", "rest", NULL, WWH_HOST_UP);
-	crew_listed(crew);
-	crew_run(crew, 5000);
-	assert_int_equal(crew->moves->len, 1);
+	wwh_host_duties_set_pool(fixture->duties, RIG_POOL, false);
+	wwh_host_duties_set_pool(fixture->duties, "standby", true);
+	rig_add_upstream(fixture->sched, "u9", "10.0.0.9:1");
+	rig_submit(fixture->sched, rig_job(JOB_A, 60, 1000));
+	duties_fixture_run(fixture, 1);
+	duties_fixture_list_host(fixture, "h1", "standby", NULL, WWH_HOST_UP);
+	duties_fixture_end_list(fixture);
+	duties_fixture_run(fixture, 600);
+	assert_int_equal(fixture->moves->len, 1);
+	assert_string_equal(g_ptr_array_index(fixture->moves, 0),
+			    "h1 " RIG_POOL);
+	fixture->sched->now_ms += 10;
+	wwh_host_duties_handle_move_result(fixture->duties, "h1", WWH_DUTY_DONE,
+					   fixture->sched->now_ms);
+	duties_fixture_list_host(fixture, "h1", "standby", NULL, WWH_HOST_UP);
+	duties_fixture_end_list(fixture);
+	duties_fixture_run(fixture, 5000);
+	assert_int_equal(fixture->moves->len, 1);
 }
 
 /*
- * A holder is cut off in a turn and another takes over. It waited three
- * seconds before it gave the turn's pool its first host, though hosts refuse
- * what the one before may still send.
+ * A new holder waited three seconds before it moved the first host to a busy
+ * pool, although hosts that check fencing tokens reject late orders of the
+ * previous holder.
  */
 static void a_new_holder_waits_less_where_hosts_fence(void **state)
 {
@@ -61,75 +63,76 @@
 }
 
 /*
- * A host's row can't be read, list after list, while it waits for its upkeep.
- * It was as good as not listed: after three lists it was taken as removed and
- * its wave reported as completed. Mended, it has its upkeep.
+ * The row of a host is unreadable in every list while the host waits for its
+ * upkeep. The host was treated as not listed: after three lists it counted as
+ * removed and its wave was reported as completed. Once the row is readable, the
+ * host must get its upkeep.
  */
-static void a_host_whose_row_cant_be_read_is_not_removed(void **state)
+static void a_host_with_an_unreadable_row_is_not_removed(void **state)
 {
-	crew_t *crew = *state;
+	duties_fixture_t *fixture = *state;
 
-	crew_wave(crew, 1, 1);
-	crew_run(crew, 1);
+	duties_fixture_add_wave(fixture, 1, 1);
+	duties_fixture_run(fixture, 1);
 	for (int32_t i = 0; i < 6; i++) {
-		wwh_host_duties_list_begin(crew->duties);
-		crew_bad_host(crew, "h1");
-		crew_listed(crew);
-		crew_run(crew, 600);
+		wwh_host_duties_list_begin(fixture->duties);
+		duties_fixture_list_unreadable_host(fixture, "h1");
+		duties_fixture_end_list(fixture);
+		duties_fixture_run(fixture, 600);
 	}
-	wwh_host_duties_set_durable(crew->duties, crew->record);
-	crew_run(crew, 1);
-	crew_run(crew, 1);
-	assert_int_equal(crew->upkeeps->len, 0);
-	assert_int_equal(crew->completed, 0);
-	wwh_host_duties_list_begin(crew->duties);
-	crew_host(crew, "h1", RIG_POOL, NULL, WWH_HOST_UP);
-	crew_listed(crew);
-	crew_run(crew, 1);
-	assert_int_equal(crew->upkeeps->len, 1);
+	wwh_host_duties_set_durable(fixture->duties, fixture->last_record);
+	duties_fixture_run(fixture, 1);
+	duties_fixture_run(fixture, 1);
+	assert_int_equal(fixture->upkeeps->len, 0);
+	assert_int_equal(fixture->completed_reports, 0);
+	wwh_host_duties_list_begin(fixture->duties);
+	duties_fixture_list_host(fixture, "h1", RIG_POOL, NULL, WWH_HOST_UP);
+	duties_fixture_end_list(fixture);
+	duties_fixture_run(fixture, 1);
+	assert_int_equal(fixture->upkeeps->len, 1);
 }
 
 /*
- * A row of the list names no host. Any host that the list doesn't show may be
- * that one, so none is taken as removed on such lists' word.
+ * A row of the list has no host name. It may belong to any host that the list
+ * lacks, so such a list must not make a host count as removed.
  */
 static void a_row_without_a_name_may_be_any_host(void **state)
 {
-	crew_t *crew = *state;
+	duties_fixture_t *fixture = *state;
 
-	crew_wave(crew, 1, 1);
-	crew_run(crew, 1);
+	duties_fixture_add_wave(fixture, 1, 1);
+	duties_fixture_run(fixture, 1);
 	for (int32_t i = 0; i < 6; i++) {
-		wwh_host_duties_list_begin(crew->duties);
-		crew_bad_host(crew, NULL);
-		crew_listed(crew);
-		crew_run(crew, 600);
+		wwh_host_duties_list_begin(fixture->duties);
+		duties_fixture_list_unreadable_host(fixture, NULL);
+		duties_fixture_end_list(fixture);
+		duties_fixture_run(fixture, 600);
 	}
-	wwh_host_duties_set_durable(crew->duties, crew->record);
-	crew_run(crew, 1);
-	crew_run(crew, 1);
-	assert_int_equal(crew->completed, 0);
+	wwh_host_duties_set_durable(fixture->duties, fixture->last_record);
+	duties_fixture_run(fixture, 1);
+	duties_fixture_run(fixture, 1);
+	assert_int_equal(fixture->completed_reports, 0);
 }
 
-/* The row of a host at work turns bad: what runs there isn't taken as ended. */
-static void a_bad_row_of_a_host_ends_no_task(void **state)
+/* The row of a host becomes unreadable: its tasks don't count as ended. */
+static void an_unreadable_row_of_a_host_ends_no_task(void **state)
 {
-	crew_t *crew = *state;
+	duties_fixture_t *fixture = *state;
 
-	rig_add_upstream(crew->rig, "u1", "10.0.0.1:1");
-	rig_submit(crew->rig, rig_job(JOB_A, 1, 1000));
-	crew_run(crew, 1);
-	crew_hosts(crew, 1, true, WWH_HOST_UP);
-	crew_run(crew, 600);
-	wwh_host_duties_list_begin(crew->duties);
-	crew_bad_host(crew, "h1");
-	crew_listed(crew);
-	crew_run(crew, 600);
-	assert_int_equal(wwh_scheduler_counts(crew->rig->scheduler).tasks_out,
-			 1);
-	crew_hosts(crew, 1, true, WWH_HOST_UP);
-	assert_int_equal(wwh_scheduler_counts(crew->rig->scheduler).tasks_out,
-			 1);
+	rig_add_upstream(fixture->sched, "u1", "10.0.0.1:1");
+	rig_submit(fixture->sched, rig_job(JOB_A, 1, 1000));
+	duties_fixture_run(fixture, 1);
+	duties_fixture_list_hosts(fixture, 1, true, WWH_HOST_UP);
+	duties_fixture_run(fixture, 600);
+	wwh_host_duties_list_begin(fixture->duties);
+	duties_fixture_list_unreadable_host(fixture, "h1");
+	duties_fixture_end_list(fixture);
+	duties_fixture_run(fixture, 600);
+	assert_int_equal(
+		wwh_scheduler_counts(fixture->sched->scheduler).tasks_out, 1);
+	duties_fixture_list_hosts(fixture, 1, true, WWH_HOST_UP);
+	assert_int_equal(
+		wwh_scheduler_counts(fixture->sched->scheduler).tasks_out, 1);
 }
 
 int main(void)
@@ -137,22 +140,23 @@
 	const struct CMUnitTest tests[] = {
 		WAVE_TESTS,
 		MOVE_TESTS,
-		LIFE_TESTS,
+		INCARNATION_TESTS,
 		cmocka_unit_test_setup_teardown(
-			a_host_listed_as_away_has_ended_its_tasks, set_up,
+			a_host_listed_in_upkeep_has_ended_its_tasks, set_up,
 			tear_down),
 		cmocka_unit_test_setup_teardown(
-			a_list_from_before_an_order_is_not_believed, set_up,
+			a_list_requested_before_an_order_is_not_applied, set_up,
 			tear_down),
 		cmocka_unit_test(a_new_holder_waits_less_where_hosts_fence),
 		cmocka_unit_test_setup_teardown(
-			a_host_whose_row_cant_be_read_is_not_removed, set_up,
+			a_host_with_an_unreadable_row_is_not_removed, set_up,
 			tear_down),
 		cmocka_unit_test_setup_teardown(
 			a_row_without_a_name_may_be_any_host, set_up,
 			tear_down),
 		cmocka_unit_test_setup_teardown(
-			a_bad_row_of_a_host_ends_no_task, set_up, tear_down),
+			an_unreadable_row_of_a_host_ends_no_task, set_up,
+			tear_down),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/src/test_host_duties/test_incarnations.c
+++ b/src/test_host_duties/test_incarnations.c
@@ -1,329 +1,345 @@
 /*
- * After a change of holder: which lives of the holder before are over, by what a
- * list of hosts shows.
+ * Tests after a change of holder: which incarnations of the previous holder
+ * have terminated according to a list of hosts.
  */
 
-#include "crew.h"
+#include "duties_fixture.h"
 
-/* Lists come each half second; this is two of them. */
+/* Two intervals of 500 ms between lists. */
 #define SOON_MS 1000
 
-/* What the list shows of u1, which answers nobody, and of its host. */
+/* What lists show of u1, which answers no poll, and of its host h1. */
 typedef struct {
-	const char *pool; /* NULL: the host is in no list */
+	const char *pool; /* NULL: the host isn't listed */
 	const char *upstream;
 	wwh_host_run_state_t state;
-	bool cut_short; /* the list doesn't come to its end */
+	bool truncated; /* the list is not received to its end */
 	bool announced; /* u1 is in the registry */
-	bool unreadable; /* a row that can't be read, with or without a name */
-	bool nameless;
-	bool misses_u2; /* a living one isn't in the list */
-	bool others_come; /* a new one answers while each list is under way */
-	int64_t for_ms; /* how long lists come; 0: SOON_MS */
-} silent_host_t;
-
-/* A lasting task was stopped, then the holder ended; u1 and u2 are on record. */
-static void stop_task_and_take_over(crew_t *crew)
+	bool unreadable; /* the list has an unreadable row */
+	bool unnamed; /* the unreadable row has no name */
+	bool lacks_u2; /* the list lacks u2, which answers polls */
+	bool hosts_join; /* a new upstream answers during each list */
+	int64_t duration_ms; /* how long lists are received; 0: SOON_MS */
+} list_case_t;
+
+/*
+ * A lasting task is stopped, then the holder changes; u1 and u2 are recorded.
+ */
+static void stop_task_and_take_over(duties_fixture_t *fixture)
 {
 	wwh_job_t *job = rig_job(JOB_A, 1, 1000);
 	rig_order_t order;
 	wwh_ended_t ended;
 
-	rig_add_upstream(crew->rig, "u1", "10.0.0.1:1");
-	rig_add_upstream(crew->rig, "u2", "10.0.0.2:1");
+	rig_add_upstream(fixture->sched, "u1", "10.0.0.1:1");
+	rig_add_upstream(fixture->sched, "u2", "10.0.0.2:1");
 	job->steps[0].lasting = true;
-	rig_submit(crew->rig, job);
-	order = *rig_order(crew->rig->starts, 0);
-	rig_start_ended(crew->rig, &order, WWH_ORDER_DONE);
-	rig_run(crew->rig, 500);
+	rig_submit(fixture->sched, job);
+	order = *rig_order(fixture->sched->starts, 0);
+	rig_start_ended(fixture->sched, &order, WWH_ORDER_DONE);
+	rig_run(fixture->sched, 500);
 	ended = rig_ended(&order, 1, WWH_END_STOPPED);
-	rig_answer_poll(crew->rig, order.upstream, NULL, 0, &ended, 1);
-	rig_durable(crew->rig);
-	rig_take_over(crew->rig);
-	crew_take_over(crew);
-	wwh_host_duties_set_pool(crew->duties, RIG_POOL, false);
-	wwh_host_duties_set_pool(crew->duties, "rest", true);
+	rig_answer_poll(fixture->sched, order.upstream, NULL, 0, &ended, 1);
+	rig_durable(fixture->sched);
+	rig_take_over(fixture->sched);
+	duties_fixture_take_over(fixture);
+	wwh_host_duties_set_pool(fixture->duties, RIG_POOL, false);
+	wwh_host_duties_set_pool(fixture->duties, "standby", true);
 }
 
-static void answer_u2(rig_t *rig)
+static void answer_u2(rig_t *sched)
 {
-	for (guint i = rig->polls->len; i-- > 0;) {
-		rig_poll_t poll = g_array_index(rig->polls, rig_poll_t, i);
+	for (guint i = sched->polls->len; i-- > 0;) {
+		rig_poll_t poll = g_array_index(sched->polls, rig_poll_t, i);
 
 		if (strcmp(poll.upstream, "u2") == 0)
-			rig_answer_poll(rig, "u2", NULL, 0, NULL, 0);
+			rig_answer_poll(sched, "u2", NULL, 0, NULL, 0);
 	}
-	wwh_scheduler_poll_failed(rig->scheduler, "u1", false, rig->now_ms);
+	wwh_scheduler_poll_failed(sched->scheduler, "u1", false, sched->now_ms);
 }
 
-static char *newcomer(const char *kind, int32_t number)
+static char *numbered_name(const char *kind, int32_t number)
 {
 	return g_strdup_printf("%s%d", kind, number);
 }
 
-static void answer_newcomer(rig_t *rig, int32_t number)
+static void answer_new_upstream(rig_t *sched, int32_t number)
 {
-	char *id = newcomer("n", number);
-	char *endpoint = newcomer("10.0.1.1:", number + 1);
+	char *id = numbered_name("n", number);
+	char *endpoint = numbered_name("10.0.1.1:", number + 1);
 
-	rig_announce(rig, id, endpoint, false);
-	rig_run(rig, 1);
-	rig_answer_poll(rig, id, NULL, 0, NULL, 0);
+	rig_announce(sched, id, endpoint, false);
+	rig_run(sched, 1);
+	rig_answer_poll(sched, id, NULL, 0, NULL, 0);
 	g_free(endpoint);
 	g_free(id);
 }
 
-/* Those that were there when the list was asked for. */
-static void list_newcomers(crew_t *crew, int32_t count)
+/* Lists the new hosts that existed when the list was requested. */
+static void list_new_hosts(duties_fixture_t *fixture, int32_t count)
 {
 	for (int32_t i = 0; i < count; i++) {
-		char *host = newcomer("hn", i);
-		char *id = newcomer("n", i);
+		char *host = numbered_name("hn", i);
+		char *id = numbered_name("n", i);
 
-		crew_host(crew, host, RIG_POOL, id, WWH_HOST_UP);
+		duties_fixture_list_host(fixture, host, RIG_POOL, id,
+					 WWH_HOST_UP);
 		g_free(id);
 		g_free(host);
 	}
 }
 
-static bool starts_soon(crew_t *crew, const silent_host_t *silent)
+static bool task_starts_soon(duties_fixture_t *fixture,
+			     const list_case_t *list_case)
 {
-	int64_t for_ms = silent->for_ms != 0 ? silent->for_ms : SOON_MS;
+	int64_t duration_ms =
+		list_case->duration_ms != 0 ? list_case->duration_ms : SOON_MS;
 	guint before;
 
-	stop_task_and_take_over(crew);
-	before = crew->rig->starts->len;
-	rig_announce(crew->rig, "u2", "10.0.0.2:1", false);
-	if (silent->announced)
-		rig_announce(crew->rig, "u1", "10.0.0.1:1", false);
-	for (int32_t i = 0; i < for_ms / 50; i++) {
-		rig_run(crew->rig, 50);
-		answer_u2(crew->rig);
-		wwh_host_duties_list_begin(crew->duties);
-		if (silent->others_come) {
-			answer_newcomer(crew->rig, i);
-			list_newcomers(crew, i);
+	stop_task_and_take_over(fixture);
+	before = fixture->sched->starts->len;
+	rig_announce(fixture->sched, "u2", "10.0.0.2:1", false);
+	if (list_case->announced)
+		rig_announce(fixture->sched, "u1", "10.0.0.1:1", false);
+	for (int32_t i = 0; i < duration_ms / 50; i++) {
+		rig_run(fixture->sched, 50);
+		answer_u2(fixture->sched);
+		wwh_host_duties_list_begin(fixture->duties);
+		if (list_case->hosts_join) {
+			answer_new_upstream(fixture->sched, i);
+			list_new_hosts(fixture, i);
 		}
-		if (!silent->misses_u2)
-			crew_host(crew, "h2", RIG_POOL, "u2", WWH_HOST_UP);
-		if (silent->unreadable) {
+		if (!list_case->lacks_u2)
+			duties_fixture_list_host(fixture, "h2", RIG_POOL, "u2",
+						 WWH_HOST_UP);
+		if (list_case->unreadable) {
 			wwh_listed_host_t row = {
-				.name = silent->nameless ? NULL : "h1",
+				.name = list_case->unnamed ? NULL : "h1",
 				.unreadable = "state has no known name",
 			};
 
-			wwh_host_duties_list_host(crew->duties, &row);
+			wwh_host_duties_list_host(fixture->duties, &row);
 		}
-		if (silent->pool != NULL)
-			crew_host(crew, "h1", silent->pool, silent->upstream,
-				  silent->state);
-		wwh_host_duties_list_end(crew->duties, !silent->cut_short,
-					 crew->rig->now_ms);
-		rig_durable(crew->rig);
+		if (list_case->pool != NULL)
+			duties_fixture_list_host(fixture, "h1", list_case->pool,
+						 list_case->upstream,
+						 list_case->state);
+		wwh_host_duties_list_end(fixture->duties, !list_case->truncated,
+					 fixture->sched->now_ms);
+		rig_durable(fixture->sched);
 	}
-	return crew->rig->starts->len > before;
+	return fixture->sched->starts->len > before;
 }
 
 /*
- * A host went to rest with its upstream just before the holder was killed, and a
- * lasting task of its pool had been stopped. The next holder finds the upstream
- * in the records and gets no answer; the pool's tasks waited for its lease to
- * end. The list shows what each host runs, and it is none of them.
+ * A host was moved to the standby pool, which ended its upstream, just before
+ * the holder was killed, and a lasting task of its pool had been stopped. The
+ * next holder finds the upstream in the records and gets no answer; the pool's
+ * tasks waited for its lease to expire. The list shows that no host runs the
+ * upstream.
  */
 void an_incarnation_that_no_host_runs_is_not_waited_for(void **state)
 {
-	const silent_host_t rests = { .pool = "rest",
+	const list_case_t standby = { .pool = "standby",
 				      .upstream = "",
 				      .state = WWH_HOST_UP };
 
-	assert_true(starts_soon(*state, &rests));
+	assert_true(task_starts_soon(*state, &standby));
 }
 
-void an_incarnation_of_a_host_that_is_gone_is_not_waited_for(void **state)
+void an_incarnation_of_a_removed_host_is_not_waited_for(void **state)
 {
-	const silent_host_t gone = { .pool = NULL };
+	const list_case_t removed = { .pool = NULL };
 
-	assert_true(starts_soon(*state, &gone));
+	assert_true(task_starts_soon(*state, &removed));
 }
 
-void an_incarnation_of_a_host_that_moves_is_not_waited_for(void **state)
+void an_incarnation_of_a_moving_host_is_not_waited_for(void **state)
 {
-	const silent_host_t moves = { .pool = RIG_POOL,
-				      .upstream = "",
-				      .state = WWH_HOST_MOVING };
+	const list_case_t moves = { .pool = RIG_POOL,
+				    .upstream = "",
+				    .state = WWH_HOST_MOVING };
 
-	assert_true(starts_soon(*state, &moves));
+	assert_true(task_starts_soon(*state, &moves));
 }
 
 /*
- * An upstream is cut off from the store and the holder, and runs on. Its entry
- * has lapsed; its host is listed with it. Started elsewhere before its lease is
- * over, its task would run twice.
+ * An upstream is cut off from the store and the holder, but runs on. Its
+ * registry entry has expired; its host is listed with it. If its task were
+ * started elsewhere before its lease expires, the task would run twice.
  */
 void an_incarnation_that_a_host_runs_is_waited_for(void **state)
 {
-	const silent_host_t cut_off = { .pool = RIG_POOL,
-					.upstream = "u1",
-					.state = WWH_HOST_UP };
+	const list_case_t cut_off = { .pool = RIG_POOL,
+				      .upstream = "u1",
+				      .state = WWH_HOST_UP };
 
-	assert_false(starts_soon(*state, &cut_off));
+	assert_false(task_starts_soon(*state, &cut_off));
 }
 
-/* A host may be at work and not say what it runs: it may be any of them. */
-void a_host_that_does_not_say_what_it_runs_may_run_any(void **state)
+/*
+ * A host that may run tasks without naming its incarnation may run any of
+ * them.
+ */
+void a_down_host_without_an_incarnation_may_run_any(void **state)
 {
-	const silent_host_t down = { .pool = RIG_POOL,
-				     .upstream = "",
-				     .state = WWH_HOST_DOWN };
+	const list_case_t down = { .pool = RIG_POOL,
+				   .upstream = "",
+				   .state = WWH_HOST_DOWN };
 
-	assert_false(starts_soon(*state, &down));
+	assert_false(task_starts_soon(*state, &down));
 }
 
-void a_host_of_a_working_pool_without_an_incarnation_may_run_any(void **state)
+void an_up_host_without_an_incarnation_may_run_any(void **state)
 {
-	const silent_host_t unnamed = { .pool = RIG_POOL,
-					.upstream = NULL,
-					.state = WWH_HOST_UP };
+	const list_case_t unnamed = { .pool = RIG_POOL,
+				      .upstream = NULL,
+				      .state = WWH_HOST_UP };
 
-	assert_false(starts_soon(*state, &unnamed));
+	assert_false(task_starts_soon(*state, &unnamed));
 }
 
-/* A list that ends early doesn't show what the rest of the hosts run. */
-void a_list_that_is_cut_short_ends_no_incarnation(void **state)
+/* A truncated list doesn't show what the remaining hosts run. */
+void a_truncated_list_terminates_no_incarnation(void **state)
 {
-	const silent_host_t unseen = { .pool = NULL, .cut_short = true };
+	const list_case_t unlisted = { .pool = NULL, .truncated = true };
 
-	assert_false(starts_soon(*state, &unseen));
+	assert_false(task_starts_soon(*state, &unlisted));
 }
 
-/* The registry may know of a life that the list doesn't show yet. */
-void an_incarnation_that_is_announced_is_waited_for(void **state)
+/* The registry may have an incarnation that the list doesn't show yet. */
+void an_announced_incarnation_is_waited_for(void **state)
 {
-	const silent_host_t announced = { .pool = NULL, .announced = true };
+	const list_case_t announced = { .pool = NULL, .announced = true };
 
-	assert_false(starts_soon(*state, &announced));
+	assert_false(task_starts_soon(*state, &announced));
 }
 
 /*
- * The holder before moved a host away and was cut off. The entry of its upstream
- * stays in the registry for three heartbeats, and all that time the next holder's
- * pool waited for it, 3.9 s on a recorded day, though each list showed what every
- * host ran.
+ * The previous holder moved a host and was cut off. The entry of the host's
+ * upstream stays in the registry for three heartbeats, and the pool waited for
+ * it for all that time, 3.9 s on a recorded day, although each list showed
+ * what every host ran.
  */
-void an_incarnation_that_lists_miss_for_long_is_not_waited_for(void **state)
+void an_announced_incarnation_that_many_lists_lack_is_not_waited_for(
+	void **state)
 {
-	const silent_host_t moved = { .pool = RIG_POOL,
-				      .upstream = "",
-				      .state = WWH_HOST_MOVING,
-				      .announced = true,
-				      .for_ms = 2 * SOON_MS };
+	const list_case_t moved = { .pool = RIG_POOL,
+				    .upstream = "",
+				    .state = WWH_HOST_MOVING,
+				    .announced = true,
+				    .duration_ms = 2 * SOON_MS };
 
-	assert_true(starts_soon(*state, &moved));
+	assert_true(task_starts_soon(*state, &moved));
 }
 
-/* The same where the list can't be believed. */
-void an_incarnation_that_is_announced_is_waited_for_without_a_whole_list(
+/* As above, but the list can't be accepted because it lacks u2. */
+void an_announced_incarnation_is_waited_for_without_a_complete_list(
 	void **state)
 {
-	const silent_host_t unseen = { .pool = NULL,
+	const list_case_t unlisted = { .pool = NULL,
 				       .announced = true,
-				       .misses_u2 = true,
-				       .for_ms = 2 * SOON_MS };
+				       .lacks_u2 = true,
+				       .duration_ms = 2 * SOON_MS };
 
-	assert_false(starts_soon(*state, &unseen));
+	assert_false(task_starts_soon(*state, &unlisted));
 }
 
-/* A row that another writer wrote may be that of the host which runs it. */
-void a_row_that_cannot_be_read_may_run_any(void **state)
+/* An unreadable row may belong to the host that runs the incarnation. */
+void an_unreadable_row_may_run_any(void **state)
 {
-	const silent_host_t named = { .unreadable = true };
+	const list_case_t named = { .unreadable = true };
 
-	assert_false(starts_soon(*state, &named));
+	assert_false(task_starts_soon(*state, &named));
 }
 
-void a_row_without_a_name_may_run_any(void **state)
+void an_unreadable_row_without_a_name_may_run_any(void **state)
 {
-	const silent_host_t nameless = { .unreadable = true, .nameless = true };
+	const list_case_t unnamed = { .unreadable = true, .unnamed = true };
 
-	assert_false(starts_soon(*state, &nameless));
+	assert_false(task_starts_soon(*state, &unnamed));
 }
 
 /*
- * The list of hosts is empty, or older than a life that answers: it doesn't show
- * all that runs. Believed, it ended an upstream that was at work, and its tasks
- * ran twice.
+ * A list that is empty, or older than an incarnation that answers polls,
+ * doesn't show all that runs. When such a list was accepted, it terminated an
+ * upstream that was running tasks, and the tasks ran twice.
  */
-void a_list_that_misses_a_living_one_ends_no_incarnation(void **state)
+void a_list_without_a_live_incarnation_terminates_none(void **state)
 {
-	const silent_host_t empty = { .misses_u2 = true };
+	const list_case_t empty = { .lacks_u2 = true };
 
-	assert_false(starts_soon(*state, &empty));
+	assert_false(task_starts_soon(*state, &empty));
 }
 
 /*
- * Hosts come all the time in a peak, and each list was older than the newest of
- * their upstreams: none was believed, and pools waited up to 4.1 s for lives that
- * no host ran. What such a list leaves out hadn't begun when it was asked for,
- * and a life of the holder before had.
+ * At peak load hosts join all the time, and each list was older than the
+ * newest upstream: no list was accepted, and pools waited up to 4.1 s for
+ * incarnations that no host ran. An upstream that began after the list was
+ * requested may be missing from it; incarnations of the previous holder began
+ * before.
  */
-void a_list_is_believed_though_others_come_meanwhile(void **state)
+void a_list_is_accepted_although_hosts_join_meanwhile(void **state)
 {
-	const silent_host_t gone = { .pool = NULL, .others_come = true };
+	const list_case_t removed = { .pool = NULL, .hosts_join = true };
 
-	assert_true(starts_soon(*state, &gone));
+	assert_true(task_starts_soon(*state, &removed));
 }
 
-/* The same, and the list misses one that was there before it. */
-void a_list_that_misses_one_is_not_believed_as_others_come(void **state)
+/* As above, but the list lacks an upstream that existed before the request. */
+void a_list_without_a_live_incarnation_is_rejected_while_hosts_join(
+	void **state)
 {
-	const silent_host_t gone = { .pool = NULL,
-				     .others_come = true,
-				     .misses_u2 = true };
+	const list_case_t removed = { .pool = NULL,
+				      .hosts_join = true,
+				      .lacks_u2 = true };
 
-	assert_false(starts_soon(*state, &gone));
+	assert_false(task_starts_soon(*state, &removed));
 }
 
 /*
- * While a list is under way its holder orders a host away. The list shows the
- * host without its life, which still counts as one that answers: such a list was
- * not believed either, and in a peak there is an order beside most of them.
+ * The holder orders a host into upkeep while it receives a list. The list
+ * shows the host without its incarnation, which still counts as answering;
+ * such a list was rejected, and at peak load an order is given during most
+ * lists.
  */
-void a_list_is_believed_though_a_host_is_ordered_away(void **state)
+void a_list_is_accepted_although_a_host_is_ordered_into_upkeep(void **state)
 {
-	crew_t *crew = *state;
+	duties_fixture_t *fixture = *state;
 	const char *ordered;
 
-	stop_task_and_take_over(crew);
-	wwh_host_duties_list_begin(crew->duties);
-	crew_host(crew, "h2", RIG_POOL, "u2", WWH_HOST_UP);
-	crew_host(crew, "h3", RIG_POOL, "u3", WWH_HOST_UP);
-	crew_listed(crew);
-	rig_announce(crew->rig, "u2", "10.0.0.2:1", false);
-	rig_announce(crew->rig, "u3", "10.0.0.3:1", false);
-	rig_run(crew->rig, 1);
-	rig_answer_poll(crew->rig, "u2", NULL, 0, NULL, 0);
-	rig_answer_poll(crew->rig, "u3", NULL, 0, NULL, 0);
-	wwh_scheduler_poll_failed(crew->rig->scheduler, "u1", false,
-				  crew->rig->now_ms);
-	rig_durable(crew->rig);
-	crew_wave(crew, 3, 1);
-	wwh_host_duties_list_begin(crew->duties);
-	crew_run(crew, 1);
-	assert_int_equal(crew->upkeeps->len, 1);
-	ordered = g_ptr_array_index(crew->upkeeps, 0);
+	stop_task_and_take_over(fixture);
+	wwh_host_duties_list_begin(fixture->duties);
+	duties_fixture_list_host(fixture, "h2", RIG_POOL, "u2", WWH_HOST_UP);
+	duties_fixture_list_host(fixture, "h3", RIG_POOL, "u3", WWH_HOST_UP);
+	duties_fixture_end_list(fixture);
+	rig_announce(fixture->sched, "u2", "10.0.0.2:1", false);
+	rig_announce(fixture->sched, "u3", "10.0.0.3:1", false);
+	rig_run(fixture->sched, 1);
+	rig_answer_poll(fixture->sched, "u2", NULL, 0, NULL, 0);
+	rig_answer_poll(fixture->sched, "u3", NULL, 0, NULL, 0);
+	wwh_scheduler_poll_failed(fixture->sched->scheduler, "u1", false,
+				  fixture->sched->now_ms);
+	rig_durable(fixture->sched);
+	duties_fixture_add_wave(fixture, 3, 1);
+	wwh_host_duties_list_begin(fixture->duties);
+	duties_fixture_run(fixture, 1);
+	assert_int_equal(fixture->upkeeps->len, 1);
+	ordered = g_ptr_array_index(fixture->upkeeps, 0);
 	for (int32_t i = 2; i <= 3; i++) {
-		char *host = newcomer("h", i);
-		char *id = newcomer("u", i);
-		bool away = strcmp(host, ordered) == 0;
+		char *host = numbered_name("h", i);
+		char *id = numbered_name("u", i);
+		bool in_upkeep = strcmp(host, ordered) == 0;
 
-		crew_host(crew, host, RIG_POOL, away ? "" : id,
-			  away ? WWH_HOST_UPKEEP : WWH_HOST_UP);
+		duties_fixture_list_host(
+			fixture, host, RIG_POOL, in_upkeep ? "" : id,
+			in_upkeep ? WWH_HOST_UPKEEP : WWH_HOST_UP);
 		g_free(id);
 		g_free(host);
 	}
-	assert_int_equal(wwh_scheduler_counts(crew->rig->scheduler).unsettled,
-			 1);
-	crew_listed(crew);
-	assert_int_equal(wwh_scheduler_counts(crew->rig->scheduler).unsettled,
-			 0);
+	assert_int_equal(
+		wwh_scheduler_counts(fixture->sched->scheduler).unsettled, 1);
+	duties_fixture_end_list(fixture);
+	assert_int_equal(
+		wwh_scheduler_counts(fixture->sched->scheduler).unsettled, 0);
 }
--- a/src/test_host_duties/test_moves.c
+++ b/src/test_host_duties/test_moves.c
@@ -1,336 +1,352 @@
-/* Moves between pools, and to rest. */
+/* Tests of moves between pools and to the standby pool. */
 
-#include "crew.h"
+#include "duties_fixture.h"
 
 #define JOB_B "00000000000000bb"
-#define WHOLE_HOST 8000
-#define LULL_MS 12000
+#define HOST_MILLICORES 8000
+#define IDLE_PHASE_MS 12000
 
-static void run_both(crew_t *crew, int64_t span_ms)
+static void run_for(duties_fixture_t *fixture, int64_t span_ms)
 {
 	for (int64_t passed_ms = 0; passed_ms < span_ms; passed_ms += 50) {
-		rig_run(crew->rig, 50);
-		crew_run(crew, 0);
+		rig_run(fixture->sched, 50);
+		duties_fixture_run(fixture, 0);
 	}
 }
 
-/* One pool, and one in which hosts rest. */
-static void list_two_idle_hosts(crew_t *crew)
+/* Sets up a pool with two idle hosts and an empty standby pool. */
+static void list_two_idle_hosts(duties_fixture_t *fixture)
 {
-	wwh_host_duties_set_pool(crew->duties, RIG_POOL, false);
-	wwh_host_duties_set_pool(crew->duties, "rest", true);
-	rig_add_upstream(crew->rig, "u1", "10.0.0.1:1");
-	rig_add_upstream(crew->rig, "u2", "10.0.0.2:1");
-	crew_run(crew, 1);
-	crew_hosts(crew, 2, true, WWH_HOST_UP);
+	wwh_host_duties_set_pool(fixture->duties, RIG_POOL, false);
+	wwh_host_duties_set_pool(fixture->duties, "standby", true);
+	rig_add_upstream(fixture->sched, "u1", "10.0.0.1:1");
+	rig_add_upstream(fixture->sched, "u2", "10.0.0.2:1");
+	duties_fixture_run(fixture, 1);
+	duties_fixture_list_hosts(fixture, 2, true, WWH_HOST_UP);
 }
 
-void a_pool_with_work_gets_hosts_that_rest(void **state)
+void a_pool_with_work_gets_standby_hosts(void **state)
 {
-	crew_t *crew = *state;
+	duties_fixture_t *fixture = *state;
 
-	wwh_host_duties_set_pool(crew->duties, RIG_POOL, false);
-	wwh_host_duties_set_pool(crew->duties, "rest", true);
+	wwh_host_duties_set_pool(fixture->duties, RIG_POOL, false);
+	wwh_host_duties_set_pool(fixture->duties, "standby", true);
 	for (int32_t i = 0; i < 3; i++) {
 		char id[8];
 		char at[16];
 
 		snprintf(id, sizeof(id), "u%d", i + 1);
 		snprintf(at, sizeof(at), "10.0.0.%d:1", i + 1);
-		rig_add_upstream(crew->rig, id, at);
+		rig_add_upstream(fixture->sched, id, at);
 	}
-	rig_submit(crew->rig, rig_job(JOB_A, 60, 1000));
-	crew_run(crew, 1);
+	rig_submit(fixture->sched, rig_job(JOB_A, 60, 1000));
+	duties_fixture_run(fixture, 1);
 	for (int32_t i = 1; i <= 6; i++) {
 		char name[16];
 		char id[16];
 
 		snprintf(name, sizeof(name), "h%d", i);
 		snprintf(id, sizeof(id), "u%d", i);
-		crew_host(crew, name, i <= 3 ? RIG_POOL : "rest",
-			  i <= 3 ? id : NULL, WWH_HOST_UP);
+		duties_fixture_list_host(fixture, name,
+					 i <= 3 ? RIG_POOL : "standby",
+					 i <= 3 ? id : NULL, WWH_HOST_UP);
 	}
-	crew_listed(crew);
-	crew_run(crew, 1);
-	/* 60 tasks of a second want more than eight hosts of eight cores */
-	assert_int_equal(crew->moves->len, 3);
+	duties_fixture_end_list(fixture);
+	duties_fixture_run(fixture, 1);
+	/* 60 tasks of one second need more than eight hosts of eight cores */
+	assert_int_equal(fixture->moves->len, 3);
 }
 
-/* Idle hosts go to rest, but for those with lasting tasks. */
-void a_pool_without_work_sends_hosts_to_rest(void **state)
+/*
+ * Idle hosts are moved to the standby pool, but not those with lasting tasks.
+ */
+void a_pool_without_work_sends_hosts_to_standby(void **state)
 {
-	crew_t *crew = *state;
+	duties_fixture_t *fixture = *state;
 	wwh_job_t *job = rig_job(JOB_A, 2, 1000);
 
-	wwh_host_duties_set_pool(crew->duties, RIG_POOL, false);
-	wwh_host_duties_set_pool(crew->duties, "rest", true);
+	wwh_host_duties_set_pool(fixture->duties, RIG_POOL, false);
+	wwh_host_duties_set_pool(fixture->duties, "standby", true);
 	for (int32_t i = 1; i <= 4; i++) {
 		char id[8];
 		char at[16];
 
 		snprintf(id, sizeof(id), "u%d", i);
 		snprintf(at, sizeof(at), "10.0.0.%d:1", i);
-		rig_add_upstream(crew->rig, id, at);
+		rig_add_upstream(fixture->sched, id, at);
 	}
 	job->steps[0].lasting = true;
 	job->steps[0].max_per_upstream = 1;
-	rig_submit(crew->rig, job);
-	crew_run(crew, 1);
-	crew_hosts(crew, 4, true, WWH_HOST_UP);
-	crew_run(crew, 1);
-	crew_run(crew, WWH_STANDBY_DELAY_MS - 1);
-	assert_int_equal(crew->moves->len, 0);
-	crew_run(crew, 1);
-	assert_int_equal(crew->moves->len, 2);
+	rig_submit(fixture->sched, job);
+	duties_fixture_run(fixture, 1);
+	duties_fixture_list_hosts(fixture, 4, true, WWH_HOST_UP);
+	duties_fixture_run(fixture, 1);
+	duties_fixture_run(fixture, WWH_STANDBY_DELAY_MS - 1);
+	assert_int_equal(fixture->moves->len, 0);
+	duties_fixture_run(fixture, 1);
+	assert_int_equal(fixture->moves->len, 2);
 	for (guint i = 0; i < 2; i++) {
-		const char *host = g_ptr_array_index(crew->moves, i);
+		const char *host = g_ptr_array_index(fixture->moves, i);
 
-		assert_true(
-			host[1] !=
-				rig_order(crew->rig->starts, 0)->upstream[1] &&
-			host[1] !=
-				rig_order(crew->rig->starts, 1)->upstream[1]);
+		assert_true(host[1] != rig_order(fixture->sched->starts, 0)
+					       ->upstream[1] &&
+			    host[1] != rig_order(fixture->sched->starts, 1)
+					       ->upstream[1]);
 	}
 }
 
 /*
- * One pool's turn ends and another's begins. The hosts of the first went to rest
- * at once, and from there to the second: it had them three seconds late.
+ * The busy phase of one pool ends and that of another begins. Hosts of the
+ * first were moved to the standby pool at once and then to the second pool,
+ * which had them three seconds late.
  */
-void a_host_goes_from_turn_to_turn_in_one_move(void **state)
+void a_host_moves_directly_to_the_next_busy_pool(void **state)
 {
-	crew_t *crew = *state;
+	duties_fixture_t *fixture = *state;
 	wwh_job_t *job = rig_job(JOB_A, 60, 1000);
 
-	wwh_host_duties_set_pool(crew->duties, RIG_POOL, false);
-	wwh_host_duties_set_pool(crew->duties, "next", false);
-	wwh_host_duties_set_pool(crew->duties, "rest", true);
-	rig_add_upstream(crew->rig, "u1", "10.0.0.1:1");
-	rig_add_upstream(crew->rig, "u2", "10.0.0.2:1");
-	rig_add_upstream(crew->rig, "u3", "10.0.0.3:1");
-	crew_run(crew, 1);
-	crew_hosts(crew, 3, true, WWH_HOST_UP);
-	crew_run(crew, 1);
-	/* each pool keeps one */
-	assert_int_equal(crew->moves->len, 1);
-	crew_answer_move(crew, 0);
-	crew_run(crew, WWH_STANDBY_DELAY_MS / 2);
-	assert_int_equal(crew->moves->len, 1);
+	wwh_host_duties_set_pool(fixture->duties, RIG_POOL, false);
+	wwh_host_duties_set_pool(fixture->duties, "next", false);
+	wwh_host_duties_set_pool(fixture->duties, "standby", true);
+	rig_add_upstream(fixture->sched, "u1", "10.0.0.1:1");
+	rig_add_upstream(fixture->sched, "u2", "10.0.0.2:1");
+	rig_add_upstream(fixture->sched, "u3", "10.0.0.3:1");
+	duties_fixture_run(fixture, 1);
+	duties_fixture_list_hosts(fixture, 3, true, WWH_HOST_UP);
+	duties_fixture_run(fixture, 1);
+	/* each of the two pools has at least one host */
+	assert_int_equal(fixture->moves->len, 1);
+	duties_fixture_answer_move(fixture, 0);
+	duties_fixture_run(fixture, WWH_STANDBY_DELAY_MS / 2);
+	assert_int_equal(fixture->moves->len, 1);
 	g_free(job->queue.pool);
 	job->queue.pool = g_strdup("next");
-	rig_submit(crew->rig, job);
-	crew_run(crew, 1);
-	assert_int_equal(crew->moves->len, 2);
-	assert_true(g_str_has_suffix(crew_moved(crew, 1), " next"));
+	rig_submit(fixture->sched, job);
+	duties_fixture_run(fixture, 1);
+	assert_int_equal(fixture->moves->len, 2);
+	assert_true(
+		g_str_has_suffix(duties_fixture_move_at(fixture, 1), " next"));
 }
 
 /*
- * Work comes in clusters. Hosts were sent away in each pause of a turn, and
- * were missing for three seconds when it went on.
+ * Work arrives in bursts. Hosts were moved away in each pause of a busy phase,
+ * and were missing for three seconds when it continued.
  */
-void a_pause_within_a_turn_moves_no_host(void **state)
+void a_pause_within_a_busy_phase_moves_no_host(void **state)
 {
-	crew_t *crew = *state;
-
-	list_two_idle_hosts(crew);
-	crew_run(crew, 1);
-	assert_false(crew_cordoned(crew));
-	crew_run(crew, 1000);
-	rig_submit(crew->rig, rig_job(JOB_A, 60, 1000));
-	crew_run(crew, 1);
-	assert_false(crew_cordoned(crew));
-	crew_run(crew, WWH_STANDBY_DELAY_MS);
-	assert_int_equal(crew->moves->len, 0);
+	duties_fixture_t *fixture = *state;
+
+	list_two_idle_hosts(fixture);
+	duties_fixture_run(fixture, 1);
+	assert_false(duties_fixture_has_cordoned_upstream(fixture));
+	duties_fixture_run(fixture, 1000);
+	rig_submit(fixture->sched, rig_job(JOB_A, 60, 1000));
+	duties_fixture_run(fixture, 1);
+	assert_false(duties_fixture_has_cordoned_upstream(fixture));
+	duties_fixture_run(fixture, WWH_STANDBY_DELAY_MS);
+	assert_int_equal(fixture->moves->len, 0);
 }
 
 /*
- * A pool has more work than its hosts do in time. Jobs that are late call no
- * host, and the idle ones of their own pool were kept from them: jobs waited
- * beside hosts that were paid for.
+ * A pool has more work than its hosts can do in time. No host is called for
+ * late jobs, and idle surplus hosts of their own pool were cordoned: jobs
+ * waited although hosts that were paid for were idle.
  */
-void a_host_at_hand_takes_late_work(void **state)
+void a_surplus_host_takes_late_work(void **state)
 {
-	crew_t *crew = *state;
-
-	list_two_idle_hosts(crew);
-	run_both(crew, 1000);
-	/* one host would do: the pool wants no other */
-	rig_submit(crew->rig, rig_job(JOB_A, 2, WHOLE_HOST));
-	assert_int_equal(crew->rig->starts->len, 2);
-	assert_string_not_equal(rig_order(crew->rig->starts, 0)->upstream,
-				rig_order(crew->rig->starts, 1)->upstream);
+	duties_fixture_t *fixture = *state;
+
+	list_two_idle_hosts(fixture);
+	run_for(fixture, 1000);
+	/* one host would do, so the pool's demand is one host */
+	rig_submit(fixture->sched, rig_job(JOB_A, 2, HOST_MILLICORES));
+	assert_int_equal(fixture->sched->starts->len, 2);
+	assert_string_not_equal(rig_order(fixture->sched->starts, 0)->upstream,
+				rig_order(fixture->sched->starts, 1)->upstream);
 }
 
-/* One that nobody needs for long is emptied and goes. */
-void a_host_at_hand_rests_in_the_end(void **state)
+/* A host that no pool needs for the whole delay is drained and moved. */
+void a_surplus_host_goes_to_standby_after_the_delay(void **state)
 {
-	crew_t *crew = *state;
-
-	list_two_idle_hosts(crew);
-	crew_run(crew, 1);
-	crew_run(crew, WWH_STANDBY_DELAY_MS - 1);
-	assert_int_equal(crew->moves->len, 0);
-	crew_run(crew, 1);
-	assert_int_equal(crew->moves->len, 1);
-	assert_true(crew_cordoned(crew));
-	assert_true(g_str_has_suffix(crew_moved(crew, 0), " rest"));
+	duties_fixture_t *fixture = *state;
+
+	list_two_idle_hosts(fixture);
+	duties_fixture_run(fixture, 1);
+	duties_fixture_run(fixture, WWH_STANDBY_DELAY_MS - 1);
+	assert_int_equal(fixture->moves->len, 0);
+	duties_fixture_run(fixture, 1);
+	assert_int_equal(fixture->moves->len, 1);
+	assert_true(duties_fixture_has_cordoned_upstream(fixture));
+	assert_true(g_str_has_suffix(duties_fixture_move_at(fixture, 0),
+				     " standby"));
 }
 
 /*
- * Pools have their turns one after the other, and 12 s lie between two of the
- * same pool. Its hosts were sent to rest and called back each time: two moves,
- * and three seconds of the next turn without them.
+ * Pools are busy one after the other, with 12 s between two busy phases of the
+ * same pool. Its hosts were moved to the standby pool and back each time: two
+ * moves, and three seconds of the next busy phase without them.
  */
-void a_lull_between_two_turns_moves_no_host(void **state)
+void an_idle_phase_of_a_pool_moves_no_host(void **state)
 {
-	crew_t *crew = *state;
-
-	list_two_idle_hosts(crew);
-	for (int32_t passed_ms = 0; passed_ms < LULL_MS; passed_ms += 100)
-		crew_run(crew, 100);
-	assert_int_equal(crew->moves->len, 0);
-	rig_submit(crew->rig, rig_job(JOB_A, 60, 1000));
-	crew_run(crew, 100);
-	assert_false(crew_cordoned(crew));
-	assert_int_equal(crew->moves->len, 0);
+	duties_fixture_t *fixture = *state;
+
+	list_two_idle_hosts(fixture);
+	for (int32_t passed_ms = 0; passed_ms < IDLE_PHASE_MS; passed_ms += 100)
+		duties_fixture_run(fixture, 100);
+	assert_int_equal(fixture->moves->len, 0);
+	rig_submit(fixture->sched, rig_job(JOB_A, 60, 1000));
+	duties_fixture_run(fixture, 100);
+	assert_false(duties_fixture_has_cordoned_upstream(fixture));
+	assert_int_equal(fixture->moves->len, 0);
 }
 
-static void submit_lasting(crew_t *crew, const char *id, int32_t tasks,
-			   int64_t cpu)
+static void submit_lasting(duties_fixture_t *fixture, const char *id,
+			   int32_t tasks, int64_t cpu)
 {
 	wwh_job_t *job = rig_job(id, tasks, cpu);
 
 	job->steps[0].lasting = true;
 	job->steps[0].max_per_upstream = 1;
-	rig_submit(crew->rig, job);
-	for (guint i = 0; i < crew->rig->starts->len; i++)
-		rig_start_ended(crew->rig, rig_order(crew->rig->starts, i),
+	rig_submit(fixture->sched, job);
+	for (guint i = 0; i < fixture->sched->starts->len; i++)
+		rig_start_ended(fixture->sched,
+				rig_order(fixture->sched->starts, i),
 				WWH_ORDER_DONE);
 }
 
-/* So many hosts, each with its upstream; that of one is down. */
-static void list_without(crew_t *crew, int32_t hosts, const char *upstream)
+/*
+ * Lists hosts h1 to hN with their upstreams; the host of one upstream is down.
+ */
+static void list_with_one_down(duties_fixture_t *fixture, int32_t hosts,
+			       const char *upstream)
 {
-	wwh_host_duties_list_begin(crew->duties);
+	wwh_host_duties_list_begin(fixture->duties);
 	for (int32_t i = 1; i <= hosts; i++) {
 		char name[16];
-		char life[16];
+		char upstream_id[16];
 		bool is_down;
 
 		snprintf(name, sizeof(name), "h%d", i);
-		snprintf(life, sizeof(life), "u%d", i);
-		is_down = strcmp(life, upstream) == 0;
-		crew_host(crew, name, RIG_POOL, is_down ? "" : life,
-			  is_down ? WWH_HOST_DOWN : WWH_HOST_UP);
+		snprintf(upstream_id, sizeof(upstream_id), "u%d", i);
+		is_down = strcmp(upstream_id, upstream) == 0;
+		duties_fixture_list_host(fixture, name, RIG_POOL,
+					 is_down ? "" : upstream_id,
+					 is_down ? WWH_HOST_DOWN : WWH_HOST_UP);
 	}
-	crew_listed(crew);
+	duties_fixture_end_list(fixture);
 }
 
 /*
- * Tasks of a step that last have a host each, and a task of another job fills a
- * third host. One of the first is lost. When a host comes, its task fits there
- * and nowhere else; but the pool had as many hosts as lasting tasks were on, so
- * that the new one was to leave and took nothing. The task stayed away for as
- * long as that host was kept.
+ * Two lasting tasks of a step have a host each, and a task of another job
+ * fills a third host. One of the two hosts is lost, and its task fits only on
+ * a host that joins later. The pool's demand was the number of hosts with
+ * lasting tasks, so the new host became surplus and accepted no task, and the
+ * task stayed unavailable for as long as the host was in the pool.
  */
-void a_lasting_task_keeps_a_host_that_comes(void **state)
+void a_waiting_lasting_task_retains_a_new_host(void **state)
 {
-	crew_t *crew = *state;
+	duties_fixture_t *fixture = *state;
 	rig_order_t lost;
 
-	wwh_host_duties_set_pool(crew->duties, RIG_POOL, false);
-	wwh_host_duties_set_pool(crew->duties, "rest", true);
-	rig_add_upstream(crew->rig, "u1", "10.0.0.1:1");
-	rig_add_upstream(crew->rig, "u2", "10.0.0.2:1");
-	rig_add_upstream(crew->rig, "u3", "10.0.0.3:1");
-	submit_lasting(crew, JOB_B, 1, WHOLE_HOST);
-	submit_lasting(crew, JOB_A, 2, 1000);
-	assert_int_equal(crew->rig->starts->len, 3);
-	lost = *rig_order(crew->rig->starts, 2);
-	crew_run(crew, 1);
-	crew_hosts(crew, 3, true, WWH_HOST_UP);
-	run_both(crew, 100);
-	wwh_scheduler_upstream_gone(crew->rig->scheduler, lost.upstream, "down",
-				    crew->rig->now_ms);
-	list_without(crew, 3, lost.upstream);
-	run_both(crew, 1000);
-	assert_int_equal(crew->rig->starts->len, 3);
-	rig_announce(crew->rig, "u4", "10.0.0.4:1", false);
-	list_without(crew, 4, lost.upstream);
-	run_both(crew, 100);
-	rig_answer_poll(crew->rig, "u4", NULL, 0, NULL, 0);
-	rig_run(crew->rig, 1);
-	rig_durable(crew->rig);
-	run_both(crew, 500);
-	assert_int_equal(crew->moves->len, 0);
-	assert_int_equal(crew->rig->starts->len, 4);
-	assert_string_equal(rig_order(crew->rig->starts, 3)->upstream, "u4");
+	wwh_host_duties_set_pool(fixture->duties, RIG_POOL, false);
+	wwh_host_duties_set_pool(fixture->duties, "standby", true);
+	rig_add_upstream(fixture->sched, "u1", "10.0.0.1:1");
+	rig_add_upstream(fixture->sched, "u2", "10.0.0.2:1");
+	rig_add_upstream(fixture->sched, "u3", "10.0.0.3:1");
+	submit_lasting(fixture, JOB_B, 1, HOST_MILLICORES);
+	submit_lasting(fixture, JOB_A, 2, 1000);
+	assert_int_equal(fixture->sched->starts->len, 3);
+	lost = *rig_order(fixture->sched->starts, 2);
+	duties_fixture_run(fixture, 1);
+	duties_fixture_list_hosts(fixture, 3, true, WWH_HOST_UP);
+	run_for(fixture, 100);
+	wwh_scheduler_upstream_gone(fixture->sched->scheduler, lost.upstream,
+				    "down", fixture->sched->now_ms);
+	list_with_one_down(fixture, 3, lost.upstream);
+	run_for(fixture, 1000);
+	assert_int_equal(fixture->sched->starts->len, 3);
+	rig_announce(fixture->sched, "u4", "10.0.0.4:1", false);
+	list_with_one_down(fixture, 4, lost.upstream);
+	run_for(fixture, 100);
+	rig_answer_poll(fixture->sched, "u4", NULL, 0, NULL, 0);
+	rig_run(fixture->sched, 1);
+	rig_durable(fixture->sched);
+	run_for(fixture, 500);
+	assert_int_equal(fixture->moves->len, 0);
+	assert_int_equal(fixture->sched->starts->len, 4);
+	assert_string_equal(rig_order(fixture->sched->starts, 3)->upstream,
+			    "u4");
 }
 
 /*
- * A turn begins just after the last one's hosts were sent to rest. They stood
- * idle for a while beside a pool that wanted all of them.
+ * A busy phase begins just after hosts were moved to the standby pool. They
+ * stayed there for a while although the pool needed all of them.
  */
-void a_host_that_rests_is_called_back_at_once(void **state)
+void a_standby_host_is_called_back_at_once(void **state)
 {
-	crew_t *crew = *state;
-
-	list_two_idle_hosts(crew);
-	crew_run(crew, 2000);
-	crew_hosts(crew, 2, true, WWH_HOST_UP);
-	crew_run(crew, WWH_STANDBY_DELAY_MS);
-	crew_hosts(crew, 2, true, WWH_HOST_UP);
-	crew_run(crew, 1);
-	assert_int_equal(crew->moves->len, 1);
-	assert_true(g_str_has_suffix(crew_moved(crew, 0), " rest"));
-	crew_rests(crew, crew_moved(crew, 0));
-	rig_submit(crew->rig, rig_job(JOB_A, 60, 1000));
-	crew_run(crew, 1);
-	assert_int_equal(crew->moves->len, 2);
-	assert_true(g_str_has_suffix(crew_moved(crew, 1), " " RIG_POOL));
+	duties_fixture_t *fixture = *state;
+
+	list_two_idle_hosts(fixture);
+	duties_fixture_run(fixture, 2000);
+	duties_fixture_list_hosts(fixture, 2, true, WWH_HOST_UP);
+	duties_fixture_run(fixture, WWH_STANDBY_DELAY_MS);
+	duties_fixture_list_hosts(fixture, 2, true, WWH_HOST_UP);
+	duties_fixture_run(fixture, 1);
+	assert_int_equal(fixture->moves->len, 1);
+	assert_true(g_str_has_suffix(duties_fixture_move_at(fixture, 0),
+				     " standby"));
+	duties_fixture_complete_move_to_standby(
+		fixture, duties_fixture_move_at(fixture, 0));
+	rig_submit(fixture->sched, rig_job(JOB_A, 60, 1000));
+	duties_fixture_run(fixture, 1);
+	assert_int_equal(fixture->moves->len, 2);
+	assert_true(g_str_has_suffix(duties_fixture_move_at(fixture, 1),
+				     " " RIG_POOL));
 }
 
 /*
- * A host says that it leaves, and its lasting task is stopped to be started
- * elsewhere; the other host holds one of its step and may not have two. The host
- * is listed as up for as long as it takes to leave, many seconds at times, and
- * counts for its pool: none of those at rest is called, and the task stays away.
+ * A host announces that it leaves, and its lasting task is stopped to be
+ * relocated; the other host runs one of the same step and may not run two. The
+ * leaving host may be listed as up for many seconds. While it counted for its
+ * pool, no standby host was called, and the task stayed unavailable.
  */
-void a_host_that_leaves_is_replaced_before_it_has_gone(void **state)
+void a_leaving_host_is_replaced_before_it_is_gone(void **state)
 {
-	crew_t *crew = *state;
+	duties_fixture_t *fixture = *state;
 	wwh_job_t *job = rig_job(JOB_A, 2, 1000);
 	wwh_running_t rows[2];
 	wwh_ended_t ended;
 
-	wwh_host_duties_set_pool(crew->duties, RIG_POOL, false);
-	wwh_host_duties_set_pool(crew->duties, "rest", true);
-	rig_add_upstream(crew->rig, "u1", "10.0.0.1:1");
-	rig_add_upstream(crew->rig, "u2", "10.0.0.2:1");
+	wwh_host_duties_set_pool(fixture->duties, RIG_POOL, false);
+	wwh_host_duties_set_pool(fixture->duties, "standby", true);
+	rig_add_upstream(fixture->sched, "u1", "10.0.0.1:1");
+	rig_add_upstream(fixture->sched, "u2", "10.0.0.2:1");
 	job->steps[0].lasting = true;
 	job->steps[0].max_per_upstream = 1;
-	rig_submit(crew->rig, job);
+	rig_submit(fixture->sched, job);
 	for (guint i = 0; i < 2; i++) {
-		const rig_order_t *order = rig_order(crew->rig->starts, i);
+		const rig_order_t *order = rig_order(fixture->sched->starts, i);
 
 		rows[order->upstream[1] - '1'] = rig_running(order, 100);
-		rig_start_ended(crew->rig, order, WWH_ORDER_DONE);
+		rig_start_ended(fixture->sched, order, WWH_ORDER_DONE);
 	}
-	rig_announce(crew->rig, "u1", "10.0.0.1:1", true);
-	rig_run(crew->rig, 500);
-	rig_answer_poll(crew->rig, "u1", &rows[0], 1, NULL, 0);
-	rig_answer_poll(crew->rig, "u2", &rows[1], 1, NULL, 0);
-	rig_run(crew->rig, 500);
-	ended = rig_ended(rig_order(crew->rig->stops, 0), 1, WWH_END_STOPPED);
-	rig_answer_poll(crew->rig, "u1", NULL, 0, &ended, 1);
+	rig_announce(fixture->sched, "u1", "10.0.0.1:1", true);
+	rig_run(fixture->sched, 500);
+	rig_answer_poll(fixture->sched, "u1", &rows[0], 1, NULL, 0);
+	rig_answer_poll(fixture->sched, "u2", &rows[1], 1, NULL, 0);
+	rig_run(fixture->sched, 500);
+	ended = rig_ended(rig_order(fixture->sched->stops, 0), 1,
+			  WWH_END_STOPPED);
+	rig_answer_poll(fixture->sched, "u1", NULL, 0, &ended, 1);
 	for (int32_t i = 0; i < 6; i++) {
-		wwh_host_duties_list_begin(crew->duties);
-		crew_host(crew, "h3", "rest", NULL, WWH_HOST_UP);
-		crew_hosts(crew, 2, true, WWH_HOST_UP);
-		rig_run(crew->rig, 500);
-		crew_run(crew, 1);
+		wwh_host_duties_list_begin(fixture->duties);
+		duties_fixture_list_host(fixture, "h3", "standby", NULL,
+					 WWH_HOST_UP);
+		duties_fixture_list_hosts(fixture, 2, true, WWH_HOST_UP);
+		rig_run(fixture->sched, 500);
+		duties_fixture_run(fixture, 1);
 	}
-	assert_int_equal(crew->rig->starts->len, 2);
-	assert_int_equal(crew->moves->len, 1);
-	assert_string_equal(crew_moved(crew, 0), "h3 " RIG_POOL);
+	assert_int_equal(fixture->sched->starts->len, 2);
+	assert_int_equal(fixture->moves->len, 1);
+	assert_string_equal(duties_fixture_move_at(fixture, 0), "h3 " RIG_POOL);
 }
--- a/src/test_host_duties/test_waves.c
+++ b/src/test_host_duties/test_waves.c
@@ -1,232 +1,244 @@
-/* Waves of upkeep. */
+/* Tests of upkeep waves. */
 
-#include "crew.h"
+#include "duties_fixture.h"
 
 void no_more_hosts_are_down_than_the_wave_allows(void **state)
 {
-	crew_t *crew = *state;
-
-	crew_wave(crew, 3, 2);
-	crew_run(crew, 1);
-	assert_int_equal(crew->lists, 1);
-	crew_hosts(crew, 3, false, WWH_HOST_UP);
-	crew_run(crew, 1);
-	assert_int_equal(crew->upkeeps->len, 2);
-	/* an order without an answer may have been carried out */
-	wwh_host_duties_handle_upkeep_result(
-		crew->duties, "h1", WAVE, WWH_DUTY_UNKNOWN, crew->rig->now_ms);
-	crew_run(crew, 100);
-	assert_int_equal(crew->upkeeps->len, 2);
+	duties_fixture_t *fixture = *state;
+
+	duties_fixture_add_wave(fixture, 3, 2);
+	duties_fixture_run(fixture, 1);
+	assert_int_equal(fixture->lists_requested, 1);
+	duties_fixture_list_hosts(fixture, 3, false, WWH_HOST_UP);
+	duties_fixture_run(fixture, 1);
+	assert_int_equal(fixture->upkeeps->len, 2);
+	/* an order without an answer may take effect */
+	wwh_host_duties_handle_upkeep_result(fixture->duties, "h1", WAVE,
+					     WWH_DUTY_UNKNOWN,
+					     fixture->sched->now_ms);
+	duties_fixture_run(fixture, 100);
+	assert_int_equal(fixture->upkeeps->len, 2);
 }
 
-/* A wave is complete when all its hosts are done and that is durable. */
-void a_wave_is_said_to_be_complete_once_it_is_durable(void **state)
+/* A wave is complete when all its hosts are done and the record is durable. */
+void a_wave_is_reported_complete_once_its_record_is_durable(void **state)
 {
-	crew_t *crew = *state;
-
-	crew_wave(crew, 2, 2);
-	crew_run(crew, 1);
-	assert_int_equal(crew->active, 0);
-	crew_hosts(crew, 2, false, WWH_HOST_UP);
-	crew_run(crew, 1);
-	assert_int_equal(crew->active, 1);
-	wwh_host_duties_handle_upkeep_result(crew->duties, "h1", WAVE,
-					     WWH_DUTY_DONE, crew->rig->now_ms);
-	crew_run(crew, 1);
-	assert_int_equal(crew->completed, 0);
-	wwh_host_duties_handle_upkeep_result(crew->duties, "h2", WAVE,
-					     WWH_DUTY_DONE, crew->rig->now_ms);
-	crew_run(crew, 1);
-	crew_run(crew, 1);
-	assert_int_equal(crew->completed, 0);
-	wwh_host_duties_set_durable(crew->duties, crew->record);
-	crew_run(crew, 1);
-	crew_run(crew, 1);
-	assert_int_equal(crew->completed, 1);
+	duties_fixture_t *fixture = *state;
+
+	duties_fixture_add_wave(fixture, 2, 2);
+	duties_fixture_run(fixture, 1);
+	assert_int_equal(fixture->active_reports, 0);
+	duties_fixture_list_hosts(fixture, 2, false, WWH_HOST_UP);
+	duties_fixture_run(fixture, 1);
+	assert_int_equal(fixture->active_reports, 1);
+	wwh_host_duties_handle_upkeep_result(fixture->duties, "h1", WAVE,
+					     WWH_DUTY_DONE,
+					     fixture->sched->now_ms);
+	duties_fixture_run(fixture, 1);
+	assert_int_equal(fixture->completed_reports, 0);
+	wwh_host_duties_handle_upkeep_result(fixture->duties, "h2", WAVE,
+					     WWH_DUTY_DONE,
+					     fixture->sched->now_ms);
+	duties_fixture_run(fixture, 1);
+	duties_fixture_run(fixture, 1);
+	assert_int_equal(fixture->completed_reports, 0);
+	wwh_host_duties_set_durable(fixture->duties, fixture->last_record);
+	duties_fixture_run(fixture, 1);
+	duties_fixture_run(fixture, 1);
+	assert_int_equal(fixture->completed_reports, 1);
 }
 
-void a_host_that_was_removed_is_not_waited_for(void **state)
+void a_removed_host_is_not_waited_for(void **state)
 {
-	crew_t *crew = *state;
-
-	crew_wave(crew, 2, 2);
-	crew_run(crew, 1);
-	crew_host(crew, "h1", RIG_POOL, NULL, WWH_HOST_UP);
-	crew_listed(crew);
-	crew_run(crew, 1);
-	wwh_host_duties_handle_upkeep_result(crew->duties, "h1", WAVE,
-					     WWH_DUTY_DONE, crew->rig->now_ms);
+	duties_fixture_t *fixture = *state;
+
+	duties_fixture_add_wave(fixture, 2, 2);
+	duties_fixture_run(fixture, 1);
+	duties_fixture_list_host(fixture, "h1", RIG_POOL, NULL, WWH_HOST_UP);
+	duties_fixture_end_list(fixture);
+	duties_fixture_run(fixture, 1);
+	wwh_host_duties_handle_upkeep_result(fixture->duties, "h1", WAVE,
+					     WWH_DUTY_DONE,
+					     fixture->sched->now_ms);
 	for (int32_t i = 0; i < 4; i++) {
-		wwh_host_duties_set_durable(crew->duties, crew->record);
-		assert_int_equal(crew->completed, 0);
-		crew_run(crew, 600);
-		crew_host(crew, "h1", RIG_POOL, NULL, WWH_HOST_UP);
-		crew_listed(crew);
+		wwh_host_duties_set_durable(fixture->duties,
+					    fixture->last_record);
+		assert_int_equal(fixture->completed_reports, 0);
+		duties_fixture_run(fixture, 600);
+		duties_fixture_list_host(fixture, "h1", RIG_POOL, NULL,
+					 WWH_HOST_UP);
+		duties_fixture_end_list(fixture);
 	}
-	crew_run(crew, 1);
-	wwh_host_duties_set_durable(crew->duties, crew->record);
-	crew_run(crew, 1);
-	assert_int_equal(crew->completed, 1);
+	duties_fixture_run(fixture, 1);
+	wwh_host_duties_set_durable(fixture->duties, fixture->last_record);
+	duties_fixture_run(fixture, 1);
+	assert_int_equal(fixture->completed_reports, 1);
 }
 
 /*
- * The holder before had the host maintained, and ended before that was
- * durable. The next one orders it again and is told 200, as it is done. It
- * took all that ran there for ended, and started the tasks a second time
- * beside themselves.
+ * The previous holder had the upkeep done and ended before the record was
+ * durable. The next holder orders it again and gets status 200, as it is
+ * already done. It took all tasks there as ended and started them a second
+ * time while they ran.
  */
-void an_upkeep_that_was_done_before_ends_no_task(void **state)
+void a_repeated_upkeep_order_ends_no_task(void **state)
 {
-	crew_t *crew = *state;
+	duties_fixture_t *fixture = *state;
 	wwh_running_t running;
 
-	rig_add_upstream(crew->rig, "u1", "10.0.0.1:1");
-	rig_submit(crew->rig, rig_job(JOB_A, 1, 1000));
-	running = rig_running(rig_order(crew->rig->starts, 0), 10);
-	rig_run(crew->rig, 100);
-	rig_answer_poll(crew->rig, "u1", &running, 1, NULL, 0);
-	crew_wave(crew, 1, 1);
-	crew_run(crew, 1);
-	crew_hosts(crew, 1, true, WWH_HOST_UP);
-	crew_run(crew, 1);
-	crew_run(crew, 3000);
-	crew_hosts(crew, 1, true, WWH_HOST_UP);
-	crew_run(crew, 1);
-	assert_int_equal(crew->upkeeps->len, 1);
-	wwh_host_duties_handle_upkeep_result(crew->duties, "h1", WAVE,
-					     WWH_DUTY_DONE, crew->rig->now_ms);
-	assert_int_equal(wwh_scheduler_counts(crew->rig->scheduler).tasks_out,
-			 1);
-	rig_run(crew->rig, 100);
-	assert_int_equal(crew->rig->starts->len, 1);
-	/* listed as up with the same life: it gets work again */
-	crew_run(crew, 2500);
-	crew_hosts(crew, 1, true, WWH_HOST_UP);
-	assert_false(wwh_scheduler_upstream_load(crew->rig->scheduler, "u1")
-			     .cordoned);
+	rig_add_upstream(fixture->sched, "u1", "10.0.0.1:1");
+	rig_submit(fixture->sched, rig_job(JOB_A, 1, 1000));
+	running = rig_running(rig_order(fixture->sched->starts, 0), 10);
+	rig_run(fixture->sched, 100);
+	rig_answer_poll(fixture->sched, "u1", &running, 1, NULL, 0);
+	duties_fixture_add_wave(fixture, 1, 1);
+	duties_fixture_run(fixture, 1);
+	duties_fixture_list_hosts(fixture, 1, true, WWH_HOST_UP);
+	duties_fixture_run(fixture, 1);
+	duties_fixture_run(fixture, 3000);
+	duties_fixture_list_hosts(fixture, 1, true, WWH_HOST_UP);
+	duties_fixture_run(fixture, 1);
+	assert_int_equal(fixture->upkeeps->len, 1);
+	wwh_host_duties_handle_upkeep_result(fixture->duties, "h1", WAVE,
+					     WWH_DUTY_DONE,
+					     fixture->sched->now_ms);
+	assert_int_equal(
+		wwh_scheduler_counts(fixture->sched->scheduler).tasks_out, 1);
+	rig_run(fixture->sched, 100);
+	assert_int_equal(fixture->sched->starts->len, 1);
+	/* listed as up with the same incarnation: it gets tasks again */
+	duties_fixture_run(fixture, 2500);
+	duties_fixture_list_hosts(fixture, 1, true, WWH_HOST_UP);
+	assert_false(
+		wwh_scheduler_upstream_load(fixture->sched->scheduler, "u1")
+			.cordoned);
 }
 
 /*
- * A wave comes while a turn needs each host of the pool. Hosts were emptied
- * for it at once, callers waited, and the wave had 50 s left. It waits for
- * the turn to end now, but not for ever.
+ * A wave is ordered while a busy pool needs all its hosts. Hosts were drained
+ * for it at once and callers waited, although the wave had 50 s left. The wave
+ * must wait for the busy phase to end, but not beyond its own time limit.
  */
-void a_wave_with_time_left_spares_a_pool_that_is_short(void **state)
+void a_wave_with_slack_skips_a_pool_that_lacks_hosts(void **state)
 {
-	crew_t *crew = *state;
-
-	wwh_host_duties_set_pool(crew->duties, RIG_POOL, false);
-	wwh_host_duties_set_pool(crew->duties, "rest", true);
-	rig_add_upstream(crew->rig, "u1", "10.0.0.1:1");
-	rig_submit(crew->rig, rig_job(JOB_A, 60, 1000));
-	crew_wave(crew, 1, 1);
-	crew_run(crew, 1);
-	crew_hosts(crew, 1, true, WWH_HOST_UP);
+	duties_fixture_t *fixture = *state;
+
+	wwh_host_duties_set_pool(fixture->duties, RIG_POOL, false);
+	wwh_host_duties_set_pool(fixture->duties, "standby", true);
+	rig_add_upstream(fixture->sched, "u1", "10.0.0.1:1");
+	rig_submit(fixture->sched, rig_job(JOB_A, 60, 1000));
+	duties_fixture_add_wave(fixture, 1, 1);
+	duties_fixture_run(fixture, 1);
+	duties_fixture_list_hosts(fixture, 1, true, WWH_HOST_UP);
 	for (int32_t i = 0; i < 5; i++)
-		crew_run(crew, 1000);
-	assert_int_equal(crew->upkeeps->len, 0);
-	assert_false(wwh_scheduler_upstream_load(crew->rig->scheduler, "u1")
-			     .cordoned);
+		duties_fixture_run(fixture, 1000);
+	assert_int_equal(fixture->upkeeps->len, 0);
+	assert_false(
+		wwh_scheduler_upstream_load(fixture->sched->scheduler, "u1")
+			.cordoned);
 	for (int32_t i = 0; i < 45; i++)
-		crew_run(crew, 1000);
-	assert_int_equal(crew->upkeeps->len, 1);
+		duties_fixture_run(fixture, 1000);
+	assert_int_equal(fixture->upkeeps->len, 1);
 }
 
 /*
- * A wave names a host that has been removed. No list shows its pool; the
- * holder crashed when it looked for one, and so did each after it.
+ * A wave names a host that was removed, so no list shows its pool. The holder
+ * crashed on the lookup of that pool, and so did each holder after it.
  */
-void a_host_that_no_list_shows_has_no_pool(void **state)
+void an_unlisted_host_has_no_pool(void **state)
 {
-	crew_t *crew = *state;
-
-	wwh_host_duties_set_pool(crew->duties, RIG_POOL, false);
-	wwh_host_duties_set_pool(crew->duties, "rest", true);
-	crew_wave(crew, 2, 1);
-	crew_run(crew, 1);
-	crew_host(crew, "h1", RIG_POOL, NULL, WWH_HOST_UP);
-	crew_listed(crew);
-	crew_run(crew, 1);
-	assert_int_equal(crew->upkeeps->len, 1);
-	/* the wave has named it now, and each run looks at it */
-	crew_run(crew, 1);
-	assert_int_equal(crew->upkeeps->len, 1);
+	duties_fixture_t *fixture = *state;
+
+	wwh_host_duties_set_pool(fixture->duties, RIG_POOL, false);
+	wwh_host_duties_set_pool(fixture->duties, "standby", true);
+	duties_fixture_add_wave(fixture, 2, 1);
+	duties_fixture_run(fixture, 1);
+	duties_fixture_list_host(fixture, "h1", RIG_POOL, NULL, WWH_HOST_UP);
+	duties_fixture_end_list(fixture);
+	duties_fixture_run(fixture, 1);
+	assert_int_equal(fixture->upkeeps->len, 1);
+	/* h2 is known from the wave now, and each run checks it */
+	duties_fixture_run(fixture, 1);
+	assert_int_equal(fixture->upkeeps->len, 1);
 }
 
 /*
- * Hosts take orders of one holder at a time: a new holder waits as long as
- * orders of the one before may still be on their way.
+ * Hosts accept orders of one holder at a time: a new holder waits as long as
+ * orders of the previous one may still be in flight.
  */
 void a_new_holder_waits_before_its_first_order(void **state)
 {
-	crew_t *crew = *state;
-
-	crew_wave(crew, 1, 1);
-	crew_run(crew, 1);
-	crew_hosts(crew, 1, false, WWH_HOST_UP);
-	crew_run(crew, 2000);
-	assert_int_equal(crew->upkeeps->len, 0);
-	crew_run(crew, 1100);
-	assert_int_equal(crew->upkeeps->len, 1);
+	duties_fixture_t *fixture = *state;
+
+	duties_fixture_add_wave(fixture, 1, 1);
+	duties_fixture_run(fixture, 1);
+	duties_fixture_list_hosts(fixture, 1, false, WWH_HOST_UP);
+	duties_fixture_run(fixture, 2000);
+	assert_int_equal(fixture->upkeeps->len, 0);
+	duties_fixture_run(fixture, 1100);
+	assert_int_equal(fixture->upkeeps->len, 1);
 }
 
 /*
- * A wave empties a host for 7 s, as a lasting task there can't be missed. Another
- * one fails there meanwhile and fits on no other host: its step has one on each.
- * The host counts for its pool all the while, so none of those at rest is called,
- * and the caller's task stays away beside room that is kept from it.
+ * A wave drains a host for 7 s, as a lasting task there must stay available.
+ * Another lasting task fails there meanwhile and fits on no other host,
+ * because its step has one on each. While the drained host counted for its
+ * pool, no standby host was called, and the task stayed unavailable.
  */
-void a_host_that_a_wave_empties_is_replaced(void **state)
+void a_host_drained_for_a_wave_is_replaced(void **state)
 {
-	crew_t *crew = *state;
-	rig_t *rig = crew->rig;
-	wwh_job_t *kept = rig_job(JOB_A, 1, 1000);
-	wwh_job_t *spread = rig_job("00000000000000bb", 2, 1000);
+	duties_fixture_t *fixture = *state;
+	rig_t *sched = fixture->sched;
+	wwh_job_t *single_job = rig_job(JOB_A, 1, 1000);
+	wwh_job_t *spread_job = rig_job("00000000000000bb", 2, 1000);
 	wwh_running_t rows[2][2];
 	int32_t counts[2] = { 0, 0 };
 	wwh_ended_t ended;
 
-	wwh_host_duties_set_pool(crew->duties, RIG_POOL, false);
-	wwh_host_duties_set_pool(crew->duties, "rest", true);
-	rig_add_upstream(rig, "u1", "10.0.0.1:1");
-	rig_add_upstream(rig, "u2", "10.0.0.2:1");
-	kept->steps[0].lasting = true;
-	spread->steps[0].lasting = true;
-	spread->steps[0].max_per_upstream = 1;
-	spread->steps[0].max_unavailable = 1;
-	rig_submit(rig, kept);
-	rig_submit(rig, spread);
+	wwh_host_duties_set_pool(fixture->duties, RIG_POOL, false);
+	wwh_host_duties_set_pool(fixture->duties, "standby", true);
+	rig_add_upstream(sched, "u1", "10.0.0.1:1");
+	rig_add_upstream(sched, "u2", "10.0.0.2:1");
+	single_job->steps[0].lasting = true;
+	spread_job->steps[0].lasting = true;
+	spread_job->steps[0].max_per_upstream = 1;
+	spread_job->steps[0].max_unavailable = 1;
+	rig_submit(sched, single_job);
+	rig_submit(sched, spread_job);
 	for (guint i = 0; i < 3; i++) {
-		const rig_order_t *order = rig_order(rig->starts, i);
+		const rig_order_t *order = rig_order(sched->starts, i);
 		int32_t at = order->upstream[1] - '1';
 
 		rows[at][counts[at]++] = rig_running(order, 100);
-		rig_start_ended(rig, order, WWH_ORDER_DONE);
+		rig_start_ended(sched, order, WWH_ORDER_DONE);
 	}
-	/* the kept one and one of the others */
+	/* u1 has the job that must stay available and one task of the other */
 	assert_int_equal(counts[0], 2);
-	rig_run(rig, 500);
-	rig_answer_poll(rig, "u1", rows[0], 2, NULL, 0);
-	rig_answer_poll(rig, "u2", rows[1], 1, NULL, 0);
-	crew_wave(crew, 1, 1);
-	crew_run(crew, 1);
-	crew_host(crew, "h3", "rest", NULL, WWH_HOST_UP);
-	crew_hosts(crew, 2, true, WWH_HOST_UP);
-	crew_run(crew, 1);
-	assert_true(wwh_scheduler_upstream_load(rig->scheduler, "u1").cordoned);
-	rig_run(rig, 500);
-	ended = rig_ended(rig_order(rig->starts, 1), 1, WWH_END_FAILED);
+	rig_run(sched, 500);
+	rig_answer_poll(sched, "u1", rows[0], 2, NULL, 0);
+	rig_answer_poll(sched, "u2", rows[1], 1, NULL, 0);
+	duties_fixture_add_wave(fixture, 1, 1);
+	duties_fixture_run(fixture, 1);
+	duties_fixture_list_host(fixture, "h3", "standby", NULL, WWH_HOST_UP);
+	duties_fixture_list_hosts(fixture, 2, true, WWH_HOST_UP);
+	duties_fixture_run(fixture, 1);
+	assert_true(
+		wwh_scheduler_upstream_load(sched->scheduler, "u1").cordoned);
+	rig_run(sched, 500);
+	ended = rig_ended(rig_order(sched->starts, 1), 1, WWH_END_FAILED);
 	if (strcmp(rows[0][1].task, ended.task) != 0)
-		ended = rig_ended(rig_order(rig->starts, 2), 1, WWH_END_FAILED);
-	rig_answer_poll(rig, "u1", rows[0], 1, &ended, 1);
+		ended = rig_ended(rig_order(sched->starts, 2), 1,
+				  WWH_END_FAILED);
+	rig_answer_poll(sched, "u1", rows[0], 1, &ended, 1);
 	for (int32_t i = 0; i < 10; i++) {
-		wwh_host_duties_list_begin(crew->duties);
-		crew_host(crew, "h3", "rest", NULL, WWH_HOST_UP);
-		crew_hosts(crew, 2, true, WWH_HOST_UP);
-		rig_run(rig, 500);
-		rig_answer_poll(rig, "u1", rows[0], 1, NULL, 0);
-		rig_answer_poll(rig, "u2", rows[1], 1, NULL, 0);
-		crew_run(crew, 1);
+		wwh_host_duties_list_begin(fixture->duties);
+		duties_fixture_list_host(fixture, "h3", "standby", NULL,
+					 WWH_HOST_UP);
+		duties_fixture_list_hosts(fixture, 2, true, WWH_HOST_UP);
+		rig_run(sched, 500);
+		rig_answer_poll(sched, "u1", rows[0], 1, NULL, 0);
+		rig_answer_poll(sched, "u2", rows[1], 1, NULL, 0);
+		duties_fixture_run(fixture, 1);
 	}
-	assert_true(rig->starts->len > 3 || crew->moves->len > 0);
+	assert_true(sched->starts->len > 3 || fixture->moves->len > 0);
 }
--- a/src/test_upstream/test_upstream.c
+++ b/src/test_upstream/test_upstream.c
@@ -80,8 +80,8 @@
 
 /*
  * A POST is sent on a reused connection, and the minion runs it and closes the
- * connection without an answer. libcurl would resend it on a new connection, and
- * the caller would be charged twice.
+ * connection without an answer. libcurl would resend it on a new connection,
+ * and the caller would be charged twice.
  */
 static void a_post_is_never_resent_by_libcurl(void **state)
 {
@@ -100,8 +100,9 @@
 }
 
 /*
- * A truncated answer must not be returned as a complete one: the minion announces
- * 99 bytes and sends 4, omits the last chunk, or gives no length at all.
+ * A truncated answer must not be returned as a complete one: the minion
+ * announces 99 bytes and sends 4, omits the last chunk, or gives no length at
+ * all.
  */
 static void an_answer_without_a_verified_end_is_truncated(void **state)
 {
@@ -143,9 +144,9 @@
 }
 
 /*
- * Outcomes that mean "not run" must be true: if nothing listens on the port, no
- * byte was sent; if the minion answers that it refused the request, it didn't run
- * it.
+ * Outcomes that mean "not run" must be true: if nothing listens on the port,
+ * no byte was sent; if the minion answers that it refused the request, it
+ * didn't run it.
  */
 static void not_run_is_reported_only_if_the_request_did_not_run(void **state)
 {
