--- a/include/waxwinghollow/host_duties.h
+++ b/include/waxwinghollow/host_duties.h
@@ -71,8 +71,9 @@
 	/* Reports that a wave is active, or completed. */
 	void (*report)(const wwh_wave_order_t *order, bool completed,
 		       void *client_data);
-	int64_t (*keep)(wwh_keep_kind_t kind, const char *key, GBytes *value,
-			void *client_data);
+	int64_t (*write_record)(wwh_scheduler_record_kind_t kind,
+				const char *key, GBytes *value,
+				void *client_data);
 	void (*explain)(const char *event, const char *subject,
 			const char *detail, void *client_data);
 	void *client_data;
--- a/src/libwaxwinghollow/host_duties.c
+++ b/src/libwaxwinghollow/host_duties.c
@@ -72,7 +72,7 @@
 	duties->incarnations_complete = true;
 	g_hash_table_remove_all(duties->incarnations);
 	duties->list_has_unnamed_row = false;
-	wwh_scheduler_incarnations_asked(duties->options.scheduler);
+	wwh_scheduler_incarnations_requested(duties->options.scheduler);
 }
 
 void wwh_host_duties_list_host(wwh_host_duties_t *duties,
@@ -237,7 +237,7 @@
 			g_strcmp0(listed->upstream, host->upstream) != 0;
 
 	if (host->upstream != NULL && (is_unavailable || replaced))
-		wwh_scheduler_upstream_gone(
+		wwh_scheduler_upstream_terminated(
 			duties->options.scheduler, host->upstream,
 			wwh_host_run_state_names[listed->state],
 			duties->now_ms);
--- a/src/libwaxwinghollow/host_waves.c
+++ b/src/libwaxwinghollow/host_waves.c
@@ -415,8 +415,9 @@
 	while (g_hash_table_iter_next(&iterator, &name, NULL))
 		msgpack_pack_str_with_body(&packer, name, strlen(name));
 	value = g_bytes_new(buffer.data, buffer.size);
-	wave->record_number = duties->calls.keep(WWH_KEEP_WAVE, key, value,
-						 duties->calls.client_data);
+	wave->record_number =
+		duties->calls.write_record(WWH_SCHEDULER_RECORD_WAVE, key,
+					   value, duties->calls.client_data);
 	wave->record_dirty = false;
 	g_bytes_unref(value);
 	msgpack_sbuffer_destroy(&buffer);
--- a/src/test_host_duties/duties_fixture.h
+++ b/src/test_host_duties/duties_fixture.h
@@ -10,7 +10,7 @@
  *	that host duties give, and has helpers for lists of hosts and results.
  */
 
-#include "../test_scheduler/rig.h"
+#include "../test_scheduler/sched_fixture.h"
 
 #include "waxwinghollow/host_duties.h"
 
@@ -18,7 +18,7 @@
 #define WAVE 7
 
 typedef struct {
-	rig_t *sched;
+	sched_fixture_t *sched;
 	wwh_host_duties_t *duties;
 	wwh_host_duties_options_t options;
 	int32_t lists_requested;
@@ -64,13 +64,13 @@
 	self->completed_reports += completed;
 }
 
-static inline int64_t duties_fixture_on_record(wwh_keep_kind_t kind,
+static inline int64_t duties_fixture_on_record(wwh_scheduler_record_kind_t kind,
 					       const char *key, GBytes *value,
 					       void *data)
 {
 	duties_fixture_t *self = data;
 
-	assert_int_equal(kind, WWH_KEEP_WAVE);
+	assert_int_equal(kind, WWH_SCHEDULER_RECORD_WAVE);
 	assert_non_null(key);
 	assert_non_null(value);
 	return ++self->last_record;
@@ -94,7 +94,7 @@
 		.upkeep = duties_fixture_on_upkeep,
 		.move = duties_fixture_on_move,
 		.report = duties_fixture_on_report,
-		.keep = duties_fixture_on_record,
+		.write_record = duties_fixture_on_record,
 		.explain = duties_fixture_on_event,
 		.client_data = self,
 	};
@@ -106,7 +106,7 @@
 {
 	duties_fixture_t *self = g_new0(duties_fixture_t, 1);
 
-	self->sched = rig_new();
+	self->sched = sched_fixture_new();
 	self->options.scheduler = self->sched->scheduler;
 	self->options.upkeep_ms = 2000;
 	self->options.move_ms = 1500;
@@ -128,7 +128,7 @@
 static inline void duties_fixture_delete(duties_fixture_t *self)
 {
 	wwh_host_duties_delete(self->duties);
-	rig_delete(self->sched);
+	sched_fixture_delete(self->sched);
 	g_ptr_array_unref(self->upkeeps);
 	g_ptr_array_unref(self->moves);
 	g_free(self);
@@ -193,7 +193,7 @@
 
 		snprintf(name, sizeof(name), "h%d", i);
 		snprintf(upstream, sizeof(upstream), "u%d", i);
-		duties_fixture_list_host(self, name, RIG_POOL,
+		duties_fixture_list_host(self, name, SCHED_FIXTURE_POOL,
 					 with_upstreams ? upstream : NULL,
 					 i == 1 ? first_state : WWH_HOST_UP);
 	}
@@ -243,7 +243,7 @@
 	duties_fixture_run(self, self->options.move_ms);
 	wwh_host_duties_list_begin(self->duties);
 	duties_fixture_list_host(
-		self, strcmp(host, "h1") == 0 ? "h2" : "h1", RIG_POOL,
+		self, strcmp(host, "h1") == 0 ? "h2" : "h1", SCHED_FIXTURE_POOL,
 		strcmp(host, "h1") == 0 ? "u2" : "u1", WWH_HOST_UP);
 	duties_fixture_list_host(self, host, "standby", NULL, WWH_HOST_UP);
 	duties_fixture_end_list(self);
--- a/src/test_host_duties/test_host_duties.c
+++ b/src/test_host_duties/test_host_duties.c
@@ -9,14 +9,15 @@
 {
 	duties_fixture_t *fixture = *state;
 
-	rig_add_upstream(fixture->sched, "u1", "10.0.0.1:1");
-	rig_submit(fixture->sched, rig_job(JOB_A, 1, 1000));
+	sched_fixture_add_upstream(fixture->sched, "u1", "10.0.0.1:1");
+	sched_fixture_submit(fixture->sched, sched_fixture_job(JOB_A, 1, 1000));
 	duties_fixture_run(fixture, 1);
 	duties_fixture_list_hosts(fixture, 1, true, WWH_HOST_UP);
 	duties_fixture_run(fixture, 600);
 	duties_fixture_list_hosts(fixture, 1, true, WWH_HOST_UPKEEP);
-	assert_int_equal(
-		wwh_scheduler_counts(fixture->sched->scheduler).tasks_out, 0);
+	assert_int_equal(wwh_scheduler_counts(fixture->sched->scheduler)
+				 .tasks_outstanding,
+			 0);
 }
 
 /*
@@ -28,17 +29,18 @@
 {
 	duties_fixture_t *fixture = *state;
 
-	wwh_host_duties_set_pool(fixture->duties, RIG_POOL, false);
+	wwh_host_duties_set_pool(fixture->duties, SCHED_FIXTURE_POOL, false);
 	wwh_host_duties_set_pool(fixture->duties, "standby", true);
-	rig_add_upstream(fixture->sched, "u9", "10.0.0.9:1");
-	rig_submit(fixture->sched, rig_job(JOB_A, 60, 1000));
+	sched_fixture_add_upstream(fixture->sched, "u9", "10.0.0.9:1");
+	sched_fixture_submit(fixture->sched,
+			     sched_fixture_job(JOB_A, 60, 1000));
 	duties_fixture_run(fixture, 1);
 	duties_fixture_list_host(fixture, "h1", "standby", NULL, WWH_HOST_UP);
 	duties_fixture_end_list(fixture);
 	duties_fixture_run(fixture, 600);
 	assert_int_equal(fixture->moves->len, 1);
 	assert_string_equal(g_ptr_array_index(fixture->moves, 0),
-			    "h1 " RIG_POOL);
+			    "h1 " SCHED_FIXTURE_POOL);
 	fixture->sched->now_ms += 10;
 	wwh_host_duties_handle_move_result(fixture->duties, "h1", WWH_DUTY_DONE,
 					   fixture->sched->now_ms);
@@ -86,7 +88,8 @@
 	assert_int_equal(fixture->upkeeps->len, 0);
 	assert_int_equal(fixture->completed_reports, 0);
 	wwh_host_duties_list_begin(fixture->duties);
-	duties_fixture_list_host(fixture, "h1", RIG_POOL, NULL, WWH_HOST_UP);
+	duties_fixture_list_host(fixture, "h1", SCHED_FIXTURE_POOL, NULL,
+				 WWH_HOST_UP);
 	duties_fixture_end_list(fixture);
 	duties_fixture_run(fixture, 1);
 	assert_int_equal(fixture->upkeeps->len, 1);
@@ -119,8 +122,8 @@
 {
 	duties_fixture_t *fixture = *state;
 
-	rig_add_upstream(fixture->sched, "u1", "10.0.0.1:1");
-	rig_submit(fixture->sched, rig_job(JOB_A, 1, 1000));
+	sched_fixture_add_upstream(fixture->sched, "u1", "10.0.0.1:1");
+	sched_fixture_submit(fixture->sched, sched_fixture_job(JOB_A, 1, 1000));
 	duties_fixture_run(fixture, 1);
 	duties_fixture_list_hosts(fixture, 1, true, WWH_HOST_UP);
 	duties_fixture_run(fixture, 600);
@@ -128,11 +131,13 @@
 	duties_fixture_list_unreadable_host(fixture, "h1");
 	duties_fixture_end_list(fixture);
 	duties_fixture_run(fixture, 600);
-	assert_int_equal(
-		wwh_scheduler_counts(fixture->sched->scheduler).tasks_out, 1);
+	assert_int_equal(wwh_scheduler_counts(fixture->sched->scheduler)
+				 .tasks_outstanding,
+			 1);
 	duties_fixture_list_hosts(fixture, 1, true, WWH_HOST_UP);
-	assert_int_equal(
-		wwh_scheduler_counts(fixture->sched->scheduler).tasks_out, 1);
+	assert_int_equal(wwh_scheduler_counts(fixture->sched->scheduler)
+				 .tasks_outstanding,
+			 1);
 }
 
 int main(void)
--- a/src/test_host_duties/test_incarnations.c
+++ b/src/test_host_duties/test_incarnations.c
@@ -27,35 +27,40 @@
  */
 static void stop_task_and_take_over(duties_fixture_t *fixture)
 {
-	wwh_job_t *job = rig_job(JOB_A, 1, 1000);
-	rig_order_t order;
-	wwh_ended_t ended;
+	wwh_job_t *job = sched_fixture_job(JOB_A, 1, 1000);
+	sched_fixture_order_t order;
+	wwh_ended_task_t ended;
 
-	rig_add_upstream(fixture->sched, "u1", "10.0.0.1:1");
-	rig_add_upstream(fixture->sched, "u2", "10.0.0.2:1");
+	sched_fixture_add_upstream(fixture->sched, "u1", "10.0.0.1:1");
+	sched_fixture_add_upstream(fixture->sched, "u2", "10.0.0.2:1");
 	job->steps[0].lasting = true;
-	rig_submit(fixture->sched, job);
-	order = *rig_order(fixture->sched->starts, 0);
-	rig_start_ended(fixture->sched, &order, WWH_ORDER_DONE);
-	rig_run(fixture->sched, 500);
-	ended = rig_ended(&order, 1, WWH_END_STOPPED);
-	rig_answer_poll(fixture->sched, order.upstream, NULL, 0, &ended, 1);
-	rig_durable(fixture->sched);
-	rig_take_over(fixture->sched);
+	sched_fixture_submit(fixture->sched, job);
+	order = *sched_fixture_order(fixture->sched->starts, 0);
+	sched_fixture_handle_start_result(fixture->sched, &order,
+					  WWH_ORDER_DONE);
+	sched_fixture_run(fixture->sched, 500);
+	ended = sched_fixture_ended_row(&order, 1, WWH_END_STOPPED);
+	sched_fixture_answer_poll(fixture->sched, order.upstream, NULL, 0,
+				  &ended, 1);
+	sched_fixture_make_durable(fixture->sched);
+	sched_fixture_take_over(fixture->sched);
 	duties_fixture_take_over(fixture);
-	wwh_host_duties_set_pool(fixture->duties, RIG_POOL, false);
+	wwh_host_duties_set_pool(fixture->duties, SCHED_FIXTURE_POOL, false);
 	wwh_host_duties_set_pool(fixture->duties, "standby", true);
 }
 
-static void answer_u2(rig_t *sched)
+static void answer_u2(sched_fixture_t *sched)
 {
 	for (guint i = sched->polls->len; i-- > 0;) {
-		rig_poll_t poll = g_array_index(sched->polls, rig_poll_t, i);
+		sched_fixture_poll_t poll =
+			g_array_index(sched->polls, sched_fixture_poll_t, i);
 
 		if (strcmp(poll.upstream, "u2") == 0)
-			rig_answer_poll(sched, "u2", NULL, 0, NULL, 0);
+			sched_fixture_answer_poll(sched, "u2", NULL, 0, NULL,
+						  0);
 	}
-	wwh_scheduler_poll_failed(sched->scheduler, "u1", false, sched->now_ms);
+	wwh_scheduler_handle_poll_failure(sched->scheduler, "u1", false,
+					  sched->now_ms);
 }
 
 static char *numbered_name(const char *kind, int32_t number)
@@ -63,14 +68,14 @@
 	return g_strdup_printf("%s%d", kind, number);
 }
 
-static void answer_new_upstream(rig_t *sched, int32_t number)
+static void answer_new_upstream(sched_fixture_t *sched, int32_t number)
 {
 	char *id = numbered_name("n", number);
 	char *endpoint = numbered_name("10.0.1.1:", number + 1);
 
-	rig_announce(sched, id, endpoint, false);
-	rig_run(sched, 1);
-	rig_answer_poll(sched, id, NULL, 0, NULL, 0);
+	sched_fixture_announce(sched, id, endpoint, false);
+	sched_fixture_run(sched, 1);
+	sched_fixture_answer_poll(sched, id, NULL, 0, NULL, 0);
 	g_free(endpoint);
 	g_free(id);
 }
@@ -82,7 +87,7 @@
 		char *host = numbered_name("hn", i);
 		char *id = numbered_name("n", i);
 
-		duties_fixture_list_host(fixture, host, RIG_POOL, id,
+		duties_fixture_list_host(fixture, host, SCHED_FIXTURE_POOL, id,
 					 WWH_HOST_UP);
 		g_free(id);
 		g_free(host);
@@ -98,11 +103,12 @@
 
 	stop_task_and_take_over(fixture);
 	before = fixture->sched->starts->len;
-	rig_announce(fixture->sched, "u2", "10.0.0.2:1", false);
+	sched_fixture_announce(fixture->sched, "u2", "10.0.0.2:1", false);
 	if (list_case->announced)
-		rig_announce(fixture->sched, "u1", "10.0.0.1:1", false);
+		sched_fixture_announce(fixture->sched, "u1", "10.0.0.1:1",
+				       false);
 	for (int32_t i = 0; i < duration_ms / 50; i++) {
-		rig_run(fixture->sched, 50);
+		sched_fixture_run(fixture->sched, 50);
 		answer_u2(fixture->sched);
 		wwh_host_duties_list_begin(fixture->duties);
 		if (list_case->hosts_join) {
@@ -110,7 +116,8 @@
 			list_new_hosts(fixture, i);
 		}
 		if (!list_case->lacks_u2)
-			duties_fixture_list_host(fixture, "h2", RIG_POOL, "u2",
+			duties_fixture_list_host(fixture, "h2",
+						 SCHED_FIXTURE_POOL, "u2",
 						 WWH_HOST_UP);
 		if (list_case->unreadable) {
 			wwh_listed_host_t row = {
@@ -126,7 +133,7 @@
 						 list_case->state);
 		wwh_host_duties_list_end(fixture->duties, !list_case->truncated,
 					 fixture->sched->now_ms);
-		rig_durable(fixture->sched);
+		sched_fixture_make_durable(fixture->sched);
 	}
 	return fixture->sched->starts->len > before;
 }
@@ -156,7 +163,7 @@
 
 void an_incarnation_of_a_moving_host_is_not_waited_for(void **state)
 {
-	const list_case_t moves = { .pool = RIG_POOL,
+	const list_case_t moves = { .pool = SCHED_FIXTURE_POOL,
 				    .upstream = "",
 				    .state = WWH_HOST_MOVING };
 
@@ -170,7 +177,7 @@
  */
 void an_incarnation_that_a_host_runs_is_waited_for(void **state)
 {
-	const list_case_t cut_off = { .pool = RIG_POOL,
+	const list_case_t cut_off = { .pool = SCHED_FIXTURE_POOL,
 				      .upstream = "u1",
 				      .state = WWH_HOST_UP };
 
@@ -183,7 +190,7 @@
  */
 void a_down_host_without_an_incarnation_may_run_any(void **state)
 {
-	const list_case_t down = { .pool = RIG_POOL,
+	const list_case_t down = { .pool = SCHED_FIXTURE_POOL,
 				   .upstream = "",
 				   .state = WWH_HOST_DOWN };
 
@@ -192,7 +199,7 @@
 
 void an_up_host_without_an_incarnation_may_run_any(void **state)
 {
-	const list_case_t unnamed = { .pool = RIG_POOL,
+	const list_case_t unnamed = { .pool = SCHED_FIXTURE_POOL,
 				      .upstream = NULL,
 				      .state = WWH_HOST_UP };
 
@@ -224,7 +231,7 @@
 void an_announced_incarnation_that_many_lists_lack_is_not_waited_for(
 	void **state)
 {
-	const list_case_t moved = { .pool = RIG_POOL,
+	const list_case_t moved = { .pool = SCHED_FIXTURE_POOL,
 				    .upstream = "",
 				    .state = WWH_HOST_MOVING,
 				    .announced = true,
@@ -310,17 +317,19 @@
 
 	stop_task_and_take_over(fixture);
 	wwh_host_duties_list_begin(fixture->duties);
-	duties_fixture_list_host(fixture, "h2", RIG_POOL, "u2", WWH_HOST_UP);
-	duties_fixture_list_host(fixture, "h3", RIG_POOL, "u3", WWH_HOST_UP);
+	duties_fixture_list_host(fixture, "h2", SCHED_FIXTURE_POOL, "u2",
+				 WWH_HOST_UP);
+	duties_fixture_list_host(fixture, "h3", SCHED_FIXTURE_POOL, "u3",
+				 WWH_HOST_UP);
 	duties_fixture_end_list(fixture);
-	rig_announce(fixture->sched, "u2", "10.0.0.2:1", false);
-	rig_announce(fixture->sched, "u3", "10.0.0.3:1", false);
-	rig_run(fixture->sched, 1);
-	rig_answer_poll(fixture->sched, "u2", NULL, 0, NULL, 0);
-	rig_answer_poll(fixture->sched, "u3", NULL, 0, NULL, 0);
-	wwh_scheduler_poll_failed(fixture->sched->scheduler, "u1", false,
-				  fixture->sched->now_ms);
-	rig_durable(fixture->sched);
+	sched_fixture_announce(fixture->sched, "u2", "10.0.0.2:1", false);
+	sched_fixture_announce(fixture->sched, "u3", "10.0.0.3:1", false);
+	sched_fixture_run(fixture->sched, 1);
+	sched_fixture_answer_poll(fixture->sched, "u2", NULL, 0, NULL, 0);
+	sched_fixture_answer_poll(fixture->sched, "u3", NULL, 0, NULL, 0);
+	wwh_scheduler_handle_poll_failure(fixture->sched->scheduler, "u1",
+					  false, fixture->sched->now_ms);
+	sched_fixture_make_durable(fixture->sched);
 	duties_fixture_add_wave(fixture, 3, 1);
 	wwh_host_duties_list_begin(fixture->duties);
 	duties_fixture_run(fixture, 1);
@@ -332,7 +341,7 @@
 		bool in_upkeep = strcmp(host, ordered) == 0;
 
 		duties_fixture_list_host(
-			fixture, host, RIG_POOL, in_upkeep ? "" : id,
+			fixture, host, SCHED_FIXTURE_POOL, in_upkeep ? "" : id,
 			in_upkeep ? WWH_HOST_UPKEEP : WWH_HOST_UP);
 		g_free(id);
 		g_free(host);
--- a/src/test_host_duties/test_moves.c
+++ b/src/test_host_duties/test_moves.c
@@ -9,7 +9,7 @@
 static void run_for(duties_fixture_t *fixture, int64_t span_ms)
 {
 	for (int64_t passed_ms = 0; passed_ms < span_ms; passed_ms += 50) {
-		rig_run(fixture->sched, 50);
+		sched_fixture_run(fixture->sched, 50);
 		duties_fixture_run(fixture, 0);
 	}
 }
@@ -17,10 +17,10 @@
 /* Sets up a pool with two idle hosts and an empty standby pool. */
 static void list_two_idle_hosts(duties_fixture_t *fixture)
 {
-	wwh_host_duties_set_pool(fixture->duties, RIG_POOL, false);
+	wwh_host_duties_set_pool(fixture->duties, SCHED_FIXTURE_POOL, false);
 	wwh_host_duties_set_pool(fixture->duties, "standby", true);
-	rig_add_upstream(fixture->sched, "u1", "10.0.0.1:1");
-	rig_add_upstream(fixture->sched, "u2", "10.0.0.2:1");
+	sched_fixture_add_upstream(fixture->sched, "u1", "10.0.0.1:1");
+	sched_fixture_add_upstream(fixture->sched, "u2", "10.0.0.2:1");
 	duties_fixture_run(fixture, 1);
 	duties_fixture_list_hosts(fixture, 2, true, WWH_HOST_UP);
 }
@@ -29,7 +29,7 @@
 {
 	duties_fixture_t *fixture = *state;
 
-	wwh_host_duties_set_pool(fixture->duties, RIG_POOL, false);
+	wwh_host_duties_set_pool(fixture->duties, SCHED_FIXTURE_POOL, false);
 	wwh_host_duties_set_pool(fixture->duties, "standby", true);
 	for (int32_t i = 0; i < 3; i++) {
 		char id[8];
@@ -37,9 +37,10 @@
 
 		snprintf(id, sizeof(id), "u%d", i + 1);
 		snprintf(at, sizeof(at), "10.0.0.%d:1", i + 1);
-		rig_add_upstream(fixture->sched, id, at);
+		sched_fixture_add_upstream(fixture->sched, id, at);
 	}
-	rig_submit(fixture->sched, rig_job(JOB_A, 60, 1000));
+	sched_fixture_submit(fixture->sched,
+			     sched_fixture_job(JOB_A, 60, 1000));
 	duties_fixture_run(fixture, 1);
 	for (int32_t i = 1; i <= 6; i++) {
 		char name[16];
@@ -47,9 +48,9 @@
 
 		snprintf(name, sizeof(name), "h%d", i);
 		snprintf(id, sizeof(id), "u%d", i);
-		duties_fixture_list_host(fixture, name,
-					 i <= 3 ? RIG_POOL : "standby",
-					 i <= 3 ? id : NULL, WWH_HOST_UP);
+		duties_fixture_list_host(
+			fixture, name, i <= 3 ? SCHED_FIXTURE_POOL : "standby",
+			i <= 3 ? id : NULL, WWH_HOST_UP);
 	}
 	duties_fixture_end_list(fixture);
 	duties_fixture_run(fixture, 1);
@@ -63,9 +64,9 @@
 void a_pool_without_work_sends_hosts_to_standby(void **state)
 {
 	duties_fixture_t *fixture = *state;
-	wwh_job_t *job = rig_job(JOB_A, 2, 1000);
+	wwh_job_t *job = sched_fixture_job(JOB_A, 2, 1000);
 
-	wwh_host_duties_set_pool(fixture->duties, RIG_POOL, false);
+	wwh_host_duties_set_pool(fixture->duties, SCHED_FIXTURE_POOL, false);
 	wwh_host_duties_set_pool(fixture->duties, "standby", true);
 	for (int32_t i = 1; i <= 4; i++) {
 		char id[8];
@@ -73,11 +74,11 @@
 
 		snprintf(id, sizeof(id), "u%d", i);
 		snprintf(at, sizeof(at), "10.0.0.%d:1", i);
-		rig_add_upstream(fixture->sched, id, at);
+		sched_fixture_add_upstream(fixture->sched, id, at);
 	}
 	job->steps[0].lasting = true;
 	job->steps[0].max_per_upstream = 1;
-	rig_submit(fixture->sched, job);
+	sched_fixture_submit(fixture->sched, job);
 	duties_fixture_run(fixture, 1);
 	duties_fixture_list_hosts(fixture, 4, true, WWH_HOST_UP);
 	duties_fixture_run(fixture, 1);
@@ -88,9 +89,11 @@
 	for (guint i = 0; i < 2; i++) {
 		const char *host = g_ptr_array_index(fixture->moves, i);
 
-		assert_true(host[1] != rig_order(fixture->sched->starts, 0)
+		assert_true(host[1] != sched_fixture_order(
+					       fixture->sched->starts, 0)
 					       ->upstream[1] &&
-			    host[1] != rig_order(fixture->sched->starts, 1)
+			    host[1] != sched_fixture_order(
+					       fixture->sched->starts, 1)
 					       ->upstream[1]);
 	}
 }
@@ -103,14 +106,14 @@
 void a_host_moves_directly_to_the_next_busy_pool(void **state)
 {
 	duties_fixture_t *fixture = *state;
-	wwh_job_t *job = rig_job(JOB_A, 60, 1000);
+	wwh_job_t *job = sched_fixture_job(JOB_A, 60, 1000);
 
-	wwh_host_duties_set_pool(fixture->duties, RIG_POOL, false);
+	wwh_host_duties_set_pool(fixture->duties, SCHED_FIXTURE_POOL, false);
 	wwh_host_duties_set_pool(fixture->duties, "next", false);
 	wwh_host_duties_set_pool(fixture->duties, "standby", true);
-	rig_add_upstream(fixture->sched, "u1", "10.0.0.1:1");
-	rig_add_upstream(fixture->sched, "u2", "10.0.0.2:1");
-	rig_add_upstream(fixture->sched, "u3", "10.0.0.3:1");
+	sched_fixture_add_upstream(fixture->sched, "u1", "10.0.0.1:1");
+	sched_fixture_add_upstream(fixture->sched, "u2", "10.0.0.2:1");
+	sched_fixture_add_upstream(fixture->sched, "u3", "10.0.0.3:1");
 	duties_fixture_run(fixture, 1);
 	duties_fixture_list_hosts(fixture, 3, true, WWH_HOST_UP);
 	duties_fixture_run(fixture, 1);
@@ -121,7 +124,7 @@
 	assert_int_equal(fixture->moves->len, 1);
 	g_free(job->queue.pool);
 	job->queue.pool = g_strdup("next");
-	rig_submit(fixture->sched, job);
+	sched_fixture_submit(fixture->sched, job);
 	duties_fixture_run(fixture, 1);
 	assert_int_equal(fixture->moves->len, 2);
 	assert_true(
@@ -140,7 +143,8 @@
 	duties_fixture_run(fixture, 1);
 	assert_false(duties_fixture_has_cordoned_upstream(fixture));
 	duties_fixture_run(fixture, 1000);
-	rig_submit(fixture->sched, rig_job(JOB_A, 60, 1000));
+	sched_fixture_submit(fixture->sched,
+			     sched_fixture_job(JOB_A, 60, 1000));
 	duties_fixture_run(fixture, 1);
 	assert_false(duties_fixture_has_cordoned_upstream(fixture));
 	duties_fixture_run(fixture, WWH_STANDBY_DELAY_MS);
@@ -159,10 +163,12 @@
 	list_two_idle_hosts(fixture);
 	run_for(fixture, 1000);
 	/* one host would do, so the pool's demand is one host */
-	rig_submit(fixture->sched, rig_job(JOB_A, 2, HOST_MILLICORES));
+	sched_fixture_submit(fixture->sched,
+			     sched_fixture_job(JOB_A, 2, HOST_MILLICORES));
 	assert_int_equal(fixture->sched->starts->len, 2);
-	assert_string_not_equal(rig_order(fixture->sched->starts, 0)->upstream,
-				rig_order(fixture->sched->starts, 1)->upstream);
+	assert_string_not_equal(
+		sched_fixture_order(fixture->sched->starts, 0)->upstream,
+		sched_fixture_order(fixture->sched->starts, 1)->upstream);
 }
 
 /* A host that no pool needs for the whole delay is drained and moved. */
@@ -194,7 +200,8 @@
 	for (int32_t passed_ms = 0; passed_ms < IDLE_PHASE_MS; passed_ms += 100)
 		duties_fixture_run(fixture, 100);
 	assert_int_equal(fixture->moves->len, 0);
-	rig_submit(fixture->sched, rig_job(JOB_A, 60, 1000));
+	sched_fixture_submit(fixture->sched,
+			     sched_fixture_job(JOB_A, 60, 1000));
 	duties_fixture_run(fixture, 100);
 	assert_false(duties_fixture_has_cordoned_upstream(fixture));
 	assert_int_equal(fixture->moves->len, 0);
@@ -203,15 +210,16 @@
 static void submit_lasting(duties_fixture_t *fixture, const char *id,
 			   int32_t tasks, int64_t cpu)
 {
-	wwh_job_t *job = rig_job(id, tasks, cpu);
+	wwh_job_t *job = sched_fixture_job(id, tasks, cpu);
 
 	job->steps[0].lasting = true;
 	job->steps[0].max_per_upstream = 1;
-	rig_submit(fixture->sched, job);
+	sched_fixture_submit(fixture->sched, job);
 	for (guint i = 0; i < fixture->sched->starts->len; i++)
-		rig_start_ended(fixture->sched,
-				rig_order(fixture->sched->starts, i),
-				WWH_ORDER_DONE);
+		sched_fixture_handle_start_result(
+			fixture->sched,
+			sched_fixture_order(fixture->sched->starts, i),
+			WWH_ORDER_DONE);
 }
 
 /*
@@ -229,7 +237,7 @@
 		snprintf(name, sizeof(name), "h%d", i);
 		snprintf(upstream_id, sizeof(upstream_id), "u%d", i);
 		is_down = strcmp(upstream_id, upstream) == 0;
-		duties_fixture_list_host(fixture, name, RIG_POOL,
+		duties_fixture_list_host(fixture, name, SCHED_FIXTURE_POOL,
 					 is_down ? "" : upstream_id,
 					 is_down ? WWH_HOST_DOWN : WWH_HOST_UP);
 	}
@@ -246,36 +254,37 @@
 void a_waiting_lasting_task_retains_a_new_host(void **state)
 {
 	duties_fixture_t *fixture = *state;
-	rig_order_t lost;
+	sched_fixture_order_t lost;
 
-	wwh_host_duties_set_pool(fixture->duties, RIG_POOL, false);
+	wwh_host_duties_set_pool(fixture->duties, SCHED_FIXTURE_POOL, false);
 	wwh_host_duties_set_pool(fixture->duties, "standby", true);
-	rig_add_upstream(fixture->sched, "u1", "10.0.0.1:1");
-	rig_add_upstream(fixture->sched, "u2", "10.0.0.2:1");
-	rig_add_upstream(fixture->sched, "u3", "10.0.0.3:1");
+	sched_fixture_add_upstream(fixture->sched, "u1", "10.0.0.1:1");
+	sched_fixture_add_upstream(fixture->sched, "u2", "10.0.0.2:1");
+	sched_fixture_add_upstream(fixture->sched, "u3", "10.0.0.3:1");
 	submit_lasting(fixture, JOB_B, 1, HOST_MILLICORES);
 	submit_lasting(fixture, JOB_A, 2, 1000);
 	assert_int_equal(fixture->sched->starts->len, 3);
-	lost = *rig_order(fixture->sched->starts, 2);
+	lost = *sched_fixture_order(fixture->sched->starts, 2);
 	duties_fixture_run(fixture, 1);
 	duties_fixture_list_hosts(fixture, 3, true, WWH_HOST_UP);
 	run_for(fixture, 100);
-	wwh_scheduler_upstream_gone(fixture->sched->scheduler, lost.upstream,
-				    "down", fixture->sched->now_ms);
+	wwh_scheduler_upstream_terminated(fixture->sched->scheduler,
+					  lost.upstream, "down",
+					  fixture->sched->now_ms);
 	list_with_one_down(fixture, 3, lost.upstream);
 	run_for(fixture, 1000);
 	assert_int_equal(fixture->sched->starts->len, 3);
-	rig_announce(fixture->sched, "u4", "10.0.0.4:1", false);
+	sched_fixture_announce(fixture->sched, "u4", "10.0.0.4:1", false);
 	list_with_one_down(fixture, 4, lost.upstream);
 	run_for(fixture, 100);
-	rig_answer_poll(fixture->sched, "u4", NULL, 0, NULL, 0);
-	rig_run(fixture->sched, 1);
-	rig_durable(fixture->sched);
+	sched_fixture_answer_poll(fixture->sched, "u4", NULL, 0, NULL, 0);
+	sched_fixture_run(fixture->sched, 1);
+	sched_fixture_make_durable(fixture->sched);
 	run_for(fixture, 500);
 	assert_int_equal(fixture->moves->len, 0);
 	assert_int_equal(fixture->sched->starts->len, 4);
-	assert_string_equal(rig_order(fixture->sched->starts, 3)->upstream,
-			    "u4");
+	assert_string_equal(
+		sched_fixture_order(fixture->sched->starts, 3)->upstream, "u4");
 }
 
 /*
@@ -297,11 +306,12 @@
 				     " standby"));
 	duties_fixture_complete_move_to_standby(
 		fixture, duties_fixture_move_at(fixture, 0));
-	rig_submit(fixture->sched, rig_job(JOB_A, 60, 1000));
+	sched_fixture_submit(fixture->sched,
+			     sched_fixture_job(JOB_A, 60, 1000));
 	duties_fixture_run(fixture, 1);
 	assert_int_equal(fixture->moves->len, 2);
 	assert_true(g_str_has_suffix(duties_fixture_move_at(fixture, 1),
-				     " " RIG_POOL));
+				     " " SCHED_FIXTURE_POOL));
 }
 
 /*
@@ -313,40 +323,45 @@
 void a_leaving_host_is_replaced_before_it_is_gone(void **state)
 {
 	duties_fixture_t *fixture = *state;
-	wwh_job_t *job = rig_job(JOB_A, 2, 1000);
-	wwh_running_t rows[2];
-	wwh_ended_t ended;
+	wwh_job_t *job = sched_fixture_job(JOB_A, 2, 1000);
+	wwh_running_task_t rows[2];
+	wwh_ended_task_t ended;
 
-	wwh_host_duties_set_pool(fixture->duties, RIG_POOL, false);
+	wwh_host_duties_set_pool(fixture->duties, SCHED_FIXTURE_POOL, false);
 	wwh_host_duties_set_pool(fixture->duties, "standby", true);
-	rig_add_upstream(fixture->sched, "u1", "10.0.0.1:1");
-	rig_add_upstream(fixture->sched, "u2", "10.0.0.2:1");
+	sched_fixture_add_upstream(fixture->sched, "u1", "10.0.0.1:1");
+	sched_fixture_add_upstream(fixture->sched, "u2", "10.0.0.2:1");
 	job->steps[0].lasting = true;
 	job->steps[0].max_per_upstream = 1;
-	rig_submit(fixture->sched, job);
+	sched_fixture_submit(fixture->sched, job);
 	for (guint i = 0; i < 2; i++) {
-		const rig_order_t *order = rig_order(fixture->sched->starts, i);
+		const sched_fixture_order_t *order =
+			sched_fixture_order(fixture->sched->starts, i);
 
-		rows[order->upstream[1] - '1'] = rig_running(order, 100);
-		rig_start_ended(fixture->sched, order, WWH_ORDER_DONE);
+		rows[order->upstream[1] - '1'] =
+			sched_fixture_running_row(order, 100);
+		sched_fixture_handle_start_result(fixture->sched, order,
+						  WWH_ORDER_DONE);
 	}
-	rig_announce(fixture->sched, "u1", "10.0.0.1:1", true);
-	rig_run(fixture->sched, 500);
-	rig_answer_poll(fixture->sched, "u1", &rows[0], 1, NULL, 0);
-	rig_answer_poll(fixture->sched, "u2", &rows[1], 1, NULL, 0);
-	rig_run(fixture->sched, 500);
-	ended = rig_ended(rig_order(fixture->sched->stops, 0), 1,
-			  WWH_END_STOPPED);
-	rig_answer_poll(fixture->sched, "u1", NULL, 0, &ended, 1);
+	sched_fixture_announce(fixture->sched, "u1", "10.0.0.1:1", true);
+	sched_fixture_run(fixture->sched, 500);
+	sched_fixture_answer_poll(fixture->sched, "u1", &rows[0], 1, NULL, 0);
+	sched_fixture_answer_poll(fixture->sched, "u2", &rows[1], 1, NULL, 0);
+	sched_fixture_run(fixture->sched, 500);
+	ended = sched_fixture_ended_row(
+		sched_fixture_order(fixture->sched->stops, 0), 1,
+		WWH_END_STOPPED);
+	sched_fixture_answer_poll(fixture->sched, "u1", NULL, 0, &ended, 1);
 	for (int32_t i = 0; i < 6; i++) {
 		wwh_host_duties_list_begin(fixture->duties);
 		duties_fixture_list_host(fixture, "h3", "standby", NULL,
 					 WWH_HOST_UP);
 		duties_fixture_list_hosts(fixture, 2, true, WWH_HOST_UP);
-		rig_run(fixture->sched, 500);
+		sched_fixture_run(fixture->sched, 500);
 		duties_fixture_run(fixture, 1);
 	}
 	assert_int_equal(fixture->sched->starts->len, 2);
 	assert_int_equal(fixture->moves->len, 1);
-	assert_string_equal(duties_fixture_move_at(fixture, 0), "h3 " RIG_POOL);
+	assert_string_equal(duties_fixture_move_at(fixture, 0),
+			    "h3 " SCHED_FIXTURE_POOL);
 }
--- a/src/test_host_duties/test_waves.c
+++ b/src/test_host_duties/test_waves.c
@@ -54,7 +54,8 @@
 
 	duties_fixture_add_wave(fixture, 2, 2);
 	duties_fixture_run(fixture, 1);
-	duties_fixture_list_host(fixture, "h1", RIG_POOL, NULL, WWH_HOST_UP);
+	duties_fixture_list_host(fixture, "h1", SCHED_FIXTURE_POOL, NULL,
+				 WWH_HOST_UP);
 	duties_fixture_end_list(fixture);
 	duties_fixture_run(fixture, 1);
 	wwh_host_duties_handle_upkeep_result(fixture->duties, "h1", WAVE,
@@ -65,8 +66,8 @@
 					    fixture->last_record);
 		assert_int_equal(fixture->completed_reports, 0);
 		duties_fixture_run(fixture, 600);
-		duties_fixture_list_host(fixture, "h1", RIG_POOL, NULL,
-					 WWH_HOST_UP);
+		duties_fixture_list_host(fixture, "h1", SCHED_FIXTURE_POOL,
+					 NULL, WWH_HOST_UP);
 		duties_fixture_end_list(fixture);
 	}
 	duties_fixture_run(fixture, 1);
@@ -84,13 +85,14 @@
 void a_repeated_upkeep_order_ends_no_task(void **state)
 {
 	duties_fixture_t *fixture = *state;
-	wwh_running_t running;
-
-	rig_add_upstream(fixture->sched, "u1", "10.0.0.1:1");
-	rig_submit(fixture->sched, rig_job(JOB_A, 1, 1000));
-	running = rig_running(rig_order(fixture->sched->starts, 0), 10);
-	rig_run(fixture->sched, 100);
-	rig_answer_poll(fixture->sched, "u1", &running, 1, NULL, 0);
+	wwh_running_task_t running;
+
+	sched_fixture_add_upstream(fixture->sched, "u1", "10.0.0.1:1");
+	sched_fixture_submit(fixture->sched, sched_fixture_job(JOB_A, 1, 1000));
+	running = sched_fixture_running_row(
+		sched_fixture_order(fixture->sched->starts, 0), 10);
+	sched_fixture_run(fixture->sched, 100);
+	sched_fixture_answer_poll(fixture->sched, "u1", &running, 1, NULL, 0);
 	duties_fixture_add_wave(fixture, 1, 1);
 	duties_fixture_run(fixture, 1);
 	duties_fixture_list_hosts(fixture, 1, true, WWH_HOST_UP);
@@ -102,9 +104,10 @@
 	wwh_host_duties_handle_upkeep_result(fixture->duties, "h1", WAVE,
 					     WWH_DUTY_DONE,
 					     fixture->sched->now_ms);
-	assert_int_equal(
-		wwh_scheduler_counts(fixture->sched->scheduler).tasks_out, 1);
-	rig_run(fixture->sched, 100);
+	assert_int_equal(wwh_scheduler_counts(fixture->sched->scheduler)
+				 .tasks_outstanding,
+			 1);
+	sched_fixture_run(fixture->sched, 100);
 	assert_int_equal(fixture->sched->starts->len, 1);
 	/* listed as up with the same incarnation: it gets tasks again */
 	duties_fixture_run(fixture, 2500);
@@ -123,10 +126,11 @@
 {
 	duties_fixture_t *fixture = *state;
 
-	wwh_host_duties_set_pool(fixture->duties, RIG_POOL, false);
+	wwh_host_duties_set_pool(fixture->duties, SCHED_FIXTURE_POOL, false);
 	wwh_host_duties_set_pool(fixture->duties, "standby", true);
-	rig_add_upstream(fixture->sched, "u1", "10.0.0.1:1");
-	rig_submit(fixture->sched, rig_job(JOB_A, 60, 1000));
+	sched_fixture_add_upstream(fixture->sched, "u1", "10.0.0.1:1");
+	sched_fixture_submit(fixture->sched,
+			     sched_fixture_job(JOB_A, 60, 1000));
 	duties_fixture_add_wave(fixture, 1, 1);
 	duties_fixture_run(fixture, 1);
 	duties_fixture_list_hosts(fixture, 1, true, WWH_HOST_UP);
@@ -149,11 +153,12 @@
 {
 	duties_fixture_t *fixture = *state;
 
-	wwh_host_duties_set_pool(fixture->duties, RIG_POOL, false);
+	wwh_host_duties_set_pool(fixture->duties, SCHED_FIXTURE_POOL, false);
 	wwh_host_duties_set_pool(fixture->duties, "standby", true);
 	duties_fixture_add_wave(fixture, 2, 1);
 	duties_fixture_run(fixture, 1);
-	duties_fixture_list_host(fixture, "h1", RIG_POOL, NULL, WWH_HOST_UP);
+	duties_fixture_list_host(fixture, "h1", SCHED_FIXTURE_POOL, NULL,
+				 WWH_HOST_UP);
 	duties_fixture_end_list(fixture);
 	duties_fixture_run(fixture, 1);
 	assert_int_equal(fixture->upkeeps->len, 1);
@@ -188,35 +193,36 @@
 void a_host_drained_for_a_wave_is_replaced(void **state)
 {
 	duties_fixture_t *fixture = *state;
-	rig_t *sched = fixture->sched;
-	wwh_job_t *single_job = rig_job(JOB_A, 1, 1000);
-	wwh_job_t *spread_job = rig_job("00000000000000bb", 2, 1000);
-	wwh_running_t rows[2][2];
+	sched_fixture_t *sched = fixture->sched;
+	wwh_job_t *single_job = sched_fixture_job(JOB_A, 1, 1000);
+	wwh_job_t *spread_job = sched_fixture_job("00000000000000bb", 2, 1000);
+	wwh_running_task_t rows[2][2];
 	int32_t counts[2] = { 0, 0 };
-	wwh_ended_t ended;
+	wwh_ended_task_t ended;
 
-	wwh_host_duties_set_pool(fixture->duties, RIG_POOL, false);
+	wwh_host_duties_set_pool(fixture->duties, SCHED_FIXTURE_POOL, false);
 	wwh_host_duties_set_pool(fixture->duties, "standby", true);
-	rig_add_upstream(sched, "u1", "10.0.0.1:1");
-	rig_add_upstream(sched, "u2", "10.0.0.2:1");
+	sched_fixture_add_upstream(sched, "u1", "10.0.0.1:1");
+	sched_fixture_add_upstream(sched, "u2", "10.0.0.2:1");
 	single_job->steps[0].lasting = true;
 	spread_job->steps[0].lasting = true;
 	spread_job->steps[0].max_per_upstream = 1;
 	spread_job->steps[0].max_unavailable = 1;
-	rig_submit(sched, single_job);
-	rig_submit(sched, spread_job);
+	sched_fixture_submit(sched, single_job);
+	sched_fixture_submit(sched, spread_job);
 	for (guint i = 0; i < 3; i++) {
-		const rig_order_t *order = rig_order(sched->starts, i);
+		const sched_fixture_order_t *order =
+			sched_fixture_order(sched->starts, i);
 		int32_t at = order->upstream[1] - '1';
 
-		rows[at][counts[at]++] = rig_running(order, 100);
-		rig_start_ended(sched, order, WWH_ORDER_DONE);
+		rows[at][counts[at]++] = sched_fixture_running_row(order, 100);
+		sched_fixture_handle_start_result(sched, order, WWH_ORDER_DONE);
 	}
 	/* u1 has the job that must stay available and one task of the other */
 	assert_int_equal(counts[0], 2);
-	rig_run(sched, 500);
-	rig_answer_poll(sched, "u1", rows[0], 2, NULL, 0);
-	rig_answer_poll(sched, "u2", rows[1], 1, NULL, 0);
+	sched_fixture_run(sched, 500);
+	sched_fixture_answer_poll(sched, "u1", rows[0], 2, NULL, 0);
+	sched_fixture_answer_poll(sched, "u2", rows[1], 1, NULL, 0);
 	duties_fixture_add_wave(fixture, 1, 1);
 	duties_fixture_run(fixture, 1);
 	duties_fixture_list_host(fixture, "h3", "standby", NULL, WWH_HOST_UP);
@@ -224,20 +230,22 @@
 	duties_fixture_run(fixture, 1);
 	assert_true(
 		wwh_scheduler_upstream_load(sched->scheduler, "u1").cordoned);
-	rig_run(sched, 500);
-	ended = rig_ended(rig_order(sched->starts, 1), 1, WWH_END_FAILED);
+	sched_fixture_run(sched, 500);
+	ended = sched_fixture_ended_row(sched_fixture_order(sched->starts, 1),
+					1, WWH_END_FAILED);
 	if (strcmp(rows[0][1].task, ended.task) != 0)
-		ended = rig_ended(rig_order(sched->starts, 2), 1,
-				  WWH_END_FAILED);
-	rig_answer_poll(sched, "u1", rows[0], 1, &ended, 1);
+		ended = sched_fixture_ended_row(
+			sched_fixture_order(sched->starts, 2), 1,
+			WWH_END_FAILED);
+	sched_fixture_answer_poll(sched, "u1", rows[0], 1, &ended, 1);
 	for (int32_t i = 0; i < 10; i++) {
 		wwh_host_duties_list_begin(fixture->duties);
 		duties_fixture_list_host(fixture, "h3", "standby", NULL,
 					 WWH_HOST_UP);
 		duties_fixture_list_hosts(fixture, 2, true, WWH_HOST_UP);
-		rig_run(sched, 500);
-		rig_answer_poll(sched, "u1", rows[0], 1, NULL, 0);
-		rig_answer_poll(sched, "u2", rows[1], 1, NULL, 0);
+		sched_fixture_run(sched, 500);
+		sched_fixture_answer_poll(sched, "u1", rows[0], 1, NULL, 0);
+		sched_fixture_answer_poll(sched, "u2", rows[1], 1, NULL, 0);
 		duties_fixture_run(fixture, 1);
 	}
 	assert_true(sched->starts->len > 3 || fixture->moves->len > 0);
