--- a/src/libwaxwinghollow/job_service_events.c
+++ b/src/libwaxwinghollow/job_service_events.c
@@ -59,7 +59,7 @@
 		.reluctant = service->settings.cpu_permille <
 			     HOLDER_MIN_CPU_PERMILLE,
 		.member_ttl_ms =
-			MAX(MEMBER_TTL_MS, service->settings.member_min_ms),
+			MAX(MEMBER_TTL_MS, service->settings.member_ttl_min_ms),
 		.bad_records = service->bad_claims,
 		.on_held = on_shard_held,
 		.on_holder = on_holder_changed,
