--- a/include/waxwinghollow/job_config.h
+++ b/include/waxwinghollow/job_config.h
@@ -3,16 +3,16 @@
 
 /*
  * NAME
- *	job_config - queues and pools as the operator has put them in force
+ *	job_config - queues and pools of the configuration in force
  *
  * USE
- *	A version replaces the one before as a whole. Versions rise; a process
- *	never goes back to an older one.
+ *	A new version replaces the previous one as a whole. Version numbers
+ *	rise; a process never returns to an older version.
  *
  * ORDER OF CALLS
  *	wwh_job_config_new, queues and pools added, look-ups,
- *	wwh_job_config_unref after the last use. Not written to after it was
- *	made, so threads share it.
+ *	wwh_job_config_unref after the last use. A configuration is immutable
+ *	once it has been filled, so that threads can share it.
  */
 
 #include <glib.h>
@@ -23,8 +23,8 @@
 #include "waxwinghollow/job.h"
 
 typedef struct {
-	char *host; /* of the Host header, without a port */
-	char *prefix; /* of the path; the longest one wins */
+	char *host; /* matches the Host header, without the port */
+	char *prefix; /* matches the path; the longest prefix wins */
 	int64_t timeout_ms;
 	bool is_public; /* needs no API key */
 	wwh_job_queue_t rules;
@@ -32,12 +32,12 @@
 
 typedef struct {
 	char *name;
-	bool standby; /* its hosts are off */
+	bool standby; /* its hosts are off and run nothing */
 } wwh_job_pool_t;
 
 typedef struct {
 	char *name;
-	wwh_load_t limit; /* of what it has at work; 0 in a part: none */
+	wwh_load_t limit; /* of its running tasks; 0 in a field: no limit */
 } wwh_workspace_limit_t;
 
 typedef struct {
@@ -45,7 +45,7 @@
 	GArray *queues; /* wwh_queue_t */
 	GArray *pools; /* wwh_job_pool_t */
 	GArray *limits; /* wwh_workspace_limit_t */
-	wwh_api_keys_t *api_keys; /* NULL: there are no workspaces */
+	wwh_api_keys_t *api_keys; /* NULL: no workspaces are configured */
 	int64_t max_body_bytes;
 	gint references;
 } wwh_job_config_t;
@@ -54,7 +54,7 @@
 wwh_job_config_t *wwh_job_config_ref(wwh_job_config_t *config);
 void wwh_job_config_unref(wwh_job_config_t *config);
 
-/* Take over what the strings point to. */
+/* Both take ownership of the strings. */
 void wwh_job_config_add_queue(wwh_job_config_t *config,
 			      const wwh_queue_t *queue);
 void wwh_job_config_add_pool(wwh_job_config_t *config,
@@ -63,9 +63,12 @@
 void wwh_job_config_add_limit(wwh_job_config_t *config,
 			      const wwh_workspace_limit_t *limit);
 
-/* The queue that a request names; *rest is its path behind the prefix. */
-const wwh_queue_t *wwh_job_config_find(const wwh_job_config_t *config,
-				       const char *host, const char *path,
-				       const char **rest);
+/*
+ * Returns the queue that a request addresses, and in *rest the path behind its
+ * prefix; NULL: no queue matches.
+ */
+const wwh_queue_t *wwh_job_config_find_queue(const wwh_job_config_t *config,
+					     const char *host, const char *path,
+					     const char **rest);
 
 #endif
--- a/src/libwaxwinghollow/job.c
+++ b/src/libwaxwinghollow/job.c
@@ -107,7 +107,7 @@
 	    step->need.gpus < 0 || step->estimate_ms < 0 ||
 	    step->max_per_upstream < 0 || step->latency_target_ms < 0 ||
 	    step->max_unavailable < 0) {
-		wwh_message_set(message, "step %d: a figure is negative",
+		wwh_message_set(message, "step %d: a number is negative",
 				number);
 		return WWH_STATUS_BAD_INPUT;
 	}
--- a/src/libwaxwinghollow/job_codec.c
+++ b/src/libwaxwinghollow/job_codec.c
@@ -7,13 +7,13 @@
 
 #define CODEC_DEPTH 8
 
-/* Elements of each array that this release writes and needs. */
+/* Number of fields that this release writes, and requires, in each array. */
 #define JOB_FIELDS 8
 #define QUEUE_FIELDS 7
 #define STEP_FIELDS 17
 
 typedef struct {
-	const msgpack_object *at;
+	const msgpack_object *next;
 	uint32_t left;
 	bool ok;
 } reader_t;
@@ -65,7 +65,8 @@
 	wwh_job_t *job = NULL;
 
 	if (!wwh_msgpack_bounded(data, size, CODEC_DEPTH)) {
-		wwh_message_set(message, "not one whole MessagePack value");
+		wwh_message_set(message,
+				"expected one complete MessagePack value");
 		return NULL;
 	}
 	msgpack_unpacked_init(&unpacked);
@@ -140,7 +141,7 @@
 	if (object == NULL || object->type != MSGPACK_OBJECT_ARRAY ||
 	    object->via.array.size < least)
 		return reader;
-	reader.at = object->via.array.ptr;
+	reader.next = object->via.array.ptr;
 	reader.left = object->via.array.size;
 	reader.ok = true;
 	return reader;
@@ -153,7 +154,7 @@
 		return NULL;
 	}
 	reader->left--;
-	return reader->at++;
+	return reader->next++;
 }
 
 static int64_t read_number(reader_t *reader)
@@ -246,7 +247,7 @@
 {
 	reader_t reader = open_array(object, JOB_FIELDS);
 	const msgpack_object *last =
-		reader.ok ? reader.at + JOB_FIELDS - 1 : NULL;
+		reader.ok ? reader.next + JOB_FIELDS - 1 : NULL;
 	reader_t steps = open_array(last, 1);
 	wwh_job_t *job;
 	char *id;
@@ -265,7 +266,7 @@
 	job->accepted_wall_ms = read_number(&reader);
 	for (int32_t i = 0; i < job->step_count && reader.ok; i++)
 		reader.ok = read_step(read_any(&steps), &job->steps[i]);
-	(void)read_any(&reader); /* the steps as a whole */
+	(void)read_any(&reader); /* the array of steps, decoded above */
 	if (reader.ok && reader.left > 0)
 		job->workspace = read_text(&reader);
 	if (!reader.ok || job->payload == NULL)
--- a/src/test_job/test_job.c
+++ b/src/test_job/test_job.c
@@ -1,6 +1,6 @@
 /*
- * Jobs: what is refused before it is accepted, and that a job which goes
- * through the store or to another process is the same job afterwards.
+ * Tests of jobs: invalid jobs are rejected before they are accepted, and a job
+ * that is encoded for the store or another process decodes to the same job.
  */
 
 #include <setjmp.h>
@@ -52,39 +52,39 @@
 	return job;
 }
 
-static void a_job_survives_the_way_through_the_store(void **state)
+static void an_encoded_job_decodes_to_the_same_job(void **state)
 {
 	wwh_job_t *job = full_job();
 	GBytes *bytes = wwh_job_encode(job);
 	wwh_message_t message = { "" };
-	wwh_job_t *read;
+	wwh_job_t *decoded;
 	GBytes *again;
 	gsize size;
 	const uint8_t *data = g_bytes_get_data(bytes, &size);
 
 	(void)state;
-	read = wwh_job_decode(data, size, &message);
+	decoded = wwh_job_decode(data, size, &message);
 	assert_string_equal(message.text, "");
-	assert_non_null(read);
-	assert_string_equal(read->steps[1].image, "img");
-	assert_int_equal(read->steps[1].max_unavailable, 1);
-	assert_int_equal(read->interval_ms, 5000);
-	assert_string_equal(read->workspace, "parks");
-	again = wwh_job_encode(read);
+	assert_non_null(decoded);
+	assert_string_equal(decoded->steps[1].image, "img");
+	assert_int_equal(decoded->steps[1].max_unavailable, 1);
+	assert_int_equal(decoded->interval_ms, 5000);
+	assert_string_equal(decoded->workspace, "parks");
+	again = wwh_job_encode(decoded);
 	assert_true(g_bytes_equal(bytes, again));
 	g_bytes_unref(again);
 	g_bytes_unref(bytes);
-	wwh_job_delete(read);
+	wwh_job_delete(decoded);
 	wwh_job_delete(job);
 }
 
-/* Records of jobs without a workspace, and of older releases, lack the field. */
+/* Records of jobs without a workspace, and those of older releases, lack it. */
 static void a_job_may_have_no_workspace(void **state)
 {
 	wwh_job_t *job = full_job();
 	wwh_message_t message = { "" };
 	const uint8_t *data;
-	wwh_job_t *read;
+	wwh_job_t *decoded;
 	GBytes *bytes;
 	gsize size;
 
@@ -92,16 +92,16 @@
 	g_clear_pointer(&job->workspace, g_free);
 	bytes = wwh_job_encode(job);
 	data = g_bytes_get_data(bytes, &size);
-	read = wwh_job_decode(data, size, &message);
-	assert_non_null(read);
-	assert_null(read->workspace);
-	assert_string_equal(read->steps[1].image, "img");
+	decoded = wwh_job_decode(data, size, &message);
+	assert_non_null(decoded);
+	assert_null(decoded->workspace);
+	assert_string_equal(decoded->steps[1].image, "img");
 	g_bytes_unref(bytes);
-	wwh_job_delete(read);
+	wwh_job_delete(decoded);
 	wwh_job_delete(job);
 }
 
-/* A record that was cut short or changed is refused, never half taken. */
+/* A truncated record is refused; a changed one is refused or still valid. */
 static void malformed_records_are_refused(void **state)
 {
 	wwh_job_t *job = full_job();
@@ -115,21 +115,21 @@
 		assert_null(wwh_job_decode(data, cut, &message));
 	for (gsize at = 0; at < size; at++) {
 		uint8_t *copy = g_memdup2(data, size);
-		wwh_job_t *read;
+		wwh_job_t *decoded;
 
 		copy[at] ^= 0xc1;
-		read = wwh_job_decode(copy, size, &message);
-		if (read != NULL)
-			assert_int_equal(wwh_job_check(read, &message),
+		decoded = wwh_job_decode(copy, size, &message);
+		if (decoded != NULL)
+			assert_int_equal(wwh_job_check(decoded, &message),
 					 WWH_STATUS_OK);
-		wwh_job_delete(read);
+		wwh_job_delete(decoded);
 		g_free(copy);
 	}
 	g_bytes_unref(bytes);
 	wwh_job_delete(job);
 }
 
-static void what_cannot_run_is_refused(void **state)
+static void invalid_jobs_are_refused(void **state)
 {
 	wwh_job_t *job = full_job();
 	wwh_message_t message;
@@ -167,10 +167,10 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_job_survives_the_way_through_the_store),
+		cmocka_unit_test(an_encoded_job_decodes_to_the_same_job),
 		cmocka_unit_test(a_job_may_have_no_workspace),
 		cmocka_unit_test(malformed_records_are_refused),
-		cmocka_unit_test(what_cannot_run_is_refused),
+		cmocka_unit_test(invalid_jobs_are_refused),
 		cmocka_unit_test(ids_are_sixteen_hexadecimal_digits),
 	};
 
