--- a/include/waxwinghollow/job_holder.h
+++ b/include/waxwinghollow/job_holder.h
@@ -3,17 +3,18 @@
 
 /*
  * NAME
- *	job_holder - the process that holds a shard: runs its jobs
+ *	job_holder - runs the jobs of a shard in the process that holds it
  *
  * USE
- *	Joins the scheduler and the host duties, which decide, with the
- *	journal, the upstreams and the platform, which are called. It lives
- *	from a claim until the claim is lost; then all of it is dropped, and
- *	requests that wait for a record end as unknown.
+ *	Connects the scheduler and the host duties, which take the decisions,
+ *	to the journal, the upstreams and the platform, which are called over
+ *	HTTP. A holder exists from a claim of the shard until the claim is
+ *	lost. It is then discarded as a whole, and requests that wait for a
+ *	record are answered WWH_JOB_ANSWER_UNKNOWN.
  *
  * ORDER OF CALLS
- *	wwh_job_holder_new; requests and wwh_job_holder_run by the thread of
- *	its http_calls; wwh_job_holder_delete.
+ *	wwh_job_holder_new; requests and wwh_job_holder_run, in the thread
+ *	that polls its http_calls; wwh_job_holder_delete.
  */
 
 #include "waxwinghollow/event_log.h"
@@ -24,9 +25,9 @@
 
 typedef enum {
 	WWH_JOB_ANSWER_OK = 0,
-	WWH_JOB_ANSWER_NO_JOB, /* surely no such job */
-	WWH_JOB_ANSWER_NOT_DONE, /* surely without effect */
-	WWH_JOB_ANSWER_UNKNOWN, /* may have taken effect, also later */
+	WWH_JOB_ANSWER_NO_JOB, /* the job certainly doesn't exist */
+	WWH_JOB_ANSWER_NOT_DONE, /* certainly without effect */
+	WWH_JOB_ANSWER_UNKNOWN, /* may have taken effect, or may do so later */
 	WWH_JOB_ANSWER_COUNT
 } wwh_job_answer_kind_t;
 
@@ -35,13 +36,13 @@
 
 typedef struct {
 	wwh_job_answer_kind_t kind;
-	const char *why; /* constant text */
-	wwh_job_progress_t state; /* of a question about a job */
-	int32_t pending; /* of a question about a queue */
-	int64_t retry_after_s; /* when to come back; 0: not said */
+	const char *why; /* reason, a string constant */
+	wwh_job_progress_t state; /* set by wwh_job_holder_query_state */
+	int32_t pending; /* set by wwh_job_holder_query_pending */
+	int64_t retry_after_s; /* when to retry; 0: unspecified */
 } wwh_job_answer_t;
 
-/* Called once for each request. */
+/* Called exactly once for each request. */
 typedef void (*wwh_job_answered_t)(const wwh_job_answer_t *answer,
 				   void *client_data);
 
@@ -53,20 +54,20 @@
 	const char *topic;
 	int32_t journal_part;
 	const char *producer;
-	int64_t epoch; /* of the claim: the fencing token of all orders */
+	int64_t epoch; /* of the claim; the fencing token of all orders */
 	int64_t holder_count;
 	int64_t next_sequence;
-	bool others_at_work; /* the holder before may still give orders */
-	bool others_ended; /* it was found ended, and hadn't given up */
-	GHashTable *records; /* key to GBytes, as the journal has them */
+	bool others_at_work; /* the previous holder may still give orders */
+	bool others_ended; /* it ended without giving the claim up */
+	GHashTable *records; /* key to GBytes, as read from the journal */
 	/*
-	 * The steady clock. Answers are taken in by the time of their
-	 * arrival: a reading of an upstream's clock that is dated too early
-	 * makes its lease look over while it still runs tasks.
+	 * The steady clock. It is read when an answer is processed: a reading
+	 * of an upstream's clock that is dated too early makes the upstream's
+	 * lease look expired while it still runs tasks.
 	 */
 	int64_t (*clock_ms)(void);
 	int64_t wall_ms;
-	/* Another holder has a higher token. */
+	/* Called once, when another holder has a higher fencing token. */
 	void (*on_lost)(const char *why, void *client_data);
 	void *client_data;
 } wwh_job_holder_options_t;
@@ -78,77 +79,83 @@
 
 void wwh_job_holder_set_config(wwh_job_holder_t *holder,
 			       const wwh_job_config_t *config);
-/* An order that can't be read does nothing. */
-void wwh_job_holder_wave(wwh_job_holder_t *holder, const char *key,
-			 const uint8_t *value, size_t size);
+/* Applies a wave order of the operator; an unreadable order is ignored. */
+void wwh_job_holder_apply_wave(wwh_job_holder_t *holder, const char *key,
+			       const uint8_t *value, size_t size);
 
 /*
- * Whether a job belongs to another workspace than this one. False where either is
- * unknown.
+ * Returns whether a job belongs to a workspace other than the given one; false
+ * where either is unknown.
  */
-bool wwh_job_holder_hides(const wwh_job_holder_t *holder, const char *id,
-			  const char *workspace);
+bool wwh_job_holder_owned_by_other(const wwh_job_holder_t *holder,
+				   const char *id, const char *workspace);
 
-/* Takes job over. */
+/* Takes ownership of job. */
 void wwh_job_holder_submit(wwh_job_holder_t *holder, wwh_job_t *job,
 			   wwh_job_answered_t done, void *client_data);
 void wwh_job_holder_cancel(wwh_job_holder_t *holder, const char *id,
 			   wwh_job_answered_t done, void *client_data);
-void wwh_job_holder_state(wwh_job_holder_t *holder, const char *id,
-			  wwh_job_answered_t done, void *client_data);
-void wwh_job_holder_pending(wwh_job_holder_t *holder, const char *queue,
-			    wwh_job_answered_t done, void *client_data);
+void wwh_job_holder_query_state(wwh_job_holder_t *holder, const char *id,
+				wwh_job_answered_t done, void *client_data);
+void wwh_job_holder_query_pending(wwh_job_holder_t *holder, const char *queue,
+				  wwh_job_answered_t done, void *client_data);
 
 /*
- * suspended: this process stood still for a while. Nothing is ordered then
- * until the store has confirmed the claim again.
+ * suspended: the process was not scheduled for a while and may have been
+ * replaced. The holder then gives no orders until the store has confirmed its
+ * claim again.
  */
 void wwh_job_holder_run(wwh_job_holder_t *holder, int64_t now_ms,
 			int64_t wall_ms, bool suspended);
 
 /*
- * The loop of the caller can't keep up. Calls without an answer then say nothing
- * of whom they were sent to.
+ * overloaded: the caller's event loop can't keep up. Unanswered calls are then
+ * no sign of a failure of the receiver, as the holder may read answers late.
  */
 void wwh_job_holder_set_overloaded(wwh_job_holder_t *holder, bool overloaded);
 
 /*
- * It knows more upstreams than a holder can ask before leases run out: a change of
- * holder ends lasting tasks, and takes seconds.
+ * The holder knows more upstreams than a new holder can poll before their
+ * leases expire. A change of holder then ends lasting tasks and takes seconds.
  */
 bool wwh_job_holder_is_large(const wwh_job_holder_t *holder);
 
-/* How long the caller of wwh_job_holder_run may wait for the next event. */
+/* How long the caller may wait for events between two wwh_job_holder_run. */
 int32_t wwh_job_holder_wait_ms(const wwh_job_holder_t *holder);
 
 /*
- * Hosts get no more orders: with new ones all the time the holder would never
- * be settled. stop false: they do again.
+ * While paused, hosts get no new orders: a holder that keeps giving orders
+ * would never become quiescent.
  */
-void wwh_job_holder_stop_duties(wwh_job_holder_t *holder, bool stop);
+void wwh_job_holder_pause_duties(wwh_job_holder_t *holder, bool paused);
 
-/* Orders to hosts are unanswered. */
-bool wwh_job_holder_orders_hosts(const wwh_job_holder_t *holder);
+/* At least one order to a host is unanswered. */
+bool wwh_job_holder_host_orders_pending(const wwh_job_holder_t *holder);
 
 /*
- * Nothing more is to be written before the claim is given up, and no order to
- * a host is on its way: the next holder gives its own at once, and a late one
- * would take down a host too many.
+ * The claim may be given up: no record is unwritten, no request waits for one,
+ * and no order to a host is in flight. The next holder gives its orders at
+ * once, so an order that arrives late would take one host too many down. Also
+ * true once the claim is lost.
  */
-bool wwh_job_holder_settled(const wwh_job_holder_t *holder);
+bool wwh_job_holder_is_quiescent(const wwh_job_holder_t *holder);
 
-/* The store has confirmed the claim within the last moments. */
-bool wwh_job_holder_confirmed(const wwh_job_holder_t *holder, int64_t now_ms);
+/*
+ * The store has confirmed the claim so recently that no other holder can have
+ * accepted a job since.
+ */
+bool wwh_job_holder_claim_confirmed(const wwh_job_holder_t *holder,
+				    int64_t now_ms);
 
 /*
- * The store takes nothing from this holder, for longer than a call takes. It may
- * serve others meanwhile, and one of them could accept jobs. An overloaded
- * process is late to read answers, so only rejections tell it of the store.
+ * The store has accepted no append of this holder for longer than a call takes.
+ * It may serve other processes meanwhile, one of which could accept jobs. An
+ * overloaded process reads answers late, so only explicit refusals count there.
  */
-bool wwh_job_holder_turned_away(const wwh_job_holder_t *holder, int64_t now_ms,
-				bool overloaded);
+bool wwh_job_holder_rejected_by_store(const wwh_job_holder_t *holder,
+				      int64_t now_ms, bool overloaded);
 
-/* Appends succeed: this holder can accept jobs. */
+/* Appends have succeeded recently: this holder can accept jobs. */
 bool wwh_job_holder_reaches_store(const wwh_job_holder_t *holder,
 				  int64_t now_ms);
 
--- a/src/libwaxwinghollow/job_holder.c
+++ b/src/libwaxwinghollow/job_holder.c
@@ -6,57 +6,59 @@
 #include "wire_operator.h"
 #include "wire_store.h"
 
-/* Records that no caller waits for are gathered for this long. */
-#define GROUP_MS 40
+/* Records that no caller waits for are batched for this long. */
+#define RECORD_GROUP_MS 40
 
 /*
- * Upstreams announce themselves all the time; they are read in groups. A read that
- * waits for longer would be noticed too late where its connection is silent.
+ * Upstreams announce themselves continually, so announcements are read in
+ * batches. With a longer wait, a silent connection would be noticed too late.
  */
 #define UPSTREAMS_GAP_MS 150
 #define UPSTREAMS_WAIT_MS 700
 
-/* Without other records the claim is confirmed this often. */
-#define CONFIRM_EVERY_MS 500
+/* Without other appends, an empty record confirms the claim this often. */
+#define CONFIRM_PERIOD_MS 500
 #define CONFIRM_KEY "H"
 
 /*
- * For this long after the store confirmed the claim no other holder can have
- * accepted a job that a caller has been told of: a claim, reading the
- * journal and the first append take longer.
+ * For this long after the store confirmed the claim, no other holder can have
+ * accepted a job and answered its caller: a claim, reading the journal and the
+ * first append take longer.
  */
 #define CONFIRMED_FOR_MS 2500
 
 /*
- * A holder without a successful append for longer can't accept jobs. Another
- * process may then take over: that costs callers less than waiting. It is
- * two confirmations and a slow answer.
+ * A holder whose last successful append is older can't accept jobs. Another
+ * process may then take over, which costs callers less than waiting. This is
+ * the time of two confirmations and a slow answer.
  */
-#define REACHES_STORE_MS 1300
+#define STORE_REACHABLE_FOR_MS 1300
 
 /*
- * Without a successful append, and with one that failed: a store that is slow
- * for all takes some 250 ms for each.
+ * A holder counts as rejected by the store if its appends fail and the last
+ * successful one is older. A store that is slow for all takes some 250 ms for
+ * each append.
  */
-#define TURNED_AWAY_MS 300
+#define STORE_REJECTS_AFTER_MS 300
 
 /*
- * Hosts come and go in seconds. A decision looks at each of them several times:
- * taken in each turn of the loop, it was an eighth of the holder's time.
+ * Hosts come and go in seconds. Each run of the duties examines every host
+ * several times: run in each iteration of the loop, they took an eighth of the
+ * holder's time.
  */
-#define DUTIES_EVERY_MS 20
+#define DUTIES_PERIOD_MS 20
 
-/* Upstreams that a holder asks before leases run out. */
-#define RECOVERED_IN_TIME 1000
+/* Number of upstreams that a new holder can poll before leases expire. */
+#define UPSTREAMS_RECOVERED_IN_TIME 1000
 
-/* While something runs, and otherwise. */
+/* Wait for events while jobs are live or tasks run, and otherwise. */
 #define WAIT_BUSY_MS 20
 #define WAIT_IDLE_MS 80
 
 /*
- * Asked for at each poll, about once a second. A change of holder takes up
- * to 3 s in which nobody extends a lease; each second more leaves the tasks
- * of an upstream that has gone silent waiting for a second more.
+ * Lease requested at each poll, about once a second. A change of holder takes
+ * up to 3 s, in which nobody extends leases. Each second more delays by a
+ * second the restart of tasks of an upstream that has fallen silent.
  */
 #define LEASE_MS 4500
 
@@ -70,18 +72,18 @@
 static void make_scheduler(wwh_job_holder_t *holder);
 static void make_duties(wwh_job_holder_t *holder);
 static void make_journal(wwh_job_holder_t *holder);
-static int64_t quiet_ms(const wwh_job_holder_t *holder);
+static int64_t host_orders_delay_ms(const wwh_job_holder_t *holder);
 static void restore(wwh_job_holder_t *holder);
 static void restore_kind(wwh_job_holder_t *holder, wwh_keep_kind_t kind);
 static void on_durable(int64_t record, void *data);
 static void on_journal_lost(const char *why, void *data);
-static void on_reach(bool reached, const char *why, void *data);
+static void on_store_reachable(bool reached, const char *why, void *data);
 static wwh_bad_records_t *make_bad_records(wwh_job_holder_t *holder,
 					   const char *list);
 static void run_duties(wwh_job_holder_t *holder);
 static bool orders_allowed(wwh_job_holder_t *holder, bool suspended);
-static bool confirmed_within(const wwh_job_holder_t *holder, int64_t now_ms,
-			     int64_t limit_ms);
+static bool claim_confirmed_within(const wwh_job_holder_t *holder,
+				   int64_t now_ms, int64_t limit_ms);
 static bool may_order_hosts(const wwh_job_holder_t *holder);
 static void flush(wwh_job_holder_t *holder);
 
@@ -95,8 +97,8 @@
 		.wait_ms = UPSTREAMS_WAIT_MS,
 		.gap_ms = UPSTREAMS_GAP_MS,
 		.on_record = job_holder_on_upstream,
-		.on_nameless = job_holder_on_nameless_upstream,
-		.on_reach = on_reach,
+		.on_nameless = job_holder_on_keyless_upstream,
+		.on_reach = on_store_reachable,
 		.client_data = holder,
 	};
 
@@ -117,11 +119,11 @@
 	holder->overload_refusals =
 		wwh_counters_get(options->counters, "holder.overload_refusals");
 	holder->start_rate = wwh_start_rate_new();
-	holder->starts_counted = wwh_counter_value(holder->starts);
+	holder->starts_measured = wwh_counter_value(holder->starts);
 	holder->lost_jobs =
 		wwh_counters_get(options->counters, "holder.lost_jobs");
 	holder->bad_hosts = make_bad_records(holder, "hosts");
-	holder->bad_listed =
+	holder->bad_host_rows =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	holder->bad_records = make_bad_records(holder, "journal");
 	job_holder_upstreams_init(holder);
@@ -141,14 +143,14 @@
 	holder->deleted = true;
 	wwh_store_follower_delete(holder->upstreams);
 	wwh_shard_journal_delete(holder->journal);
-	job_holder_end_waiters(holder);
+	job_holder_abort_waiters(holder);
 	job_holder_unref(holder);
 }
 
 void wwh_job_holder_set_config(wwh_job_holder_t *holder,
 			       const wwh_job_config_t *config)
 {
-	job_holder_name_services(holder, config);
+	job_holder_set_services(holder, config);
 	for (guint i = 0; i < config->pools->len; i++) {
 		const wwh_job_pool_t *pool =
 			&g_array_index(config->pools, wwh_job_pool_t, i);
@@ -167,8 +169,8 @@
 	}
 }
 
-void wwh_job_holder_wave(wwh_job_holder_t *holder, const char *key,
-			 const uint8_t *value, size_t size)
+void wwh_job_holder_apply_wave(wwh_job_holder_t *holder, const char *key,
+			       const uint8_t *value, size_t size)
 {
 	wwh_wave_order_t *order = wire_operator_wave(key, value, size, NULL);
 
@@ -189,7 +191,7 @@
 		wwh_scheduler_run(holder->scheduler, now_ms, wall_ms);
 		job_holder_measure_starts(holder);
 		run_duties(holder);
-		job_holder_send_reports(holder);
+		job_holder_send_wave_reports(holder);
 	}
 	flush(holder);
 	wwh_shard_journal_run(holder->journal, now_ms);
@@ -205,7 +207,8 @@
 
 bool wwh_job_holder_is_large(const wwh_job_holder_t *holder)
 {
-	return wwh_scheduler_upstreams(holder->scheduler) > RECOVERED_IN_TIME;
+	return wwh_scheduler_upstreams(holder->scheduler) >
+	       UPSTREAMS_RECOVERED_IN_TIME;
 }
 
 int32_t wwh_job_holder_wait_ms(const wwh_job_holder_t *holder)
@@ -216,43 +219,45 @@
 							    : WAIT_IDLE_MS;
 }
 
-void wwh_job_holder_stop_duties(wwh_job_holder_t *holder, bool stop)
+void wwh_job_holder_pause_duties(wwh_job_holder_t *holder, bool paused)
 {
-	holder->stopping = stop;
+	holder->duties_paused = paused;
 }
 
-bool wwh_job_holder_orders_hosts(const wwh_job_holder_t *holder)
+bool wwh_job_holder_host_orders_pending(const wwh_job_holder_t *holder)
 {
-	return holder->host_orders_out > 0;
+	return holder->host_orders_pending > 0;
 }
 
-bool wwh_job_holder_settled(const wwh_job_holder_t *holder)
+bool wwh_job_holder_is_quiescent(const wwh_job_holder_t *holder)
 {
 	return holder->lost ||
 	       (g_queue_is_empty(holder->waiters) &&
-		!wwh_job_holder_orders_hosts(holder) &&
+		!wwh_job_holder_host_orders_pending(holder) &&
 		!wwh_scheduler_unflushed(holder->scheduler) &&
 		wwh_shard_journal_lag_ms(holder->journal, holder->now_ms) == 0);
 }
 
-bool wwh_job_holder_confirmed(const wwh_job_holder_t *holder, int64_t now_ms)
+bool wwh_job_holder_claim_confirmed(const wwh_job_holder_t *holder,
+				    int64_t now_ms)
 {
-	return confirmed_within(holder, now_ms, CONFIRMED_FOR_MS);
+	return claim_confirmed_within(holder, now_ms, CONFIRMED_FOR_MS);
 }
 
 bool wwh_job_holder_reaches_store(const wwh_job_holder_t *holder,
 				  int64_t now_ms)
 {
-	return confirmed_within(holder, now_ms, REACHES_STORE_MS);
+	return claim_confirmed_within(holder, now_ms, STORE_REACHABLE_FOR_MS);
 }
 
-bool wwh_job_holder_turned_away(const wwh_job_holder_t *holder, int64_t now_ms,
-				bool overloaded)
+bool wwh_job_holder_rejected_by_store(const wwh_job_holder_t *holder,
+				      int64_t now_ms, bool overloaded)
 {
 	bool failing = overloaded ? wwh_shard_journal_refused(holder->journal)
 				  : wwh_shard_journal_failing(holder->journal);
 
-	return failing && !confirmed_within(holder, now_ms, TURNED_AWAY_MS);
+	return failing &&
+	       !claim_confirmed_within(holder, now_ms, STORE_REJECTS_AFTER_MS);
 }
 
 void wwh_job_holder_dump(wwh_job_holder_t *holder, GString *out)
@@ -270,7 +275,7 @@
 	wwh_scheduler_dump(holder->scheduler, out, holder->now_ms);
 }
 
-void job_holder_tick(wwh_job_holder_t *holder)
+void job_holder_update_clock(wwh_job_holder_t *holder)
 {
 	holder->now_ms = MAX(holder->now_ms, holder->options.clock_ms());
 }
@@ -287,53 +292,52 @@
 	wwh_start_rate_delete(holder->start_rate);
 	wwh_host_duties_delete(holder->duties);
 	wwh_scheduler_delete(holder->scheduler);
-	job_holder_advice_clear(holder);
+	job_holder_clear_advice(holder);
 	g_queue_free(holder->advice);
 	g_queue_free_full(holder->waiters, g_free);
 	for (guint i = 0; i < holder->reports->len; i++)
 		g_byte_array_unref(g_ptr_array_index(holder->reports, i));
 	g_ptr_array_unref(holder->reports);
-	job_holder_upstreams_finish(holder);
+	job_holder_upstreams_clear(holder);
 	wwh_bad_records_delete(holder->bad_hosts);
-	g_hash_table_destroy(holder->bad_listed);
+	g_hash_table_destroy(holder->bad_host_rows);
 	wwh_bad_records_delete(holder->bad_records);
 	wwh_counter_set(holder->lost_jobs, 0);
-	g_free(holder->list_page);
+	g_free(holder->list_page_token);
 	g_free(holder);
 }
 
-/* The owner is told once and deletes the holder when it likes. */
-void job_holder_lose(wwh_job_holder_t *holder, const char *why)
+void job_holder_mark_lost(wwh_job_holder_t *holder, const char *why)
 {
 	if (holder->lost || holder->deleted)
 		return;
 	holder->lost = true;
-	job_holder_end_waiters(holder);
+	job_holder_abort_waiters(holder);
 	holder->options.on_lost(why, holder->options.client_data);
 }
 
-int64_t job_holder_keep(wwh_keep_kind_t kind, const char *key, GBytes *value,
-			void *client_data)
+int64_t job_holder_write_record(wwh_keep_kind_t kind, const char *key,
+				GBytes *value, void *client_data)
 {
 	wwh_job_holder_t *holder = client_data;
-	char *whole = g_strconcat(wwh_keep_kind_names[kind], key, NULL);
-	/* the first start at an upstream waits for its record */
+	char *journal_key = g_strconcat(wwh_keep_kind_names[kind], key, NULL);
+	/* the first start at an upstream waits for this record */
 	bool urgent =
 		holder->urgent || (kind == WWH_KEEP_UPSTREAM && value != NULL);
-	int64_t number = wwh_shard_journal_keep(holder->journal, whole, value,
-						urgent, holder->now_ms);
+	int64_t number = wwh_shard_journal_keep(holder->journal, journal_key,
+						value, urgent, holder->now_ms);
 
-	/* one that couldn't be read is replaced now */
+	/* an unreadable record of this key is replaced now */
 	if (value == NULL)
-		wwh_bad_records_gone(holder->bad_records, whole);
+		wwh_bad_records_gone(holder->bad_records, journal_key);
 	else
-		wwh_bad_records_whole(holder->bad_records, whole);
-	g_free(whole);
+		wwh_bad_records_whole(holder->bad_records, journal_key);
+	g_free(journal_key);
 	return number;
 }
 
-void job_holder_explain(const char *event, const char *subject,
-			const char *detail, void *client_data)
+void job_holder_log_event(const char *event, const char *subject,
+			  const char *detail, void *client_data)
 {
 	wwh_job_holder_t *holder = client_data;
 
@@ -351,7 +355,7 @@
 		.epoch = holder->options.epoch,
 		.next_sequence = holder->options.next_sequence,
 		.call_bytes = holder->options.settings->store_call_bytes,
-		.group_ms = GROUP_MS,
+		.group_ms = RECORD_GROUP_MS,
 		.on_durable = on_durable,
 		.on_lost = on_journal_lost,
 		.client_data = holder,
@@ -365,13 +369,13 @@
 	const wwh_host_settings_t *settings = holder->options.settings;
 	wwh_scheduler_options_t options = wwh_scheduler_options_defaults();
 	wwh_scheduler_calls_t calls = {
-		.start = job_holder_start,
-		.stop = job_holder_stop,
-		.poll = job_holder_poll,
-		.pace = job_holder_pace,
-		.advise = job_holder_advise,
-		.keep = job_holder_keep,
-		.explain = job_holder_explain,
+		.start = job_holder_start_task,
+		.stop = job_holder_stop_task,
+		.poll = job_holder_poll_upstream,
+		.pace = job_holder_pace_task,
+		.advise = job_holder_request_advice,
+		.keep = job_holder_write_record,
+		.explain = job_holder_log_event,
 		.client_data = holder,
 	};
 
@@ -394,25 +398,26 @@
 	};
 	wwh_host_duties_calls_t calls = {
 		.list = job_holder_list_hosts,
-		.upkeep = job_holder_upkeep,
-		.move = job_holder_move,
-		.report = job_holder_report,
-		.keep = job_holder_keep,
-		.explain = job_holder_explain,
+		.upkeep = job_holder_order_upkeep,
+		.move = job_holder_order_move,
+		.report = job_holder_report_wave,
+		.keep = job_holder_write_record,
+		.explain = job_holder_log_event,
 		.client_data = holder,
 	};
 
-	options.quiet_until_ms = holder->now_ms + quiet_ms(holder);
+	options.quiet_until_ms = holder->now_ms + host_orders_delay_ms(holder);
 	holder->duties = wwh_host_duties_new(&options, &calls);
 }
 
 /*
- * Connections to a holder are also refused while its host is cut off from this
- * one. It then learns of its end by its next record; hosts that check no
- * tokens carry out what it orders until then, also after orders of this
- * holder. A holder that gave the shard up has none on their way.
+ * A previous holder was found ended because connections to it were refused,
+ * which also happens while its host is cut off from this one. It then learns
+ * that it was replaced by its next record. Until then, hosts that don't check
+ * fencing tokens carry out its orders, also after orders of this holder. A
+ * holder that gave up the shard has no orders in flight.
  */
-static int64_t quiet_ms(const wwh_job_holder_t *holder)
+static int64_t host_orders_delay_ms(const wwh_job_holder_t *holder)
 {
 	const wwh_host_settings_t *settings = holder->options.settings;
 
@@ -439,7 +444,7 @@
 			     counts.lost_jobs);
 }
 
-/* Jobs come before their progress, as the kinds are numbered. */
+/* The order of wwh_keep_kind_t restores jobs before their progress. */
 static void restore_kind(wwh_job_holder_t *holder, wwh_keep_kind_t kind)
 {
 	GHashTableIter iterator;
@@ -474,7 +479,7 @@
 {
 	wwh_job_holder_t *holder = data;
 
-	job_holder_tick(holder);
+	job_holder_update_clock(holder);
 	holder->durable_record = record;
 	wwh_histogram_add(holder->append_ms,
 			  holder->now_ms - wwh_shard_journal_confirmed_ms(
@@ -489,10 +494,10 @@
 
 static void on_journal_lost(const char *why, void *data)
 {
-	job_holder_lose(data, why);
+	job_holder_mark_lost(data, why);
 }
 
-static void on_reach(bool reached, const char *why, void *data)
+static void on_store_reachable(bool reached, const char *why, void *data)
 {
 	wwh_job_holder_t *holder = data;
 
@@ -517,14 +522,14 @@
 {
 	if (holder->now_ms < holder->duties_after_ms)
 		return;
-	holder->duties_after_ms = holder->now_ms + DUTIES_EVERY_MS;
+	holder->duties_after_ms = holder->now_ms + DUTIES_PERIOD_MS;
 	wwh_host_duties_set_paused(holder->duties, !may_order_hosts(holder));
 	wwh_host_duties_run(holder->duties, holder->now_ms);
 }
 
 /*
- * A process that stood still may have been replaced meanwhile; what it
- * decided before is old. Orders wait for one append that succeeds.
+ * A process that was suspended may have been replaced meanwhile, and its
+ * decisions are outdated. Orders wait until one append has succeeded.
  */
 static bool orders_allowed(wwh_job_holder_t *holder, bool suspended)
 {
@@ -536,8 +541,8 @@
 	return holder->unconfirmed_since_ms == 0;
 }
 
-static bool confirmed_within(const wwh_job_holder_t *holder, int64_t now_ms,
-			     int64_t limit_ms)
+static bool claim_confirmed_within(const wwh_job_holder_t *holder,
+				   int64_t now_ms, int64_t limit_ms)
 {
 	int64_t confirmed_ms = wwh_shard_journal_confirmed_ms(holder->journal);
 
@@ -546,14 +551,15 @@
 }
 
 /*
- * Hosts that check no tokens carry out the orders of a holder that was
- * overtaken, beside those of the next one: a host too many is down. Without
- * the store it may be overtaken and not know of it, so it gives none. It stops
- * sooner than the hosts' lease is over, for which the next one waits.
+ * Hosts that don't check fencing tokens carry out the orders of a replaced
+ * holder beside those of the next one, which takes one host too many down. A
+ * holder that doesn't reach the store may have been replaced without knowing
+ * it, so it gives no orders. It stops before the hosts' lease expires, for
+ * which the next holder waits.
  */
 static bool may_order_hosts(const wwh_job_holder_t *holder)
 {
-	if (holder->stopping)
+	if (holder->duties_paused)
 		return false;
 	return holder->options.settings->hosts_fence ||
 	       wwh_job_holder_reaches_store(holder, holder->now_ms);
@@ -566,9 +572,9 @@
 	if (wwh_scheduler_unflushed(holder->scheduler) &&
 	    holder->now_ms >= holder->flush_after_ms) {
 		(void)wwh_scheduler_flush(holder->scheduler, holder->now_ms);
-		holder->flush_after_ms = holder->now_ms + GROUP_MS;
+		holder->flush_after_ms = holder->now_ms + RECORD_GROUP_MS;
 	}
-	if (holder->now_ms - confirmed_ms >= CONFIRM_EVERY_MS &&
+	if (holder->now_ms - confirmed_ms >= CONFIRM_PERIOD_MS &&
 	    wwh_shard_journal_lag_ms(holder->journal, holder->now_ms) == 0)
 		(void)wwh_shard_journal_keep(holder->journal, CONFIRM_KEY, NULL,
 					     true, holder->now_ms);
--- a/src/libwaxwinghollow/job_holder_hosts.c
+++ b/src/libwaxwinghollow/job_holder_hosts.c
@@ -5,20 +5,20 @@
 #include "wire_operator.h"
 #include "wire_store.h"
 
-#define LIST_LIMIT_MS 1500
-#define DUTY_LIMIT_MS 1500
-#define REPORT_LIMIT_MS 1000
+#define LIST_TIMEOUT_MS 1500
+#define HOST_ORDER_TIMEOUT_MS 1500
+#define REPORT_TIMEOUT_MS 1000
 #define REPORT_RETRY_MS 250
 
 typedef struct {
 	wwh_job_holder_t *holder;
 	char *host;
 	int64_t wave;
-} duty_t;
+} host_order_t;
 
-static void list_page(wwh_job_holder_t *holder);
+static void request_page(wwh_job_holder_t *holder);
 static void on_page(const wwh_http_answer_t *answer, void *data);
-static void take_host(const wwh_listed_host_t *host, void *data);
+static void on_listed_host(const wwh_listed_host_t *host, void *data);
 static void on_upkeep(const wwh_http_answer_t *answer, void *data);
 static void on_moved(const wwh_http_answer_t *answer, void *data);
 static void on_reported(const wwh_http_answer_t *answer, void *data);
@@ -27,45 +27,46 @@
 {
 	wwh_job_holder_t *holder = client_data;
 
-	g_clear_pointer(&holder->list_page, g_free);
-	g_hash_table_remove_all(holder->bad_listed);
+	g_clear_pointer(&holder->list_page_token, g_free);
+	g_hash_table_remove_all(holder->bad_host_rows);
 	wwh_host_duties_list_begin(holder->duties);
-	list_page(holder);
+	request_page(holder);
 }
 
-void job_holder_upkeep(const char *host, int64_t wave, void *client_data)
+void job_holder_order_upkeep(const char *host, int64_t wave, void *client_data)
 {
 	wwh_job_holder_t *holder = client_data;
-	duty_t *duty = g_new0(duty_t, 1);
+	host_order_t *order = g_new0(host_order_t, 1);
 	wwh_http_call_t *call = wire_hosts_upkeep(
 		holder->options.settings->hosts, holder->options.settings->name,
-		holder->options.epoch, host, wave, DUTY_LIMIT_MS);
+		holder->options.epoch, host, wave, HOST_ORDER_TIMEOUT_MS);
 
-	duty->holder = holder;
-	duty->host = g_strdup(host);
-	duty->wave = wave;
-	holder->host_orders_out++;
+	order->holder = holder;
+	order->host = g_strdup(host);
+	order->wave = wave;
+	holder->host_orders_pending++;
 	job_holder_ref(holder);
-	wwh_http_calls_send(holder->options.calls, call, on_upkeep, duty);
+	wwh_http_calls_send(holder->options.calls, call, on_upkeep, order);
 }
 
-void job_holder_move(const char *host, const char *pool, void *client_data)
+void job_holder_order_move(const char *host, const char *pool,
+			   void *client_data)
 {
 	wwh_job_holder_t *holder = client_data;
-	duty_t *duty = g_new0(duty_t, 1);
+	host_order_t *order = g_new0(host_order_t, 1);
 	wwh_http_call_t *call = wire_hosts_move(
 		holder->options.settings->hosts, holder->options.settings->name,
-		holder->options.epoch, host, pool, DUTY_LIMIT_MS);
+		holder->options.epoch, host, pool, HOST_ORDER_TIMEOUT_MS);
 
-	duty->holder = holder;
-	duty->host = g_strdup(host);
-	holder->host_orders_out++;
+	order->holder = holder;
+	order->host = g_strdup(host);
+	holder->host_orders_pending++;
 	job_holder_ref(holder);
-	wwh_http_calls_send(holder->options.calls, call, on_moved, duty);
+	wwh_http_calls_send(holder->options.calls, call, on_moved, order);
 }
 
-void job_holder_report(const wwh_wave_order_t *order, bool completed,
-		       void *client_data)
+void job_holder_report_wave(const wwh_wave_order_t *order, bool completed,
+			    void *client_data)
 {
 	wwh_job_holder_t *holder = client_data;
 	GBytes *state = wire_operator_wave_state(order, completed);
@@ -78,11 +79,11 @@
 	g_ptr_array_add(holder->reports, body);
 	g_bytes_unref(state);
 	g_free(key);
-	job_holder_send_reports(holder);
+	job_holder_send_wave_reports(holder);
 }
 
-/* In their order: "completed" must not be overwritten by "active". */
-void job_holder_send_reports(wwh_job_holder_t *holder)
+/* Sent in order, so that "active" can't overwrite a later "completed". */
+void job_holder_send_wave_reports(wwh_job_holder_t *holder)
 {
 	wire_writer_t writer = { 0 };
 	wwh_http_call_t *call;
@@ -93,13 +94,13 @@
 	call = wire_store_append(
 		holder->options.settings->store, WIRE_TOPIC_STATUS, 0, &writer,
 		g_byte_array_ref(g_ptr_array_index(holder->reports, 0)),
-		REPORT_LIMIT_MS);
+		REPORT_TIMEOUT_MS);
 	holder->report_in_flight = true;
 	job_holder_ref(holder);
 	wwh_http_calls_send(holder->options.calls, call, on_reported, holder);
 }
 
-static void list_page(wwh_job_holder_t *holder)
+static void request_page(wwh_job_holder_t *holder)
 {
 	wwh_http_call_t *call;
 
@@ -108,7 +109,7 @@
 		return;
 	}
 	call = wire_hosts_list(holder->options.settings->hosts,
-			       holder->list_page, LIST_LIMIT_MS);
+			       holder->list_page_token, LIST_TIMEOUT_MS);
 	job_holder_ref(holder);
 	wwh_http_calls_send(holder->options.calls, call, on_page, holder);
 }
@@ -123,28 +124,28 @@
 		job_holder_unref(holder);
 		return;
 	}
-	job_holder_tick(holder);
-	ok = wire_hosts_listed(answer, &next, take_host, holder);
-	g_free(holder->list_page);
-	holder->list_page = next;
+	job_holder_update_clock(holder);
+	ok = wire_hosts_listed(answer, &next, on_listed_host, holder);
+	g_free(holder->list_page_token);
+	holder->list_page_token = next;
 	if (ok && next != NULL) {
-		list_page(holder);
+		request_page(holder);
 	} else {
 		if (ok)
 			wwh_bad_records_listed(holder->bad_hosts,
-					       holder->bad_listed);
+					       holder->bad_host_rows);
 		wwh_host_duties_list_end(holder->duties, ok, holder->now_ms);
 	}
 	job_holder_unref(holder);
 }
 
-static void take_host(const wwh_listed_host_t *host, void *data)
+static void on_listed_host(const wwh_listed_host_t *host, void *data)
 {
 	wwh_job_holder_t *holder = data;
 	const char *name = host->name == NULL ? "(nameless)" : host->name;
 
 	if (host->unreadable != NULL) {
-		g_hash_table_add(holder->bad_listed, g_strdup(name));
+		g_hash_table_add(holder->bad_host_rows, g_strdup(name));
 		wwh_bad_records_found(holder->bad_hosts, name,
 				      host->unreadable);
 	} else {
@@ -155,40 +156,40 @@
 
 static void on_upkeep(const wwh_http_answer_t *answer, void *data)
 {
-	duty_t *duty = data;
-	wwh_job_holder_t *holder = duty->holder;
+	host_order_t *order = data;
+	wwh_job_holder_t *holder = order->holder;
 	wwh_duty_result_t result = wire_hosts_result(answer);
 
-	holder->host_orders_out--;
-	job_holder_tick(holder);
+	holder->host_orders_pending--;
+	job_holder_update_clock(holder);
 	if (!holder->deleted && !holder->lost) {
-		wwh_host_duties_upkeep_ended(holder->duties, duty->host,
-					     duty->wave, result,
+		wwh_host_duties_upkeep_ended(holder->duties, order->host,
+					     order->wave, result,
 					     holder->now_ms);
 		if (result == WWH_DUTY_FENCED)
-			job_holder_lose(holder, "fenced-at-upkeep");
+			job_holder_mark_lost(holder, "fenced-at-upkeep");
 	}
-	g_free(duty->host);
-	g_free(duty);
+	g_free(order->host);
+	g_free(order);
 	job_holder_unref(holder);
 }
 
 static void on_moved(const wwh_http_answer_t *answer, void *data)
 {
-	duty_t *duty = data;
-	wwh_job_holder_t *holder = duty->holder;
+	host_order_t *order = data;
+	wwh_job_holder_t *holder = order->holder;
 	wwh_duty_result_t result = wire_hosts_result(answer);
 
-	holder->host_orders_out--;
-	job_holder_tick(holder);
+	holder->host_orders_pending--;
+	job_holder_update_clock(holder);
 	if (!holder->deleted && !holder->lost) {
-		wwh_host_duties_move_ended(holder->duties, duty->host, result,
+		wwh_host_duties_move_ended(holder->duties, order->host, result,
 					   holder->now_ms);
 		if (result == WWH_DUTY_FENCED)
-			job_holder_lose(holder, "fenced-at-move");
+			job_holder_mark_lost(holder, "fenced-at-move");
 	}
-	g_free(duty->host);
-	g_free(duty);
+	g_free(order->host);
+	g_free(order);
 	job_holder_unref(holder);
 }
 
@@ -197,11 +198,12 @@
 	wwh_job_holder_t *holder = data;
 	wire_store_result_t result = wire_store_append_answer(answer);
 
-	job_holder_tick(holder);
+	job_holder_update_clock(holder);
 	holder->report_in_flight = false;
 	if (result == WIRE_STORE_OK || result == WIRE_STORE_BAD) {
 		if (result == WIRE_STORE_BAD)
-			g_warning("the state of a wave isn't taken: status %d",
+			g_warning("store rejected a wave state record: HTTP "
+				  "status %d",
 				  answer->status);
 		g_byte_array_unref(g_ptr_array_index(holder->reports, 0));
 		g_ptr_array_remove_index(holder->reports, 0);
--- a/src/libwaxwinghollow/job_holder_orders.c
+++ b/src/libwaxwinghollow/job_holder_orders.c
@@ -4,30 +4,31 @@
 #include "wire_upstream.h"
 
 /*
- * An upstream answers in some ms. One that doesn't within this time is asked
- * what runs there; longer would hold back the task, shorter would ask often.
+ * Upstreams answer within milliseconds. One that hasn't answered within this
+ * time is polled for its running tasks: a longer time-out would delay the task,
+ * a shorter one would poll often.
  */
-#define ORDER_LIMIT_MS 1000
+#define ORDER_TIMEOUT_MS 1000
 
-/* Advice takes a time for each upstream named, and waits its turn. */
-#define ADVICE_LIMIT_MS 4000
+/* Advice takes time for each upstream in the request, and waits its turn. */
+#define ADVICE_TIMEOUT_MS 4000
 
-/* Where the answer doesn't say how long tickets are good. */
+/* Validity of tickets where the answer doesn't state it. */
 #define ADVICE_VALID_MS 2000
 
 typedef struct {
 	wwh_job_holder_t *holder;
 	char *upstream;
-	char task[WWH_TASK_NAME_BYTES]; /* of advice: the step */
+	char task[WWH_TASK_NAME_BYTES]; /* for advice: the step */
 	int64_t run;
 	int64_t sent_ms;
-	wwh_http_call_t *call; /* of advice, while it waits its turn */
+	wwh_http_call_t *call; /* for advice, until it is sent */
 } order_t;
 
 static order_t *order_new(wwh_job_holder_t *holder, const char *upstream,
 			  const char *task, int64_t run);
 static void order_delete(order_t *order);
-static bool is_over(const order_t *order);
+static bool holder_has_ended(const order_t *order);
 static void on_started(const wwh_http_answer_t *answer, void *data);
 static void on_stopped(const wwh_http_answer_t *answer, void *data);
 static void on_paced(const wwh_http_answer_t *answer, void *data);
@@ -35,25 +36,26 @@
 static void on_advised(const wwh_http_answer_t *answer, void *data);
 static void send_advice(wwh_job_holder_t *holder);
 
-void job_holder_start(const wwh_start_order_t *order, void *client_data)
+void job_holder_start_task(const wwh_start_order_t *order, void *client_data)
 {
 	wwh_job_holder_t *holder = client_data;
 	wwh_http_call_t *call = wire_upstream_start(
-		order, holder->options.epoch, ORDER_LIMIT_MS);
+		order, holder->options.epoch, ORDER_TIMEOUT_MS);
 
-	/* it may wait for a connection until its upstream has left */
-	call->send_limit_ms = MAX(holder->start_until_ms - holder->now_ms, 1);
+	/* don't send it after a wait in which the upstream may have left */
+	call->send_limit_ms =
+		MAX(holder->starts_allowed_until_ms - holder->now_ms, 1);
 	wwh_counter_add(holder->starts, 1);
 	wwh_http_calls_send(
 		holder->options.calls, call, on_started,
 		order_new(holder, order->upstream, order->task, order->run));
 }
 
-void job_holder_stop(const wwh_stop_order_t *order, void *client_data)
+void job_holder_stop_task(const wwh_stop_order_t *order, void *client_data)
 {
 	wwh_job_holder_t *holder = client_data;
 	wwh_http_call_t *call = wire_upstream_stop(order, holder->options.epoch,
-						   ORDER_LIMIT_MS);
+						   ORDER_TIMEOUT_MS);
 
 	wwh_counter_add(holder->stops, 1);
 	wwh_http_calls_send(
@@ -61,7 +63,7 @@
 		order_new(holder, order->upstream, order->task, order->run));
 }
 
-void job_holder_poll(const wwh_poll_order_t *order, void *client_data)
+void job_holder_poll_upstream(const wwh_poll_order_t *order, void *client_data)
 {
 	wwh_job_holder_t *holder = client_data;
 	wwh_http_call_t *call =
@@ -72,19 +74,20 @@
 			    order_new(holder, order->upstream, "", 0));
 }
 
-void job_holder_pace(const wwh_pace_order_t *order, void *client_data)
+void job_holder_pace_task(const wwh_pace_order_t *order, void *client_data)
 {
 	wwh_job_holder_t *holder = client_data;
 	wwh_http_call_t *call = wire_upstream_pace(order, holder->options.epoch,
-						   ORDER_LIMIT_MS);
+						   ORDER_TIMEOUT_MS);
 
 	wwh_http_calls_send(
 		holder->options.calls, call, on_paced,
 		order_new(holder, order->upstream, order->task, order->run));
 }
 
-/* The service takes one call of a process at a time and drops many at once. */
-void job_holder_advise(const wwh_advice_order_t *order, void *client_data)
+/* The service takes one call per process and drops concurrent ones. */
+void job_holder_request_advice(const wwh_advice_order_t *order,
+			       void *client_data)
 {
 	wwh_job_holder_t *holder = client_data;
 	order_t *waiting;
@@ -96,12 +99,12 @@
 	}
 	waiting = order_new(holder, "", order->step, 0);
 	waiting->call = wire_upstream_advise(
-		order, holder->options.settings->advice, ADVICE_LIMIT_MS);
+		order, holder->options.settings->advice, ADVICE_TIMEOUT_MS);
 	g_queue_push_tail(holder->advice, waiting);
 	send_advice(holder);
 }
 
-void job_holder_advice_clear(wwh_job_holder_t *holder)
+void job_holder_clear_advice(wwh_job_holder_t *holder)
 {
 	while (!g_queue_is_empty(holder->advice)) {
 		order_t *order = g_queue_pop_head(holder->advice);
@@ -122,7 +125,7 @@
 	g_strlcpy(order->task, task, sizeof(order->task));
 	order->run = run;
 	order->sent_ms = holder->now_ms;
-	/* what waits its turn is dropped with the holder */
+	/* a queued advice request is deleted with the holder: no reference */
 	if (upstream[0] != '\0')
 		job_holder_ref(holder);
 	return order;
@@ -137,10 +140,10 @@
 	job_holder_unref(holder);
 }
 
-/* Asked at the begin of each call back. */
-static bool is_over(const order_t *order)
+/* Called first in each callback, as it also updates the clock. */
+static bool holder_has_ended(const order_t *order)
 {
-	job_holder_tick(order->holder);
+	job_holder_update_clock(order->holder);
 	return order->holder->deleted || order->holder->lost;
 }
 
@@ -149,14 +152,14 @@
 	order_t *order = data;
 	wwh_order_result_t result = wire_upstream_result(answer);
 
-	if (!is_over(order)) {
+	if (!holder_has_ended(order)) {
 		wwh_histogram_add(order->holder->start_ms,
 				  order->holder->now_ms - order->sent_ms);
 		wwh_scheduler_start_ended(
 			order->holder->scheduler, order->upstream, order->task,
 			order->run, result, order->holder->now_ms);
 		if (result == WWH_ORDER_FENCED)
-			job_holder_lose(order->holder, "fenced-at-start");
+			job_holder_mark_lost(order->holder, "fenced-at-start");
 	}
 	order_delete(order);
 }
@@ -166,12 +169,12 @@
 	order_t *order = data;
 	wwh_order_result_t result = wire_upstream_result(answer);
 
-	if (!is_over(order)) {
+	if (!holder_has_ended(order)) {
 		wwh_scheduler_stop_ended(
 			order->holder->scheduler, order->upstream, order->task,
 			order->run, result, order->holder->now_ms);
 		if (result == WWH_ORDER_FENCED)
-			job_holder_lose(order->holder, "fenced-at-stop");
+			job_holder_mark_lost(order->holder, "fenced-at-stop");
 	}
 	order_delete(order);
 }
@@ -180,7 +183,7 @@
 {
 	order_t *order = data;
 
-	if (!is_over(order))
+	if (!holder_has_ended(order))
 		wwh_scheduler_pace_ended(
 			order->holder->scheduler, order->upstream, order->task,
 			order->run, wire_upstream_result(answer),
@@ -195,7 +198,7 @@
 	wire_poll_t poll;
 	wwh_order_result_t result;
 
-	if (is_over(order)) {
+	if (holder_has_ended(order)) {
 		order_delete(order);
 		return;
 	}
@@ -211,7 +214,7 @@
 					       order->upstream, holder->now_ms);
 		break;
 	case WWH_ORDER_FENCED:
-		job_holder_lose(holder, "fenced-at-poll");
+		job_holder_mark_lost(holder, "fenced-at-poll");
 		break;
 	default:
 		wwh_scheduler_poll_failed(holder->scheduler, order->upstream,
@@ -230,7 +233,7 @@
 	wire_advice_t advice;
 
 	holder->advice_in_flight = false;
-	if (is_over(order)) {
+	if (holder_has_ended(order)) {
 		order_delete(order);
 		return;
 	}
--- a/src/libwaxwinghollow/job_holder_requests.c
+++ b/src/libwaxwinghollow/job_holder_requests.c
@@ -3,60 +3,61 @@
 #include "private/job_holder_state.h"
 
 /*
- * With records waiting for longer the store is down for this process, and a
- * submission would only wait with them.
+ * If records have waited for longer, the store is unreachable for this process,
+ * and a new submission would only wait as well.
  */
-#define STALLED_MS 700
+#define STALLED_AFTER_MS 700
 
 /*
- * A record waits for the append before its own to end: where appends are slow,
- * one that takes its course is no sign of a store that is down.
+ * A record waits for the previous append to end before its own starts. Where
+ * appends are slow, a wait of less than this many appends is therefore no sign
+ * of an unreachable store.
  */
 #define SLOW_APPENDS 3
 
 /*
- * The same where the store answers and refuses: it isn't slow then, and three
- * tries in a row were refused.
+ * Limit where the store answers, but refuses appends: it isn't slow then, and
+ * three successive tries were refused within this time.
  */
-#define REFUSED_STALLED_MS 150
+#define REFUSED_STALLED_AFTER_MS 150
 
 #define STALLED_RETRY_AFTER_S 1
 
-/* Callers who are told to come back later than this have given up by then. */
+/* Callers that were asked to wait for longer have given up by then. */
 #define OVERLOADED_RETRY_AFTER_MAX_S 5
 #define SECOND_MS 1000
 
 /*
- * Why a job is neither taken nor said to be unknown: it was accepted, and what
- * became of it can't be read. Taken anew, its tasks would run a second time.
+ * A job whose record is unreadable was accepted, and its state is lost. It is
+ * neither accepted again, as its tasks would run twice, nor reported unknown.
  */
-#define RECORD_LOST "record-unreadable"
+#define REASON_RECORD_UNREADABLE "record-unreadable"
 
 typedef struct {
 	int64_t record;
-	char job[WWH_JOB_ID_CHARS + 1]; /* that is handed in; empty: none */
+	char job[WWH_JOB_ID_CHARS + 1]; /* submitted job; empty: none */
 	wwh_job_answer_t answer;
 	wwh_job_answered_t done;
 	void *client_data;
 } waiter_t;
 
-static void wait_for(wwh_job_holder_t *holder, int64_t record, const char *job,
-		     const wwh_job_answer_t *answer, wwh_job_answered_t done,
-		     void *client_data);
-static bool take_back(wwh_job_holder_t *holder, const char *job,
-		      int64_t record);
+static void wait_for_record(wwh_job_holder_t *holder, int64_t record,
+			    const char *job, const wwh_job_answer_t *answer,
+			    wwh_job_answered_t done, void *client_data);
+static bool discard_job(wwh_job_holder_t *holder, const char *job,
+			int64_t record);
 static void refuse_waiters(wwh_job_holder_t *holder, int64_t record);
 static bool is_stalled(const wwh_job_holder_t *holder);
-static int64_t too_late_by_ms(const wwh_job_holder_t *holder,
-			      const wwh_job_t *job);
+static int64_t expected_lateness_ms(const wwh_job_holder_t *holder,
+				    const wwh_job_t *job);
 static void refuse_overloaded(wwh_job_holder_t *holder, const wwh_job_t *job,
 			      int64_t late_ms, wwh_job_answered_t done,
 			      void *client_data);
 static void answer_not_done(const char *why, wwh_job_answered_t done,
 			    void *client_data);
 
-bool wwh_job_holder_hides(const wwh_job_holder_t *holder, const char *id,
-			  const char *workspace)
+bool wwh_job_holder_owned_by_other(const wwh_job_holder_t *holder,
+				   const char *id, const char *workspace)
 {
 	const char *owner = wwh_scheduler_job_workspace(holder->scheduler, id);
 
@@ -76,7 +77,7 @@
 
 	if (wwh_scheduler_job_lost(holder->scheduler, job->id)) {
 		wwh_job_delete(job);
-		answer_not_done(RECORD_LOST, done, client_data);
+		answer_not_done(REASON_RECORD_UNREADABLE, done, client_data);
 		return;
 	}
 	if (holder->lost || holder->unconfirmed_since_ms != 0 ||
@@ -85,7 +86,7 @@
 		answer_not_done("store-unreachable", done, client_data);
 		return;
 	}
-	late_ms = known ? 0 : too_late_by_ms(holder, job);
+	late_ms = known ? 0 : expected_lateness_ms(holder, job);
 	if (late_ms > 0) {
 		refuse_overloaded(holder, job, late_ms, done, client_data);
 		wwh_job_delete(job);
@@ -96,15 +97,15 @@
 	(void)wwh_scheduler_submit(holder->scheduler, job, holder->now_ms,
 				   &record);
 	holder->urgent = false;
-	wait_for(holder, record, id, &answer, done, client_data);
+	wait_for_record(holder, record, id, &answer, done, client_data);
 	wwh_shard_journal_run(holder->journal, holder->now_ms);
 }
 
 /*
- * Callers whose jobs wait behind a call that the store doesn't answer would
- * wait for their deadlines, be told nothing, and their jobs would run for
- * nobody after the store's return. Their records were never sent, so that the
- * jobs can be taken back, and "not accepted" is true.
+ * Callers whose jobs wait behind an append that the store doesn't answer would
+ * get no answer before their deadlines, and their jobs would run for nobody
+ * once the store is reachable again. The records of these jobs were never sent,
+ * so that the jobs can be discarded and "not accepted" is true.
  */
 void job_holder_refuse_unsent(wwh_job_holder_t *holder)
 {
@@ -120,12 +121,13 @@
 		g_strlcpy(job, waiter->job, sizeof(job));
 		while (at != NULL && ((waiter_t *)at->data)->record == record)
 			at = at->prev;
-		if (job[0] != '\0' && take_back(holder, job, record))
+		if (job[0] != '\0' && discard_job(holder, job, record))
 			refuse_waiters(holder, record);
 	}
 }
 
-static bool take_back(wwh_job_holder_t *holder, const char *job, int64_t record)
+static bool discard_job(wwh_job_holder_t *holder, const char *job,
+			int64_t record)
 {
 	if (!wwh_scheduler_untouched(holder->scheduler, job) ||
 	    !wwh_shard_journal_take_back(holder->journal, record))
@@ -155,11 +157,11 @@
 static bool is_stalled(const wwh_job_holder_t *holder)
 {
 	int64_t limit_ms =
-		MAX(STALLED_MS,
+		MAX(STALLED_AFTER_MS,
 		    SLOW_APPENDS * wwh_shard_journal_took_ms(holder->journal));
 
 	if (wwh_shard_journal_refused(holder->journal))
-		limit_ms = REFUSED_STALLED_MS;
+		limit_ms = REFUSED_STALLED_AFTER_MS;
 	return wwh_shard_journal_lag_ms(holder->journal, holder->now_ms) >
 	       limit_ms;
 }
@@ -177,9 +179,9 @@
 	holder->urgent = true;
 	if (wwh_scheduler_cancel(holder->scheduler, id, holder->now_ms,
 				 &record)) {
-		wait_for(holder, record, "", &answer, done, client_data);
+		wait_for_record(holder, record, "", &answer, done, client_data);
 		wwh_shard_journal_run(holder->journal, holder->now_ms);
-	} else if (wwh_job_holder_confirmed(holder, holder->now_ms)) {
+	} else if (wwh_job_holder_claim_confirmed(holder, holder->now_ms)) {
 		answer.kind = WWH_JOB_ANSWER_NO_JOB;
 		answer.why = "no-such-job";
 		done(&answer, client_data);
@@ -190,21 +192,21 @@
 }
 
 /*
- * "No such job" is said only while the claim is sure: a holder that was
- * overtaken doesn't know the jobs that its successor has accepted.
+ * "No such job" is answered only while the claim is confirmed: a replaced
+ * holder doesn't know the jobs that its successor has accepted.
  */
-void wwh_job_holder_state(wwh_job_holder_t *holder, const char *id,
-			  wwh_job_answered_t done, void *client_data)
+void wwh_job_holder_query_state(wwh_job_holder_t *holder, const char *id,
+				wwh_job_answered_t done, void *client_data)
 {
 	wwh_job_answer_t answer = { .kind = WWH_JOB_ANSWER_OK };
 
 	if (wwh_scheduler_job_lost(holder->scheduler, id)) {
-		answer_not_done(RECORD_LOST, done, client_data);
+		answer_not_done(REASON_RECORD_UNREADABLE, done, client_data);
 		return;
 	}
 	answer.state = wwh_scheduler_job_state(holder->scheduler, id);
 	if (answer.state == WWH_PROGRESS_UNKNOWN) {
-		if (!wwh_job_holder_confirmed(holder, holder->now_ms)) {
+		if (!wwh_job_holder_claim_confirmed(holder, holder->now_ms)) {
 			answer_not_done("not-confirmed", done, client_data);
 			return;
 		}
@@ -214,12 +216,12 @@
 	done(&answer, client_data);
 }
 
-void wwh_job_holder_pending(wwh_job_holder_t *holder, const char *queue,
-			    wwh_job_answered_t done, void *client_data)
+void wwh_job_holder_query_pending(wwh_job_holder_t *holder, const char *queue,
+				  wwh_job_answered_t done, void *client_data)
 {
 	wwh_job_answer_t answer = { .kind = WWH_JOB_ANSWER_OK };
 
-	if (!wwh_job_holder_confirmed(holder, holder->now_ms)) {
+	if (!wwh_job_holder_claim_confirmed(holder, holder->now_ms)) {
 		answer_not_done("not-confirmed", done, client_data);
 		return;
 	}
@@ -240,8 +242,8 @@
 	}
 }
 
-/* Their records may be stored or not: nothing is claimed either way. */
-void job_holder_end_waiters(wwh_job_holder_t *holder)
+/* The waiters' records may be stored or not, so the answer is "unknown". */
+void job_holder_abort_waiters(wwh_job_holder_t *holder)
 {
 	wwh_job_answer_t answer = {
 		.kind = WWH_JOB_ANSWER_UNKNOWN,
@@ -256,10 +258,10 @@
 	}
 }
 
-/* Waiters are kept in the order of their records; most come last. */
-static void wait_for(wwh_job_holder_t *holder, int64_t record, const char *job,
-		     const wwh_job_answer_t *answer, wwh_job_answered_t done,
-		     void *client_data)
+/* Waiters are sorted by record number; most new ones belong at the tail. */
+static void wait_for_record(wwh_job_holder_t *holder, int64_t record,
+			    const char *job, const wwh_job_answer_t *answer,
+			    wwh_job_answered_t done, void *client_data)
 {
 	GList *at = holder->waiters->tail;
 	waiter_t *waiter;
@@ -283,12 +285,14 @@
 }
 
 /*
- * A holder that accepts more than it can start lets all jobs be late. One that is
- * bound to be late is refused while its caller can still come back; lasting and
- * timed ones are few, and their tasks go first.
+ * Returns by how much the first start of job is expected to miss its latest
+ * time; 0 or less: it isn't late. A holder that accepts more than it can start
+ * makes all jobs late, so a job that is bound to be late is refused while its
+ * caller can still retry. Jobs with lasting tasks and timed jobs are exempt:
+ * they are few, and their tasks are started first.
  */
-static int64_t too_late_by_ms(const wwh_job_holder_t *holder,
-			      const wwh_job_t *job)
+static int64_t expected_lateness_ms(const wwh_job_holder_t *holder,
+				    const wwh_job_t *job)
 {
 	int64_t slack_ms = wwh_scheduler_slack_ms(job);
 	int32_t tasks =
@@ -297,7 +301,7 @@
 
 	if (slack_ms < 0)
 		return 0;
-	/* next to nothing is started before it has recovered */
+	/* almost nothing is started before the holder has recovered */
 	if (holder->overloaded || wwh_job_holder_is_large(holder))
 		wait_ms = MAX(wait_ms,
 			      wwh_scheduler_recovery_ms(holder->scheduler,
--- a/src/test_job_holder/test_entries.c
+++ b/src/test_job_holder/test_entries.c
@@ -1,6 +1,7 @@
 /*
- * Entries of the registry of upstreams that another writer has changed: in
- * the first list, in a later change, mended by their writer, and gone.
+ * Damaged entries in the registry of upstreams: present at the first read,
+ * damaged by a later change, repaired by their writer, and removed. Also
+ * unreadable job records, and the acceptance of jobs under load.
  */
 
 #include "test_job_holder.h"
@@ -13,8 +14,8 @@
 #define WAIT_MAX_MS 15000
 #define TASKS 3
 #define SMALL_TASKS 10
-#define JOBS_A_TURN 20
-#define MORE_THAN_ARE_RECOVERED_IN_TIME 1001
+#define JOBS_PER_ITERATION 20
+#define LARGE_HOLDER_UPSTREAMS 1001
 
 typedef struct {
 	standin_t *standin;
@@ -26,20 +27,20 @@
 	wwh_job_holder_options_t options;
 	wwh_job_holder_t *holder;
 	wwh_job_config_t *config;
-	char *whole[STANDIN_UPSTREAMS]; /* entries as their writers have them */
+	char *valid_entries[STANDIN_UPSTREAMS]; /* as first written */
 	int32_t jobs;
 	int32_t accepted;
 	int32_t refused;
-	wwh_job_answer_kind_t told; /* to the last caller */
+	wwh_job_answer_kind_t last_answer;
 } fixture_t;
 
-/* Each kind of damage to an entry; NULL: what its writer says. */
-static const char *const damages[] = {
+/* One damaged entry of each kind; put_entry replaces "" by a zero byte. */
+static const char *const damaged_entries[] = {
 	"",   "\xff\xfe\xfd",	       "{\"service\":\"desk\"",
 	"[]", "{\"state\":\"ready\"}", "{\"service\":\"desk\",\"address\":7}",
 };
 
-static int64_t read_wall(void)
+static int64_t read_wall_ms(void)
 {
 	return g_get_real_time() / 1000;
 }
@@ -65,7 +66,7 @@
 	standin_part_t *part;
 
 	fixture->standin = standin_new();
-	/* tasks end only when a test is done with them */
+	/* tasks run for longer than any test */
 	fixture->standin->task_ms = 60000;
 	part = standin_part(fixture->standin, "keyed.servers", "0");
 	for (guint i = 0; i < STANDIN_UPSTREAMS; i++) {
@@ -73,7 +74,7 @@
 		gsize size;
 		const char *text = g_bytes_get_data(record->value, &size);
 
-		fixture->whole[i] = g_strndup(text, size);
+		fixture->valid_entries[i] = g_strndup(text, size);
 	}
 	fixture->counters = wwh_counters_new();
 	fixture->calls = wwh_http_calls_new(fixture->counters);
@@ -88,7 +89,7 @@
 	fixture->log.lines_per_s = 1000;
 	fixture->log.bytes_per_s = 1000000;
 	fixture->log.now_ms = standin_now_ms;
-	fixture->log.wall_ms = read_wall;
+	fixture->log.wall_ms = read_wall_ms;
 	fixture->options = (wwh_job_holder_options_t){
 		.settings = &fixture->settings,
 		.calls = fixture->calls,
@@ -101,7 +102,7 @@
 		.next_sequence = 1,
 		.records = fixture->records,
 		.clock_ms = standin_now_ms,
-		.wall_ms = read_wall(),
+		.wall_ms = read_wall_ms(),
 		.on_lost = on_lost,
 	};
 	fixture->config = wwh_job_config_new(1);
@@ -124,12 +125,12 @@
 	close(fixture->log.fd);
 	standin_delete(fixture->standin);
 	for (guint i = 0; i < STANDIN_UPSTREAMS; i++)
-		g_free(fixture->whole[i]);
+		g_free(fixture->valid_entries[i]);
 	g_free(fixture);
 	return 0;
 }
 
-static void begin(fixture_t *fixture)
+static void start_holder(fixture_t *fixture)
 {
 	fixture->holder = wwh_job_holder_new(&fixture->options);
 	wwh_job_holder_set_config(fixture->holder, fixture->config);
@@ -141,12 +142,12 @@
 
 	while (standin_now_ms() < end_ms) {
 		wwh_job_holder_run(fixture->holder, standin_now_ms(),
-				   read_wall(), false);
+				   read_wall_ms(), false);
 		wwh_http_calls_poll(fixture->calls, 10);
 	}
 }
 
-/* value NULL: the entry is removed; "": it is one byte that says nothing. */
+/* value NULL removes the entry; "" makes it a single zero byte. */
 static void put_entry(fixture_t *fixture, const char *id, const char *value)
 {
 	static const uint8_t one_byte[] = { 0 };
@@ -161,7 +162,7 @@
 	g_mutex_unlock(&fixture->standin->lock);
 }
 
-static bool dump_says(fixture_t *fixture, const char *text)
+static bool dump_contains(fixture_t *fixture, const char *text)
 {
 	GString *out = g_string_new(NULL);
 	bool found;
@@ -176,17 +177,18 @@
 {
 	int64_t end_ms = standin_now_ms() + WAIT_MAX_MS;
 
-	while (dump_says(fixture, text) != there && standin_now_ms() < end_ms)
+	while (dump_contains(fixture, text) != there &&
+	       standin_now_ms() < end_ms)
 		run_for(fixture, 20);
-	assert_int_equal(dump_says(fixture, text), there);
+	assert_int_equal(dump_contains(fixture, text), there);
 }
 
-static int64_t counted(fixture_t *fixture, const char *name)
+static int64_t counter_value(fixture_t *fixture, const char *name)
 {
 	return wwh_counter_value(wwh_counters_get(fixture->counters, name));
 }
 
-/* All upstreams but u0 are whole, and have answered. */
+/* Runs until all upstreams but u0, whose entries are valid, have answered. */
 static void run_until_others_settled(fixture_t *fixture)
 {
 	run_until(fixture, "upstream u1 pool=desk listed=1 leaving=0 settled=1",
@@ -195,7 +197,7 @@
 		  true);
 }
 
-/* A job of one step; the caller changes it before it is submitted. */
+/* Returns a job of one step, which the caller may change and submit. */
 static wwh_job_t *new_job(fixture_t *fixture, int32_t tasks)
 {
 	wwh_job_t *job = wwh_job_new(1);
@@ -206,7 +208,7 @@
 	job->queue.max_attempts = 3;
 	job->queue.stretch_permille = 1600;
 	job->payload = g_strdup("text");
-	job->accepted_wall_ms = read_wall();
+	job->accepted_wall_ms = read_wall_ms();
 	job->steps[0].task_count = tasks;
 	job->steps[0].estimate_ms = 1000;
 	return job;
@@ -242,25 +244,26 @@
 }
 
 /*
- * One of three entries can't be read when a holder begins. The others are
- * used; this one is from when its writer has mended it, and until it is gone.
+ * One of three entries is unreadable when a holder starts. The other upstreams
+ * are used; this one is used once its writer has repaired the entry, until the
+ * entry is removed.
  */
-void an_upstream_that_cant_be_read_at_first_is_not_used(void **state)
+void an_upstream_with_an_unreadable_entry_is_not_used(void **state)
 {
 	fixture_t *fixture = *state;
 
-	put_entry(fixture, "u0", damages[2]);
-	begin(fixture);
+	put_entry(fixture, "u0", damaged_entries[2]);
+	start_holder(fixture);
 	run_until_others_settled(fixture);
 	submit(fixture);
 	assert_int_equal(all_runs(fixture), TASKS);
 	assert_int_equal(runs_at(fixture, 0), 0);
-	for (size_t i = 0; i < G_N_ELEMENTS(damages); i++) {
-		put_entry(fixture, "u0", damages[i]);
+	for (size_t i = 0; i < G_N_ELEMENTS(damaged_entries); i++) {
+		put_entry(fixture, "u0", damaged_entries[i]);
 		run_for(fixture, 200);
-		assert_false(dump_says(fixture, "upstream u0"));
+		assert_false(dump_contains(fixture, "upstream u0"));
 	}
-	put_entry(fixture, "u0", fixture->whole[0]);
+	put_entry(fixture, "u0", fixture->valid_entries[0]);
 	run_until(fixture, "upstream u0 pool=desk listed=1 leaving=0 settled=1",
 		  true);
 	put_entry(fixture, "u0", NULL);
@@ -269,35 +272,35 @@
 }
 
 /*
- * The entry of an upstream at work turns into one that can't be read. It was
- * given new work as before. It gets none until its writer has mended the
- * entry, and what it runs goes on meanwhile.
+ * Guards against new work for an upstream whose entry has become unreadable.
+ * It gets none until its writer has repaired the entry, and its tasks go on
+ * meanwhile.
  */
-void an_upstream_that_cant_be_read_later_keeps_its_tasks(void **state)
+void an_upstream_with_a_damaged_entry_keeps_its_tasks(void **state)
 {
 	fixture_t *fixture = *state;
 
 	put_entry(fixture, "u1", NULL);
 	put_entry(fixture, "u2", NULL);
-	begin(fixture);
+	start_holder(fixture);
 	run_until(fixture, "upstream u0 pool=desk listed=1 leaving=0 settled=1",
 		  true);
 	submit(fixture);
 	assert_int_equal(runs_at(fixture, 0), TASKS);
-	for (size_t i = 0; i < G_N_ELEMENTS(damages); i++) {
-		put_entry(fixture, "u0", damages[i]);
+	for (size_t i = 0; i < G_N_ELEMENTS(damaged_entries); i++) {
+		put_entry(fixture, "u0", damaged_entries[i]);
 		run_for(fixture, 300);
-		assert_true(
-			dump_says(fixture, "upstream u0 pool=desk listed=1"));
+		assert_true(dump_contains(fixture,
+					  "upstream u0 pool=desk listed=1"));
 		assert_int_equal(runs_at(fixture, 0), TASKS);
 	}
 	submit(fixture);
 	assert_int_equal(runs_at(fixture, 0), TASKS);
-	put_entry(fixture, "u0", fixture->whole[0]);
+	put_entry(fixture, "u0", fixture->valid_entries[0]);
 	run_for(fixture, 800);
 	assert_int_equal(runs_at(fixture, 0), TASKS * 2);
 	assert_int_equal(fixture->standin->twice, 0);
-	put_entry(fixture, "u0", damages[0]);
+	put_entry(fixture, "u0", damaged_entries[0]);
 	run_for(fixture, 300);
 	put_entry(fixture, "u0", NULL);
 	run_until(fixture, "upstream u0 pool=desk listed=0", true);
@@ -305,28 +308,28 @@
 }
 
 /*
- * An entry names a service that the configuration doesn't. It isn't used, and
- * is from when a configuration names that service.
+ * An upstream whose entry names an unconfigured service isn't used until a
+ * configuration contains that service.
  */
-void an_upstream_of_no_named_service_is_not_used(void **state)
+void an_upstream_of_an_unknown_service_is_not_used(void **state)
 {
 	fixture_t *fixture = *state;
 	wwh_job_config_t *later = wwh_job_config_new(2);
 	wwh_job_pool_t pools[] = { { .name = g_strdup(STANDIN_POOL) },
 				   { .name = g_strdup("late") } };
-	char **halves = g_strsplit(fixture->whole[0], STANDIN_POOL, 2);
+	char **halves = g_strsplit(fixture->valid_entries[0], STANDIN_POOL, 2);
 	char *entry = g_strjoinv("late", halves);
 
 	put_entry(fixture, "u0", entry);
-	begin(fixture);
+	start_holder(fixture);
 	run_until_others_settled(fixture);
 	run_for(fixture, 300);
-	assert_false(dump_says(fixture, "upstream u0"));
-	assert_int_equal(counted(fixture, "records.unreadable_now"), 1);
+	assert_false(dump_contains(fixture, "upstream u0"));
+	assert_int_equal(counter_value(fixture, "records.unreadable_now"), 1);
 	for (size_t i = 0; i < G_N_ELEMENTS(pools); i++)
 		wwh_job_config_add_pool(later, &pools[i]);
 	wwh_job_holder_set_config(fixture->holder, later);
-	assert_int_equal(counted(fixture, "records.unreadable_now"), 0);
+	assert_int_equal(counter_value(fixture, "records.unreadable_now"), 0);
 	run_until(fixture, "upstream u0 pool=late listed=1 leaving=0 settled=1",
 		  true);
 	wwh_job_config_unref(later);
@@ -334,19 +337,19 @@
 	g_free(entry);
 }
 
-static void on_told(const wwh_job_answer_t *answer, void *client_data)
+static void on_any_answer(const wwh_job_answer_t *answer, void *client_data)
 {
 	fixture_t *fixture = client_data;
 
-	fixture->told = answer->kind;
+	fixture->last_answer = answer->kind;
 }
 
 /*
- * A holder begins, and the record of an accepted job can't be read. Its caller
- * was told that there is no such job, and its next request made a new one of
- * it. It is told to ask again, until it cancels the job, which ends it.
+ * Guards against "no such job" for an accepted job whose record is unreadable
+ * when a holder starts: the caller's next submission created a second job. The
+ * caller is asked to retry until it cancels the job, which ends it.
  */
-void a_job_whose_record_is_lost_is_not_unknown(void **state)
+void a_job_with_an_unreadable_record_is_not_unknown(void **state)
 {
 	static const char id[] = "00000000000000aa";
 	fixture_t *fixture = *state;
@@ -354,30 +357,30 @@
 
 	g_hash_table_insert(fixture->records, g_strconcat("J", id, NULL),
 			    g_bytes_new("\xc1", 1));
-	begin(fixture);
+	start_holder(fixture);
 	run_until_others_settled(fixture);
-	assert_int_equal(counted(fixture, "holder.lost_jobs"), 1);
-	assert_int_equal(counted(fixture, "records.unreadable"), 1);
-	wwh_job_holder_state(fixture->holder, id, on_told, fixture);
-	assert_int_equal(fixture->told, WWH_JOB_ANSWER_NOT_DONE);
+	assert_int_equal(counter_value(fixture, "holder.lost_jobs"), 1);
+	assert_int_equal(counter_value(fixture, "records.unreadable"), 1);
+	wwh_job_holder_query_state(fixture->holder, id, on_any_answer, fixture);
+	assert_int_equal(fixture->last_answer, WWH_JOB_ANSWER_NOT_DONE);
 	g_strlcpy(job->id, id, sizeof(job->id));
-	wwh_job_holder_submit(fixture->holder, job, on_told, fixture);
-	assert_int_equal(fixture->told, WWH_JOB_ANSWER_NOT_DONE);
-	wwh_job_holder_cancel(fixture->holder, id, on_told, fixture);
+	wwh_job_holder_submit(fixture->holder, job, on_any_answer, fixture);
+	assert_int_equal(fixture->last_answer, WWH_JOB_ANSWER_NOT_DONE);
+	wwh_job_holder_cancel(fixture->holder, id, on_any_answer, fixture);
 	run_for(fixture, 500);
-	assert_int_equal(fixture->told, WWH_JOB_ANSWER_OK);
-	wwh_job_holder_state(fixture->holder, id, on_told, fixture);
-	assert_int_equal(fixture->told, WWH_JOB_ANSWER_OK);
-	assert_int_equal(counted(fixture, "holder.lost_jobs"), 0);
-	assert_int_equal(counted(fixture, "records.unreadable_now"), 0);
+	assert_int_equal(fixture->last_answer, WWH_JOB_ANSWER_OK);
+	wwh_job_holder_query_state(fixture->holder, id, on_any_answer, fixture);
+	assert_int_equal(fixture->last_answer, WWH_JOB_ANSWER_OK);
+	assert_int_equal(counter_value(fixture, "holder.lost_jobs"), 0);
+	assert_int_equal(counter_value(fixture, "records.unreadable_now"), 0);
 }
 
-/* Guards against callers who are rejected while the store only takes its time. */
-void a_slow_store_turns_no_caller_away(void **state)
+/* Guards against rejected callers while the store is slow, but reachable. */
+void a_slow_store_causes_no_rejections(void **state)
 {
 	fixture_t *fixture = *state;
 
-	begin(fixture);
+	start_holder(fixture);
 	run_until_others_settled(fixture);
 	g_mutex_lock(&fixture->standin->lock);
 	fixture->standin->append_delay_ms = 600;
@@ -388,11 +391,12 @@
 	assert_int_equal(fixture->accepted, fixture->jobs);
 }
 
-static void on_refused(const wwh_job_answer_t *answer, void *client_data)
+static void on_overload_answer(const wwh_job_answer_t *answer,
+			       void *client_data)
 {
 	fixture_t *fixture = client_data;
 
-	fixture->told = answer->kind;
+	fixture->last_answer = answer->kind;
 	if (answer->kind != WWH_JOB_ANSWER_NOT_DONE)
 		return;
 	assert_string_equal(answer->why, "overloaded");
@@ -405,84 +409,86 @@
 	wwh_job_t *job = new_job(fixture, SMALL_TASKS);
 
 	job->steps[0].lasting = lasting;
-	fixture->told = WWH_JOB_ANSWER_COUNT;
-	wwh_job_holder_submit(fixture->holder, job, on_refused, fixture);
+	fixture->last_answer = WWH_JOB_ANSWER_COUNT;
+	wwh_job_holder_submit(fixture->holder, job, on_overload_answer,
+			      fixture);
 }
 
 /*
- * Guards against an overloaded holder that accepts more than it can start: goodput
- * collapses, and accepted jobs are left undone.
+ * Guards against an overloaded holder that accepts more jobs than it can start:
+ * goodput collapses, and accepted jobs are not run.
  */
-void no_more_is_accepted_than_can_be_started(void **state)
+void an_overloaded_holder_rejects_excess_jobs(void **state)
 {
 	fixture_t *fixture = *state;
 	int64_t end_ms;
 
-	begin(fixture);
+	start_holder(fixture);
 	run_until_others_settled(fixture);
 	end_ms = standin_now_ms() + WAIT_MAX_MS;
 	while (fixture->refused == 0 && standin_now_ms() < end_ms) {
-		for (int32_t i = 0; i < JOBS_A_TURN; i++)
+		for (int32_t i = 0; i < JOBS_PER_ITERATION; i++)
 			submit_small(fixture, false);
 		run_for(fixture, 1);
 	}
 	assert_true(fixture->refused > 0);
-	assert_int_equal(counted(fixture, "holder.overload_refusals"),
+	assert_int_equal(counter_value(fixture, "holder.overload_refusals"),
 			 fixture->refused);
-	/* its tasks go before all others */
+	/* a lasting job is accepted, as its tasks are started first */
 	submit_small(fixture, true);
-	assert_int_not_equal(fixture->told, WWH_JOB_ANSWER_NOT_DONE);
-	/* the backlog is worked off */
+	assert_int_not_equal(fixture->last_answer, WWH_JOB_ANSWER_NOT_DONE);
+	/* jobs are accepted again once the backlog has been started */
 	do {
 		run_for(fixture, 100);
 		submit_small(fixture, false);
-	} while (fixture->told == WWH_JOB_ANSWER_NOT_DONE &&
+	} while (fixture->last_answer == WWH_JOB_ANSWER_NOT_DONE &&
 		 standin_now_ms() < end_ms);
-	assert_int_not_equal(fixture->told, WWH_JOB_ANSWER_NOT_DONE);
+	assert_int_not_equal(fixture->last_answer, WWH_JOB_ANSWER_NOT_DONE);
 }
 
-/* Upstreams of the holder before that answer nobody. */
-static void inherit_silent(fixture_t *fixture, int32_t count)
+/* Adds upstreams of a previous holder that don't answer. */
+static void inherit_silent_upstreams(fixture_t *fixture, int32_t count)
 {
-	/* MessagePack: where it was, and its pool */
-	static const char kept[] = "\x92\xab"
-				   "127.0.0.1:1"
-				   "\xa4"
-				   "desk";
+	/* MessagePack: endpoint and pool */
+	static const char upstream_record[] = "\x92\xab"
+					      "127.0.0.1:1"
+					      "\xa4"
+					      "desk";
 
 	for (int32_t i = 0; i < count; i++)
 		g_hash_table_insert(fixture->records,
 				    g_strdup_printf("Us%d", (int)i),
-				    g_bytes_new(kept, sizeof(kept) - 1));
+				    g_bytes_new(upstream_record,
+						sizeof(upstream_record) - 1));
 }
 
 /*
- * Guards against jobs that a new holder of many upstreams accepts while it can start
- * nothing: some of them never ran.
+ * Guards against a new holder of many upstreams that accepts jobs while it
+ * can't start any: some of them never ran.
  */
-void a_large_holder_accepts_nothing_before_it_can_start(void **state)
+void a_large_holder_rejects_jobs_until_recovered(void **state)
 {
 	fixture_t *fixture = *state;
 
-	inherit_silent(fixture, MORE_THAN_ARE_RECOVERED_IN_TIME);
-	begin(fixture);
+	inherit_silent_upstreams(fixture, LARGE_HOLDER_UPSTREAMS);
+	start_holder(fixture);
 	run_for(fixture, 100);
 	assert_true(wwh_job_holder_is_large(fixture->holder));
 	submit_small(fixture, false);
-	assert_int_equal(fixture->told, WWH_JOB_ANSWER_NOT_DONE);
+	assert_int_equal(fixture->last_answer, WWH_JOB_ANSWER_NOT_DONE);
 	submit_small(fixture, true);
-	assert_int_not_equal(fixture->told, WWH_JOB_ANSWER_NOT_DONE);
+	assert_int_not_equal(fixture->last_answer, WWH_JOB_ANSWER_NOT_DONE);
 }
 
-/* Guards against refusals in a recovery that is over in no time. */
+/* Guards against refusals during a recovery that takes only moments. */
 void a_small_holder_accepts_jobs_while_it_recovers(void **state)
 {
 	fixture_t *fixture = *state;
 
-	inherit_silent(fixture, 5);
-	begin(fixture);
+	inherit_silent_upstreams(fixture, 5);
+	start_holder(fixture);
 	run_for(fixture, 100);
 	assert_false(wwh_job_holder_is_large(fixture->holder));
 	submit_small(fixture, false);
-	assert_int_not_equal(fixture->told, WWH_JOB_ANSWER_NOT_DONE);
+	assert_int_not_equal(fixture->last_answer, WWH_JOB_ANSWER_NOT_DONE);
 }
--- a/src/test_job_holder/test_job_holder.c
+++ b/src/test_job_holder/test_job_holder.c
@@ -1,6 +1,6 @@
 /*
- * The holder on a stand-in of the platform: with a clock of the test's where
- * it gets no processor time, else by the real one.
+ * Tests of the holder against a stand-in platform. The test that deprives the
+ * holder of processor time uses its own clock, all others the real one.
  */
 
 #include "test_job_holder.h"
@@ -10,9 +10,9 @@
 
 #include "waxwinghollow/job_holder.h"
 
-#define CLOCK_BEGIN_MS 100000
+#define CLOCK_START_MS 100000
 #define STARVED_MS 3000
-/* Then a failed check says what is missing. */
+/* Waits end after this time; the following check then fails. */
 #define WAIT_MAX_MS 20000
 
 static int64_t test_clock_ms;
@@ -28,8 +28,8 @@
 	fail_msg("the holder is lost: %s", why);
 }
 
-/* A number that the dump says of upstream u0; -1: nothing yet. */
-static int64_t dumped(wwh_job_holder_t *holder, const char *name)
+/* Returns a number from the dump's line of upstream u0; -1: not settled yet. */
+static int64_t dumped_number(wwh_job_holder_t *holder, const char *name)
 {
 	GString *out = g_string_new(NULL);
 	int64_t number = -1;
@@ -45,23 +45,23 @@
 }
 
 /*
- * A holder gets no processor time for three seconds, while answers to its
- * polls wait to be read. It dated the upstreams' clocks in them by when its
- * loop had run last, took their leases as over three seconds early, and
- * started their tasks a second time elsewhere.
+ * Guards against answers that are dated by the last run of the loop. A holder
+ * that got no processor time for three seconds dated the upstreams' clocks in
+ * waiting poll answers too early, took leases as expired three seconds too
+ * early, and started their tasks a second time elsewhere.
  */
-static void an_answer_is_dated_by_when_it_is_taken_in(void **state)
+static void an_answer_is_dated_by_its_processing_time(void **state)
 {
 	standin_t *standin = standin_new();
 	wwh_counters_t *counters = wwh_counters_new();
 	wwh_http_calls_t *calls = wwh_http_calls_new(counters);
 	GHashTable *records = g_hash_table_new_full(
 		g_str_hash, g_str_equal, g_free, (GDestroyNotify)g_bytes_unref);
-	/* MessagePack: where it was, and its pool */
-	static const char kept[] = "\x92\xab"
-				   "127.0.0.1:1"
-				   "\xa4"
-				   "desk";
+	/* MessagePack: endpoint and pool */
+	static const char upstream_record[] = "\x92\xab"
+					      "127.0.0.1:1"
+					      "\xa4"
+					      "desk";
 	wwh_event_log_options_t log = { .node = "n",
 					.fd = open("/dev/null", O_WRONLY),
 					.now_ms = read_clock,
@@ -79,38 +79,39 @@
 					     .on_lost = on_lost };
 	wwh_host_settings_t settings;
 	wwh_job_holder_t *holder;
-	int64_t begun_ms = standin_now_ms();
+	int64_t start_ms = standin_now_ms();
 
 	(void)state;
-	/* a holder before this one may have started tasks at u0 */
-	g_hash_table_insert(records, g_strdup("Uu0"),
-			    g_bytes_new(kept, sizeof(kept) - 1));
+	/* a previous holder may have started tasks at u0 */
+	g_hash_table_insert(
+		records, g_strdup("Uu0"),
+		g_bytes_new(upstream_record, sizeof(upstream_record) - 1));
 	wwh_host_settings_init(&settings);
 	settings.name = g_strdup("n");
 	settings.store = g_strdup_printf("127.0.0.1:%d",
 					 wwh_listener_port(standin->store));
 	options.settings = &settings;
 	options.log = wwh_event_log_new(&log, counters);
-	test_clock_ms = CLOCK_BEGIN_MS;
+	test_clock_ms = CLOCK_START_MS;
 	holder = wwh_job_holder_new(&options);
-	/* as fast as the real one: ahead of it, what u0 may run is over */
-	while (dumped(holder, "lease_left_ms=") < 0 &&
-	       standin_now_ms() - begun_ms < WAIT_MAX_MS) {
-		test_clock_ms = CLOCK_BEGIN_MS + standin_now_ms() - begun_ms;
+	/* at real speed: a faster clock would make the lease of u0 expire */
+	while (dumped_number(holder, "lease_left_ms=") < 0 &&
+	       standin_now_ms() - start_ms < WAIT_MAX_MS) {
+		test_clock_ms = CLOCK_START_MS + standin_now_ms() - start_ms;
 		wwh_job_holder_run(holder, test_clock_ms, 1000, false);
 		wwh_http_calls_poll(calls, 20);
 	}
-	assert_true(dumped(holder, "lease_left_ms=") > 0);
-	/* the next poll asks for a lease; its answer waits to be read */
+	assert_true(dumped_number(holder, "lease_left_ms=") > 0);
+	/* the next poll requests a lease; its answer waits to be read */
 	test_clock_ms += 200;
 	wwh_job_holder_run(holder, test_clock_ms, 1000, false);
 	test_clock_ms += STARVED_MS;
-	assert_true(dumped(holder, "answered_ms_ago=") >= 200);
-	while (dumped(holder, "answered_ms_ago=") > 0 &&
-	       standin_now_ms() - begun_ms < WAIT_MAX_MS)
+	assert_true(dumped_number(holder, "answered_ms_ago=") >= 200);
+	while (dumped_number(holder, "answered_ms_ago=") > 0 &&
+	       standin_now_ms() - start_ms < WAIT_MAX_MS)
 		wwh_http_calls_poll(calls, 20);
 	wwh_job_holder_run(holder, test_clock_ms, 1000, false);
-	assert_int_equal(dumped(holder, "answered_ms_ago="), 0);
+	assert_int_equal(dumped_number(holder, "answered_ms_ago="), 0);
 	wwh_job_holder_delete(holder);
 	wwh_http_calls_delete(calls);
 	wwh_event_log_delete(options.log);
@@ -123,11 +124,11 @@
 
 #define HOSTS_LEASE_MS 3000
 #define LONG_LEASE_MS 12000 /* a busy machine takes seconds for one order */
-/* A holder without the store is taken over after this, at the earliest. */
-#define STORE_GONE_MS 1300
+/* Earliest takeover of a holder that doesn't reach the store. */
+#define TAKEOVER_AFTER_MS 1300
 #define STEP_MS 20
 
-/* A holder of a shard without jobs, which gives orders to hosts. */
+/* A holder that gives orders to hosts and has no jobs. */
 typedef struct {
 	standin_t *standin;
 	wwh_counters_t *counters;
@@ -184,43 +185,44 @@
 }
 
 typedef enum {
-	BEFORE_NOBODY = 0,
-	BEFORE_ENDED,
-	BEFORE_SILENT
-} before_t;
+	PREVIOUS_NONE = 0,
+	PREVIOUS_ENDED,
+	PREVIOUS_SILENT
+} previous_holder_t;
 
-static void start_holder(fixture_t *fixture, bool hosts_fence, before_t before)
+static void start_holder(fixture_t *fixture, bool hosts_fence,
+			 previous_holder_t previous)
 {
-	wwh_job_holder_options_t options = { .settings = &fixture->settings,
-					     .calls = fixture->calls,
-					     .counters = fixture->counters,
-					     .log = fixture->log,
-					     .topic = "keyed.wwh",
-					     .producer = "p",
-					     .epoch = 1 << 16,
-					     .holder_count = 1,
-					     .next_sequence = 1,
-					     .others_at_work =
-						     before == BEFORE_SILENT,
-					     .others_ended =
-						     before == BEFORE_ENDED,
-					     .records = fixture->records,
-					     .clock_ms = standin_now_ms,
-					     .wall_ms = 1000,
-					     .on_lost = on_lost };
+	wwh_job_holder_options_t options = {
+		.settings = &fixture->settings,
+		.calls = fixture->calls,
+		.counters = fixture->counters,
+		.log = fixture->log,
+		.topic = "keyed.wwh",
+		.producer = "p",
+		.epoch = 1 << 16,
+		.holder_count = 1,
+		.next_sequence = 1,
+		.others_at_work = previous == PREVIOUS_SILENT,
+		.others_ended = previous == PREVIOUS_ENDED,
+		.records = fixture->records,
+		.clock_ms = standin_now_ms,
+		.wall_ms = 1000,
+		.on_lost = on_lost
+	};
 
 	fixture->settings.hosts_fence = hosts_fence;
 	fixture->holder = wwh_job_holder_new(&options);
 }
 
-/* Hosts are due for upkeep, one at a time. */
-static void ask_upkeep(fixture_t *fixture)
+/* Orders an upkeep wave over both hosts, one at a time. */
+static void order_upkeep_wave(fixture_t *fixture)
 {
 	static const char wave[] = "{\"wave\":1,\"machines\":[\"h1\",\"h2\"],"
 				   "\"durationS\":20,\"maxCount\":1}";
 
-	wwh_job_holder_wave(fixture->holder, "wave/1", (const uint8_t *)wave,
-			    strlen(wave));
+	wwh_job_holder_apply_wave(fixture->holder, "wave/1",
+				  (const uint8_t *)wave, strlen(wave));
 }
 
 static void run_for(fixture_t *fixture, int64_t span_ms)
@@ -234,7 +236,7 @@
 	}
 }
 
-static int32_t orders(fixture_t *fixture)
+static int32_t host_orders_received(fixture_t *fixture)
 {
 	int32_t count;
 
@@ -244,125 +246,126 @@
 	return count;
 }
 
-static void set_store(fixture_t *fixture, bool busy)
+static void set_store_busy(fixture_t *fixture, bool busy)
 {
 	g_mutex_lock(&fixture->standin->lock);
 	fixture->standin->busy = busy;
 	g_mutex_unlock(&fixture->standin->lock);
 }
 
-/* How long the holder runs until its first order has arrived. */
+/* Returns how long the holder runs until its first host order arrives. */
 static int64_t first_order_ms(fixture_t *fixture)
 {
-	int64_t begun_ms = standin_now_ms();
+	int64_t start_ms = standin_now_ms();
 
-	while (orders(fixture) == 0 &&
-	       standin_now_ms() - begun_ms < WAIT_MAX_MS)
+	while (host_orders_received(fixture) == 0 &&
+	       standin_now_ms() - start_ms < WAIT_MAX_MS)
 		run_for(fixture, STEP_MS);
-	return standin_now_ms() - begun_ms;
+	return standin_now_ms() - start_ms;
 }
 
 /*
- * A silent holder is taken over while its last orders to hosts may be on
- * their way. Where hosts check tokens, the next holder waits for as long as
- * that one may not know of its end; where they don't, for the whole time in
- * which hosts take one holder.
+ * A silent holder is taken over while its last orders to hosts may be in
+ * flight. Where hosts check fencing tokens, the next holder waits for as long
+ * as the previous one may not know that it was replaced; otherwise it waits for
+ * the whole lease, in which hosts accept one holder only.
  */
-static void the_next_holder_waits_for_the_lease_without_tokens(void **state)
+static void the_next_holder_waits_for_the_lease_without_fencing(void **state)
 {
 	fixture_t *fixture = *state;
 
-	start_holder(fixture, false, BEFORE_SILENT);
-	ask_upkeep(fixture);
+	start_holder(fixture, false, PREVIOUS_SILENT);
+	order_upkeep_wave(fixture);
 	assert_true(first_order_ms(fixture) >= HOSTS_LEASE_MS);
-	assert_int_equal(orders(fixture), 1);
+	assert_int_equal(host_orders_received(fixture), 1);
 }
 
-static void the_next_holder_waits_less_where_tokens_are_checked(void **state)
+static void the_next_holder_waits_less_with_fencing(void **state)
 {
 	fixture_t *fixture = *state;
 	int64_t waited_ms;
 
 	fixture->settings.duty_lease_ms = LONG_LEASE_MS;
-	start_holder(fixture, true, BEFORE_SILENT);
-	ask_upkeep(fixture);
+	start_holder(fixture, true, PREVIOUS_SILENT);
+	order_upkeep_wave(fixture);
 	waited_ms = first_order_ms(fixture);
 	assert_true(waited_ms >= WWH_OVERTAKEN_HOLDER_MS);
 	assert_true(waited_ms < LONG_LEASE_MS);
 }
 
 /*
- * Connections to the holder are refused, as its host is cut off, and another
- * process takes it for ended; it goes on until the store tells it of its end.
- * Hosts that don't check tokens carried out its orders after the first ones of
- * the next holder.
+ * Connections to a holder are refused, as its host is cut off, and another
+ * process considers it ended. It goes on until the store reports that it was
+ * replaced. Guards against hosts without fencing that carry out its orders
+ * after the first ones of the next holder.
  */
-static void a_holder_found_ended_is_waited_for_without_tokens(void **state)
+static void the_next_holder_waits_for_one_found_ended(void **state)
 {
 	fixture_t *fixture = *state;
 
-	start_holder(fixture, false, BEFORE_ENDED);
-	ask_upkeep(fixture);
+	start_holder(fixture, false, PREVIOUS_ENDED);
+	order_upkeep_wave(fixture);
 	assert_true(first_order_ms(fixture) >= WWH_OVERTAKEN_HOLDER_MS);
-	assert_int_equal(orders(fixture), 1);
+	assert_int_equal(host_orders_received(fixture), 1);
 }
 
 /*
- * The store turns the holder away, another process takes over, and the first
- * holder goes on taking hosts down until an upstream tells it of its end.
- * Hosts that don't check tokens carry out its orders after the next holder's:
- * one host too many is down, and tasks end that may not be missed.
+ * Guards against a holder that is rejected by the store, is replaced, and goes
+ * on taking hosts down until an upstream refuses its token. Hosts that don't
+ * check tokens carry out its orders after the next holder's: one host too many
+ * is down, and tasks end beyond what their steps may miss.
  */
-static void without_the_store_such_hosts_get_no_orders(void **state)
+static void hosts_without_fencing_get_no_orders_without_the_store(void **state)
 {
 	fixture_t *fixture = *state;
 
-	start_holder(fixture, false, BEFORE_NOBODY);
+	start_holder(fixture, false, PREVIOUS_NONE);
 	run_for(fixture, 1000);
-	set_store(fixture, true);
-	run_for(fixture, STORE_GONE_MS + 100);
-	ask_upkeep(fixture);
+	set_store_busy(fixture, true);
+	run_for(fixture, TAKEOVER_AFTER_MS + 100);
+	order_upkeep_wave(fixture);
 	run_for(fixture, 2000);
-	assert_int_equal(orders(fixture), 0);
-	set_store(fixture, false);
+	assert_int_equal(host_orders_received(fixture), 0);
+	set_store_busy(fixture, false);
 	(void)first_order_ms(fixture);
-	assert_int_equal(orders(fixture), 1);
+	assert_int_equal(host_orders_received(fixture), 1);
 }
 
-/* Hosts refuse its orders once the next one has given any. */
-static void without_the_store_hosts_that_check_tokens_get_orders(void **state)
+/* Such hosts refuse a holder's orders once the next one has given any. */
+static void hosts_with_fencing_get_orders_without_the_store(void **state)
 {
 	fixture_t *fixture = *state;
 
-	start_holder(fixture, true, BEFORE_NOBODY);
+	start_holder(fixture, true, PREVIOUS_NONE);
 	run_for(fixture, 1000);
-	set_store(fixture, true);
-	run_for(fixture, STORE_GONE_MS + 100);
-	ask_upkeep(fixture);
+	set_store_busy(fixture, true);
+	run_for(fixture, TAKEOVER_AFTER_MS + 100);
+	order_upkeep_wave(fixture);
 	(void)first_order_ms(fixture);
-	assert_int_equal(orders(fixture), 1);
+	assert_int_equal(host_orders_received(fixture), 1);
 }
 
 /*
- * A process is told to stop while an order to a host is unanswered. It gave
- * the shard up at once, and the next holder gave its first orders, as none
- * were said to be on their way: the late one took a host too many down.
+ * Guards against a stopping process that gives up the shard while an order to a
+ * host is unanswered. The next holder then gives its first orders at once, and
+ * the late order takes one host too many down.
  */
-static void orders_on_their_way_are_waited_for_before_giving_up(void **state)
+static void
+a_holder_is_not_quiescent_with_an_unanswered_host_order(void **state)
 {
 	fixture_t *fixture = *state;
-	int64_t begun_ms = standin_now_ms();
+	int64_t start_ms = standin_now_ms();
 
 	fixture->standin->host_delay_ms = 1000;
-	start_holder(fixture, false, BEFORE_NOBODY);
-	ask_upkeep(fixture);
+	start_holder(fixture, false, PREVIOUS_NONE);
+	order_upkeep_wave(fixture);
 	(void)first_order_ms(fixture);
-	assert_int_equal(orders(fixture), 1);
-	assert_false(wwh_job_holder_settled(fixture->holder));
-	while (!wwh_job_holder_settled(fixture->holder) &&
-	       standin_now_ms() - begun_ms < WAIT_MAX_MS)
+	assert_int_equal(host_orders_received(fixture), 1);
+	assert_false(wwh_job_holder_is_quiescent(fixture->holder));
+	while (!wwh_job_holder_is_quiescent(fixture->holder) &&
+	       standin_now_ms() - start_ms < WAIT_MAX_MS)
 		run_for(fixture, STEP_MS);
-	assert_true(wwh_job_holder_settled(fixture->holder));
+	assert_true(wwh_job_holder_is_quiescent(fixture->holder));
 }
 
 static bool starts_held(fixture_t *fixture)
@@ -391,14 +394,14 @@
 }
 
 /*
- * Guards against starts on upstreams that leave, by a holder that gets their
+ * Guards against starts on leaving upstreams by a holder that reads their
  * announcements too late.
  */
-static void no_task_is_started_by_old_announcements(void **state)
+static void starts_are_held_while_announcements_are_old(void **state)
 {
 	fixture_t *fixture = *state;
 
-	start_holder(fixture, true, BEFORE_NOBODY);
+	start_holder(fixture, true, PREVIOUS_NONE);
 	run_for(fixture, 2500);
 	assert_false(starts_held(fixture));
 	set_announces_late(fixture, true);
@@ -410,14 +413,14 @@
 }
 
 /*
- * Guards against a full partition of the journal that counts as a store which is
- * away for everybody: starts went on while upstreams announced that they leave.
+ * Guards against a full journal partition that counts as a store unreachable
+ * for all: starts went on while upstreams announced that they leave.
  */
-static void a_full_partition_is_no_store_that_is_away(void **state)
+static void a_full_partition_is_not_an_unreachable_store(void **state)
 {
 	fixture_t *fixture = *state;
 
-	start_holder(fixture, true, BEFORE_NOBODY);
+	start_holder(fixture, true, PREVIOUS_NONE);
 	run_for(fixture, 1500);
 	set_announces_late(fixture, true);
 	run_for(fixture, 200);
@@ -429,17 +432,17 @@
 }
 
 /*
- * Guards against a holder whose own loop is too late for any answer, and that
- * takes the store for away.
+ * Guards against a holder that takes the store as unreachable because its own
+ * overloaded loop reads every answer too late.
  */
-static void an_overloaded_holder_takes_no_store_for_away(void **state)
+static void overload_does_not_make_the_store_unreachable(void **state)
 {
 	fixture_t *fixture = *state;
 
-	start_holder(fixture, true, BEFORE_NOBODY);
+	start_holder(fixture, true, PREVIOUS_NONE);
 	run_for(fixture, 1000);
 	wwh_job_holder_set_overloaded(fixture->holder, true);
-	set_store(fixture, true);
+	set_store_busy(fixture, true);
 	run_for(fixture, 2500);
 	assert_true(starts_held(fixture));
 	wwh_job_holder_set_overloaded(fixture->holder, false);
@@ -447,14 +450,14 @@
 	assert_false(starts_held(fixture));
 }
 
-/* Guards against a pause in starts while the store is away for everybody. */
-static void tasks_are_started_while_the_store_is_away(void **state)
+/* Guards against held starts while the store is unreachable for all. */
+static void starts_go_on_while_the_store_is_unreachable(void **state)
 {
 	fixture_t *fixture = *state;
 
-	start_holder(fixture, true, BEFORE_NOBODY);
+	start_holder(fixture, true, PREVIOUS_NONE);
 	run_for(fixture, 500);
-	set_store(fixture, true);
+	set_store_busy(fixture, true);
 	for (int32_t i = 0; i < 20; i++) {
 		run_for(fixture, 200);
 		assert_false(starts_held(fixture));
@@ -464,37 +467,37 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(an_answer_is_dated_by_when_it_is_taken_in),
+		cmocka_unit_test(an_answer_is_dated_by_its_processing_time),
 		ENTRY_TESTS,
 		cmocka_unit_test_setup_teardown(
-			the_next_holder_waits_for_the_lease_without_tokens,
-			set_up, tear_down),
-		cmocka_unit_test_setup_teardown(
-			the_next_holder_waits_less_where_tokens_are_checked,
+			the_next_holder_waits_for_the_lease_without_fencing,
 			set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
-			a_holder_found_ended_is_waited_for_without_tokens,
-			set_up, tear_down),
+			the_next_holder_waits_less_with_fencing, set_up,
+			tear_down),
 		cmocka_unit_test_setup_teardown(
-			without_the_store_such_hosts_get_no_orders, set_up,
+			the_next_holder_waits_for_one_found_ended, set_up,
 			tear_down),
 		cmocka_unit_test_setup_teardown(
-			without_the_store_hosts_that_check_tokens_get_orders,
+			hosts_without_fencing_get_no_orders_without_the_store,
 			set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
-			no_task_is_started_by_old_announcements, set_up,
+			hosts_with_fencing_get_orders_without_the_store, set_up,
+			tear_down),
+		cmocka_unit_test_setup_teardown(
+			starts_are_held_while_announcements_are_old, set_up,
 			tear_down),
 		cmocka_unit_test_setup_teardown(
-			tasks_are_started_while_the_store_is_away, set_up,
+			starts_go_on_while_the_store_is_unreachable, set_up,
 			tear_down),
 		cmocka_unit_test_setup_teardown(
-			a_full_partition_is_no_store_that_is_away, set_up,
+			a_full_partition_is_not_an_unreachable_store, set_up,
 			tear_down),
 		cmocka_unit_test_setup_teardown(
-			an_overloaded_holder_takes_no_store_for_away, set_up,
+			overload_does_not_make_the_store_unreachable, set_up,
 			tear_down),
 		cmocka_unit_test_setup_teardown(
-			orders_on_their_way_are_waited_for_before_giving_up,
+			a_holder_is_not_quiescent_with_an_unanswered_host_order,
 			set_up, tear_down),
 	};
 
--- a/src/test_job_holder/test_job_holder.h
+++ b/src/test_job_holder/test_job_holder.h
@@ -15,24 +15,22 @@
 int entries_tear_down(void **state);
 
 #define ENTRY_TESTS                                                            \
-	ENTRY_TEST(an_upstream_that_cant_be_read_at_first_is_not_used),        \
-		ENTRY_TEST(                                                    \
-			an_upstream_that_cant_be_read_later_keeps_its_tasks),  \
-		ENTRY_TEST(an_upstream_of_no_named_service_is_not_used),       \
-		ENTRY_TEST(a_job_whose_record_is_lost_is_not_unknown),         \
-		ENTRY_TEST(a_slow_store_turns_no_caller_away),                 \
-		ENTRY_TEST(no_more_is_accepted_than_can_be_started),           \
-		ENTRY_TEST(                                                    \
-			a_large_holder_accepts_nothing_before_it_can_start),   \
+	ENTRY_TEST(an_upstream_with_an_unreadable_entry_is_not_used),          \
+		ENTRY_TEST(an_upstream_with_a_damaged_entry_keeps_its_tasks),  \
+		ENTRY_TEST(an_upstream_of_an_unknown_service_is_not_used),     \
+		ENTRY_TEST(a_job_with_an_unreadable_record_is_not_unknown),    \
+		ENTRY_TEST(a_slow_store_causes_no_rejections),                 \
+		ENTRY_TEST(an_overloaded_holder_rejects_excess_jobs),          \
+		ENTRY_TEST(a_large_holder_rejects_jobs_until_recovered),       \
 		ENTRY_TEST(a_small_holder_accepts_jobs_while_it_recovers)
 
-void an_upstream_that_cant_be_read_at_first_is_not_used(void **state);
-void an_upstream_that_cant_be_read_later_keeps_its_tasks(void **state);
-void an_upstream_of_no_named_service_is_not_used(void **state);
-void a_job_whose_record_is_lost_is_not_unknown(void **state);
-void a_slow_store_turns_no_caller_away(void **state);
-void no_more_is_accepted_than_can_be_started(void **state);
-void a_large_holder_accepts_nothing_before_it_can_start(void **state);
+void an_upstream_with_an_unreadable_entry_is_not_used(void **state);
+void an_upstream_with_a_damaged_entry_keeps_its_tasks(void **state);
+void an_upstream_of_an_unknown_service_is_not_used(void **state);
+void a_job_with_an_unreadable_record_is_not_unknown(void **state);
+void a_slow_store_causes_no_rejections(void **state);
+void an_overloaded_holder_rejects_excess_jobs(void **state);
+void a_large_holder_rejects_jobs_until_recovered(void **state);
 void a_small_holder_accepts_jobs_while_it_recovers(void **state);
 
 #endif
