--- a/src/test_jobs/test_jobs.c
+++ b/src/test_jobs/test_jobs.c
@@ -8,7 +8,7 @@
 
 #include "../test_standins/include/fleet_sim.h"
 
-static void start(sim_t *sim, int32_t processes, int64_t job_ms)
+static void start_fleet(sim_t *sim, int32_t processes, int64_t job_ms)
 {
 	sim_options_t options = sim_options_defaults(fleet_fixture_bounce());
 
@@ -18,7 +18,7 @@
 	sim_init(sim, &options);
 }
 
-static void run(sim_t *sim, int32_t steps)
+static void run_steps(sim_t *sim, int32_t steps)
 {
 	for (int32_t i = 0; i < steps; i++)
 		sim_step(sim);
@@ -57,7 +57,7 @@
 	return found;
 }
 
-static int32_t running(const sim_t *sim)
+static int32_t count_running_tasks(const sim_t *sim)
 {
 	int32_t count = 0;
 
@@ -67,14 +67,14 @@
 	return count;
 }
 
-static void jobs_run_to_their_end(void **unused)
+static void all_submitted_jobs_complete(void **unused)
 {
 	sim_t sim;
 
 	(void)unused;
-	start(&sim, 2, 60000);
+	start_fleet(&sim, 2, 60000);
 	submit_many(&sim, "job", 100, false);
-	run(&sim, 90);
+	run_steps(&sim, 90);
 	assert_int_equal(count_phase(&sim, "job", 100, WWH_JOB_PHASE_DONE),
 			 100);
 	assert_int_equal(sim.runs_started, 100);
@@ -82,9 +82,9 @@
 }
 
 /*
- * A worker dies with a numbering job and a report job on it. The report,
- * which may run twice, runs again elsewhere; the numbering job is never
- * started again, and its end says that its run is unknown.
+ * The workers of a numbering job and of a report job fail. The report job is
+ * idempotent and runs again elsewhere; the numbering job isn't, so it is never
+ * started again and ends as failed, as its outcome is unknown.
  */
 static void a_lost_worker_never_leads_to_two_runs(void **unused)
 {
@@ -93,20 +93,20 @@
 	sim_t sim;
 
 	(void)unused;
-	start(&sim, 1, 3600000);
+	start_fleet(&sim, 1, 3600000);
 	sim_submit(&sim, "numbering", 0, false, false);
-	run(&sim, 5);
+	run_steps(&sim, 5);
 	assert_true(wwh_state_job(sim.state, "numbering", &job));
 	worker = (int32_t)g_ascii_strtoll(job.worker + 1, NULL, 10);
 	sim_submit(&sim, "report", 0, false, true);
-	run(&sim, 5);
+	run_steps(&sim, 5);
 	assert_true(wwh_state_job(sim.state, "report", &job));
-	assert_int_equal(running(&sim), 2);
+	assert_int_equal(count_running_tasks(&sim), 2);
 	sim_fail_worker(&sim, worker, 7200000);
 	sim_fail_worker(&sim,
 			(int32_t)g_ascii_strtoll(job.worker + 1, NULL, 10),
 			7200000);
-	run(&sim, 120);
+	run_steps(&sim, 120);
 	assert_int_equal(phase_of(&sim, "numbering"), WWH_JOB_PHASE_FAILED);
 	assert_int_equal(phase_of(&sim, "report"), WWH_JOB_PHASE_PLACED);
 	assert_int_equal(sim.runs_started, 3);
@@ -115,29 +115,29 @@
 }
 
 /*
- * The process that renews the leases of the tasks freezes. They lapse and
- * the workers stop the tasks. Another process takes over, and then the first
- * wakes up with placements and orders of its own: none takes effect.
+ * The process that renews the tasks' leases freezes. The leases expire and the
+ * workers stop the tasks. Another process takes over. Then the first process
+ * resumes with its outdated placements and orders: none takes effect.
  */
 static void a_paused_holder_starts_nothing_twice(void **unused)
 {
 	sim_t sim;
 
 	(void)unused;
-	start(&sim, 1, 600000);
+	start_fleet(&sim, 1, 600000);
 	submit_many(&sim, "once", 20, false);
 	submit_many(&sim, "again", 20, true);
-	run(&sim, 5);
-	assert_int_equal(running(&sim), 40);
+	run_steps(&sim, 5);
+	assert_int_equal(count_running_tasks(&sim), 40);
 	submit_many(&sim, "late", 20, false);
 	sim.processes[0].hold = true;
-	run(&sim, 3);
+	run_steps(&sim, 3);
 	sim.processes[0].frozen = true;
-	run(&sim, 60);
-	assert_int_equal(running(&sim), 0);
+	run_steps(&sim, 60);
+	assert_int_equal(count_running_tasks(&sim), 0);
 	sim_new_process(&sim, 1);
 	sim_take_over(&sim, 0, 1);
-	run(&sim, 30);
+	run_steps(&sim, 30);
 	assert_int_equal(count_phase(&sim, "again", 20, WWH_JOB_PHASE_PLACED),
 			 20);
 	assert_int_equal(count_phase(&sim, "once", 20, WWH_JOB_PHASE_FAILED),
@@ -145,7 +145,7 @@
 	sim.refused = 0;
 	sim_release_held(&sim, 0);
 	assert_true(sim.refused > 0);
-	run(&sim, 700);
+	run_steps(&sim, 700);
 	assert_int_equal(count_phase(&sim, "once", 20, WWH_JOB_PHASE_FAILED),
 			 20);
 	assert_int_equal(count_phase(&sim, "late", 20, WWH_JOB_PHASE_DONE), 20);
@@ -154,16 +154,16 @@
 	sim_finish(&sim);
 }
 
-/* Two in three of the jobs are cancelled at once: they stop, others go on. */
-static void a_wave_of_cancellations_stops_the_tasks(void **unused)
+/* Two thirds of the jobs are cancelled at once and stop; the others go on. */
+static void mass_cancellation_stops_only_the_cancelled_jobs(void **unused)
 {
 	sim_t sim;
 
 	(void)unused;
-	start(&sim, 2, 3600000);
+	start_fleet(&sim, 2, 3600000);
 	submit_many(&sim, "job", 90, true);
-	run(&sim, 5);
-	assert_int_equal(running(&sim), 90);
+	run_steps(&sim, 5);
+	assert_int_equal(count_running_tasks(&sim), 90);
 	for (int32_t i = 0; i < 60; i++) {
 		char id[24];
 		wwh_record_t record;
@@ -173,25 +173,25 @@
 		wwh_record_set(&record.body.job.job, id);
 		sim_append(&sim, &record);
 	}
-	run(&sim, 5);
-	assert_int_equal(running(&sim), 30);
+	run_steps(&sim, 5);
+	assert_int_equal(count_running_tasks(&sim), 30);
 	assert_int_equal(sim.runs_started, 90);
 	sim_finish(&sim);
 }
 
 /*
- * One worker fails every task it starts, and one job fails wherever it runs.
- * The worker is quarantined, the job isn't started again and its submitter is
- * told why; no other worker is blamed.
+ * One worker fails every task it starts, and one job fails on every worker. The
+ * worker is quarantined, and no other one is; the job isn't started again, and
+ * its reason is reported.
  */
-static void a_bad_worker_and_a_bad_job_are_told_apart(void **unused)
+static void a_bad_worker_and_a_bad_job_are_distinguished(void **unused)
 {
 	wwh_worker_view_t worker;
 	int32_t quarantined = 0;
 	sim_t sim;
 
 	(void)unused;
-	start(&sim, 1, 20000);
+	start_fleet(&sim, 1, 20000);
 	sim.workers[5].fails_tasks = true;
 	sim_submit(&sim, "poison", 0, false, true);
 	for (int32_t i = 0; i < 30; i++) {
@@ -199,9 +199,9 @@
 
 		g_snprintf(prefix, sizeof(prefix), "%02d-", i);
 		submit_many(&sim, prefix, 60, true);
-		run(&sim, 25);
+		run_steps(&sim, 25);
 	}
-	run(&sim, 60);
+	run_steps(&sim, 60);
 	for (int32_t w = 0; w < 50; w++) {
 		wwh_state_worker(sim.state, sim.workers[w].id, &worker);
 		quarantined += worker.quarantined != WWH_NO_OFFSET;
@@ -223,13 +223,13 @@
 	sim_finish(&sim);
 }
 
-static void an_impossible_job_is_told_why(void **unused)
+static void an_unplaceable_job_reports_its_reason(void **unused)
 {
 	wwh_record_t record;
 	sim_t sim;
 
 	(void)unused;
-	start(&sim, 1, 60000);
+	start_fleet(&sim, 1, 60000);
 	wwh_record_init(&record, WWH_RECORD_JOB_SUBMIT, "operator:sim");
 	wwh_record_set(&record.body.job_submit.job, "huge");
 	wwh_record_set(&record.body.job_submit.pool, "pool000");
@@ -238,7 +238,7 @@
 	record.body.job_submit.accelerators = 1;
 	assert_int_equal(sim_append(&sim, &record), WWH_VERDICT_ACCEPTED);
 	sim_submit(&sim, "small", 0, false, true);
-	run(&sim, 5);
+	run_steps(&sim, 5);
 	assert_int_equal(
 		wwh_conductor_job_reason(sim.processes[0].conductor, "huge"),
 		WWH_REASON_ACCELERATORS);
@@ -247,8 +247,8 @@
 }
 
 /*
- * Bulk fills the pool to the brim. An urgent job is submitted: its task runs
- * within 7.2 s, while bulk is throttled and nothing is stopped.
+ * Bulk jobs fill the pool. The task of an urgent job runs within 7.2 s: bulk
+ * tasks are throttled, and none is stopped.
  */
 static void urgent_work_runs_within_its_limit(void **unused)
 {
@@ -257,30 +257,31 @@
 	sim_t sim;
 
 	(void)unused;
-	start(&sim, 1, 3600000);
+	start_fleet(&sim, 1, 3600000);
 	submit_many(&sim, "bulk", 5 * 8 * 10, true);
-	run(&sim, 10);
-	assert_int_equal(running(&sim), 400);
+	run_steps(&sim, 10);
+	assert_int_equal(count_running_tasks(&sim), 400);
 	submitted_ms = sim.now_ms;
 	sim_submit(&sim, "urgent", 0, true, true);
 	while (!task && sim.now_ms - submitted_ms < 60000) {
-		run(&sim, 1);
+		run_steps(&sim, 1);
 		task = g_hash_table_lookup(sim.task_by_id, "urgent");
 	}
 	assert_true(sim.now_ms - submitted_ms <= 7200);
-	assert_int_equal(running(&sim), 401);
+	assert_int_equal(count_running_tasks(&sim), 401);
 	sim_finish(&sim);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(jobs_run_to_their_end),
+		cmocka_unit_test(all_submitted_jobs_complete),
 		cmocka_unit_test(a_lost_worker_never_leads_to_two_runs),
 		cmocka_unit_test(a_paused_holder_starts_nothing_twice),
-		cmocka_unit_test(a_wave_of_cancellations_stops_the_tasks),
-		cmocka_unit_test(a_bad_worker_and_a_bad_job_are_told_apart),
-		cmocka_unit_test(an_impossible_job_is_told_why),
+		cmocka_unit_test(
+			mass_cancellation_stops_only_the_cancelled_jobs),
+		cmocka_unit_test(a_bad_worker_and_a_bad_job_are_distinguished),
+		cmocka_unit_test(an_unplaceable_job_reports_its_reason),
 		cmocka_unit_test(urgent_work_runs_within_its_limit),
 	};
 
