--- a/src/libwaxwinghollow/include/private/job_holder_state.h
+++ b/src/libwaxwinghollow/include/private/job_holder_state.h
@@ -70,8 +70,9 @@
 void job_holder_unref(wwh_job_holder_t *holder);
 /* Notifies the owner once; the owner deletes the holder later. */
 void job_holder_mark_lost(wwh_job_holder_t *holder, const char *why);
-int64_t job_holder_write_record(wwh_keep_kind_t kind, const char *key,
-				GBytes *value, void *client_data);
+int64_t job_holder_write_record(wwh_scheduler_record_kind_t kind,
+				const char *key, GBytes *value,
+				void *client_data);
 void job_holder_log_event(const char *event, const char *subject,
 			  const char *detail, void *client_data);
 
--- a/src/libwaxwinghollow/job_holder.c
+++ b/src/libwaxwinghollow/job_holder.c
@@ -74,7 +74,8 @@
 static void make_journal(wwh_job_holder_t *holder);
 static int64_t host_orders_delay_ms(const wwh_job_holder_t *holder);
 static void restore(wwh_job_holder_t *holder);
-static void restore_kind(wwh_job_holder_t *holder, wwh_keep_kind_t kind);
+static void restore_kind(wwh_job_holder_t *holder,
+			 wwh_scheduler_record_kind_t kind);
 static void on_durable(int64_t record, void *data);
 static void on_journal_lost(const char *why, void *data);
 static void on_store_reachable(bool reached, const char *why, void *data);
@@ -157,7 +158,8 @@
 
 		wwh_scheduler_set_standby(holder->scheduler, pool->name,
 					  pool->standby);
-		wwh_host_duties_pool(holder->duties, pool->name, pool->standby);
+		wwh_host_duties_set_pool(holder->duties, pool->name,
+					 pool->standby);
 	}
 	wwh_scheduler_clear_limits(holder->scheduler);
 	for (guint i = 0; i < config->limits->len; i++) {
@@ -175,7 +177,7 @@
 	wwh_wave_order_t *order = wire_operator_wave(key, value, size, NULL);
 
 	if (order != NULL)
-		wwh_host_duties_wave(holder->duties, order, holder->now_ms);
+		wwh_host_duties_add_wave(holder->duties, order, holder->now_ms);
 }
 
 void wwh_job_holder_run(wwh_job_holder_t *holder, int64_t now_ms,
@@ -207,7 +209,7 @@
 
 bool wwh_job_holder_is_large(const wwh_job_holder_t *holder)
 {
-	return wwh_scheduler_upstreams(holder->scheduler) >
+	return wwh_scheduler_upstream_count(holder->scheduler) >
 	       UPSTREAMS_RECOVERED_IN_TIME;
 }
 
@@ -215,8 +217,9 @@
 {
 	wwh_scheduler_counts_t counts = wwh_scheduler_counts(holder->scheduler);
 
-	return counts.live_jobs > 0 || counts.tasks_out > 0 ? WAIT_BUSY_MS
-							    : WAIT_IDLE_MS;
+	return counts.live_jobs > 0 || counts.tasks_outstanding > 0
+		       ? WAIT_BUSY_MS
+		       : WAIT_IDLE_MS;
 }
 
 void wwh_job_holder_pause_duties(wwh_job_holder_t *holder, bool paused)
@@ -234,7 +237,7 @@
 	return holder->lost ||
 	       (g_queue_is_empty(holder->waiters) &&
 		!wwh_job_holder_host_orders_pending(holder) &&
-		!wwh_scheduler_unflushed(holder->scheduler) &&
+		!wwh_scheduler_has_unflushed(holder->scheduler) &&
 		wwh_shard_journal_lag_ms(holder->journal, holder->now_ms) == 0);
 }
 
@@ -316,14 +319,16 @@
 	holder->options.on_lost(why, holder->options.client_data);
 }
 
-int64_t job_holder_write_record(wwh_keep_kind_t kind, const char *key,
-				GBytes *value, void *client_data)
+int64_t job_holder_write_record(wwh_scheduler_record_kind_t kind,
+				const char *key, GBytes *value,
+				void *client_data)
 {
 	wwh_job_holder_t *holder = client_data;
-	char *journal_key = g_strconcat(wwh_keep_kind_names[kind], key, NULL);
+	char *journal_key =
+		g_strconcat(wwh_scheduler_record_kind_names[kind], key, NULL);
 	/* the first start at an upstream waits for this record */
-	bool urgent =
-		holder->urgent || (kind == WWH_KEEP_UPSTREAM && value != NULL);
+	bool urgent = holder->urgent ||
+		      (kind == WWH_SCHEDULER_RECORD_UPSTREAM && value != NULL);
 	int64_t number = wwh_shard_journal_keep(holder->journal, journal_key,
 						value, urgent, holder->now_ms);
 
@@ -354,7 +359,7 @@
 		.producer = holder->options.producer,
 		.epoch = holder->options.epoch,
 		.next_sequence = holder->options.next_sequence,
-		.call_bytes = holder->options.settings->store_call_bytes,
+		.call_bytes = holder->options.settings->store_call_max_bytes,
 		.group_ms = RECORD_GROUP_MS,
 		.on_durable = on_durable,
 		.on_lost = on_journal_lost,
@@ -368,13 +373,13 @@
 {
 	const wwh_host_settings_t *settings = holder->options.settings;
 	wwh_scheduler_options_t options = wwh_scheduler_options_defaults();
-	wwh_scheduler_calls_t calls = {
+	wwh_scheduler_callbacks_t calls = {
 		.start = job_holder_start_task,
 		.stop = job_holder_stop_task,
 		.poll = job_holder_poll_upstream,
 		.pace = job_holder_pace_task,
 		.advise = job_holder_request_advice,
-		.keep = job_holder_write_record,
+		.write_record = job_holder_write_record,
 		.explain = job_holder_log_event,
 		.client_data = holder,
 	};
@@ -382,7 +387,7 @@
 	options.lease_max_ms = settings->lease_max_ms;
 	options.lease_ms = LEASE_MS;
 	options.stop_limit_ms = settings->stop_limit_ms;
-	options.forget_ms = settings->job_kept_ms;
+	options.ended_job_retention_ms = settings->job_retention_ms;
 	options.unavailable_after_ms = settings->unavailable_after_ms;
 	options.holder_count = holder->options.holder_count;
 	holder->scheduler = wwh_scheduler_new(&options, &calls);
@@ -401,12 +406,12 @@
 		.upkeep = job_holder_order_upkeep,
 		.move = job_holder_order_move,
 		.report = job_holder_report_wave,
-		.keep = job_holder_write_record,
+		.write_record = job_holder_write_record,
 		.explain = job_holder_log_event,
 		.client_data = holder,
 	};
 
-	options.quiet_until_ms = holder->now_ms + host_orders_delay_ms(holder);
+	options.first_order_ms = holder->now_ms + host_orders_delay_ms(holder);
 	holder->duties = wwh_host_duties_new(&options, &calls);
 }
 
@@ -422,8 +427,8 @@
 	const wwh_host_settings_t *settings = holder->options.settings;
 
 	if (holder->options.others_at_work)
-		return wwh_host_duties_quiet_ms(settings->hosts_fence,
-						settings->duty_lease_ms);
+		return wwh_host_duties_takeover_delay_ms(
+			settings->hosts_fence, settings->duty_lease_ms);
 	if (holder->options.others_ended && !settings->hosts_fence)
 		return MIN(settings->duty_lease_ms, WWH_OVERTAKEN_HOLDER_MS);
 	return 0;
@@ -433,10 +438,10 @@
 {
 	wwh_scheduler_counts_t counts;
 
-	for (int32_t kind = 0; kind < WWH_KEEP_KIND_COUNT; kind++)
-		restore_kind(holder, (wwh_keep_kind_t)kind);
-	wwh_scheduler_restored(holder->scheduler, holder->now_ms,
-			       holder->wall_ms);
+	for (int32_t kind = 0; kind < WWH_SCHEDULER_RECORD_KIND_COUNT; kind++)
+		restore_kind(holder, (wwh_scheduler_record_kind_t)kind);
+	wwh_scheduler_finish_restore(holder->scheduler, holder->now_ms,
+				     holder->wall_ms);
 	counts = wwh_scheduler_counts(holder->scheduler);
 	wwh_event_log_printf(holder->options.log, "shard-restored", "shard",
 			     "jobs=%d live=%d upstreams=%d lost_jobs=%d",
@@ -444,8 +449,9 @@
 			     counts.lost_jobs);
 }
 
-/* The order of wwh_keep_kind_t restores jobs before their progress. */
-static void restore_kind(wwh_job_holder_t *holder, wwh_keep_kind_t kind)
+/* The order of wwh_scheduler_record_kind_t restores jobs before their progress. */
+static void restore_kind(wwh_job_holder_t *holder,
+			 wwh_scheduler_record_kind_t kind)
 {
 	GHashTableIter iterator;
 	gpointer name;
@@ -459,10 +465,10 @@
 		gsize size;
 		bool ok;
 
-		if (key[0] != wwh_keep_kind_names[kind][0])
+		if (key[0] != wwh_scheduler_record_kind_names[kind][0])
 			continue;
 		data = g_bytes_get_data(value, &size);
-		if (kind == WWH_KEEP_WAVE)
+		if (kind == WWH_SCHEDULER_RECORD_WAVE)
 			ok = wwh_host_duties_restore(holder->duties, key + 1,
 						     data, size, &message);
 		else
@@ -569,7 +575,7 @@
 {
 	int64_t confirmed_ms = wwh_shard_journal_confirmed_ms(holder->journal);
 
-	if (wwh_scheduler_unflushed(holder->scheduler) &&
+	if (wwh_scheduler_has_unflushed(holder->scheduler) &&
 	    holder->now_ms >= holder->flush_after_ms) {
 		(void)wwh_scheduler_flush(holder->scheduler, holder->now_ms);
 		holder->flush_after_ms = holder->now_ms + RECORD_GROUP_MS;
--- a/src/libwaxwinghollow/job_holder_hosts.c
+++ b/src/libwaxwinghollow/job_holder_hosts.c
@@ -163,9 +163,9 @@
 	holder->host_orders_pending--;
 	job_holder_update_clock(holder);
 	if (!holder->deleted && !holder->lost) {
-		wwh_host_duties_upkeep_ended(holder->duties, order->host,
-					     order->wave, result,
-					     holder->now_ms);
+		wwh_host_duties_handle_upkeep_result(holder->duties,
+						     order->host, order->wave,
+						     result, holder->now_ms);
 		if (result == WWH_DUTY_FENCED)
 			job_holder_mark_lost(holder, "fenced-at-upkeep");
 	}
@@ -183,8 +183,8 @@
 	holder->host_orders_pending--;
 	job_holder_update_clock(holder);
 	if (!holder->deleted && !holder->lost) {
-		wwh_host_duties_move_ended(holder->duties, order->host, result,
-					   holder->now_ms);
+		wwh_host_duties_handle_move_result(holder->duties, order->host,
+						   result, holder->now_ms);
 		if (result == WWH_DUTY_FENCED)
 			job_holder_mark_lost(holder, "fenced-at-move");
 	}
--- a/src/libwaxwinghollow/job_holder_requests.c
+++ b/src/libwaxwinghollow/job_holder_requests.c
@@ -129,10 +129,10 @@
 static bool discard_job(wwh_job_holder_t *holder, const char *job,
 			int64_t record)
 {
-	if (!wwh_scheduler_untouched(holder->scheduler, job) ||
+	if (!wwh_scheduler_job_is_discardable(holder->scheduler, job) ||
 	    !wwh_shard_journal_take_back(holder->journal, record))
 		return false;
-	wwh_scheduler_take_back(holder->scheduler, job);
+	wwh_scheduler_discard_job(holder->scheduler, job);
 	return true;
 }
 
--- a/src/libwaxwinghollow/job_holder_upstreams.c
+++ b/src/libwaxwinghollow/job_holder_upstreams.c
@@ -59,8 +59,8 @@
 	if (value == NULL) {
 		g_hash_table_remove(holder->unconfigured, key);
 		wwh_bad_records_gone(holder->bad_upstreams, key);
-		wwh_scheduler_upstream_left(holder->scheduler, key,
-					    holder->now_ms);
+		wwh_scheduler_upstream_withdrawn(holder->scheduler, key,
+						 holder->now_ms);
 		return;
 	}
 	if (!wire_operator_upstream(key, value, size, &info, &why)) {
@@ -134,8 +134,8 @@
 	g_hash_table_remove(holder->unconfigured, info->id);
 	if (service_is_configured(holder, info->pool)) {
 		wwh_bad_records_whole(holder->bad_upstreams, info->id);
-		wwh_scheduler_upstream_seen(holder->scheduler, info,
-					    holder->now_ms);
+		wwh_scheduler_upstream_announced(holder->scheduler, info,
+						 holder->now_ms);
 		return;
 	}
 	copy = g_new0(wwh_upstream_info_t, 1);
--- a/src/libwaxwinghollow/job_service_events.c
+++ b/src/libwaxwinghollow/job_service_events.c
@@ -52,7 +52,7 @@
 		.producer = PRODUCER,
 		.reluctant = service->settings.cpu_permille < HOLDER_PERMILLE,
 		.member_ttl_ms =
-			MAX(MEMBER_TTL_MS, service->settings.member_min_ms),
+			MAX(MEMBER_TTL_MS, service->settings.member_ttl_min_ms),
 		.bad_records = service->bad_claims,
 		.on_held = on_held,
 		.on_holder = on_holder,
