--- a/src/libwaxwinghollow/job_service_events.c
+++ b/src/libwaxwinghollow/job_service_events.c
@@ -120,7 +120,7 @@
 	g_hash_table_replace(service->waves, g_strdup(key),
 			     g_bytes_new(value, size));
 	if (service->holder != NULL)
-		wwh_job_holder_wave(service->holder, key, value, size);
+		wwh_job_holder_apply_wave(service->holder, key, value, size);
 }
 
 /*
@@ -261,6 +261,6 @@
 		gsize size;
 		const uint8_t *data = g_bytes_get_data(value, &size);
 
-		wwh_job_holder_wave(service->holder, key, data, size);
+		wwh_job_holder_apply_wave(service->holder, key, data, size);
 	}
 }
