--- a/src/libwaxwinghollow/lease_keeper.c
+++ b/src/libwaxwinghollow/lease_keeper.c
@@ -3,11 +3,11 @@
 #include <glib.h>
 #include <string.h>
 
-/* Ranks take what nobody took one after another, not all at once. */
-#define ORPHAN_STEP_MS 500
+/* Delay per rank, so that not all members acquire an orphaned lease at once. */
+#define ORPHAN_RANK_DELAY_MS 500
 
-/* What was taken so is kept for a while, or it would be given back at once. */
-#define ORPHAN_HOLD_MS 30000
+/* An orphaned lease above the target would otherwise be released at once. */
+#define ORPHAN_MIN_HOLD_MS 30000
 
 const char *const wwh_lease_action_kind_names[WWH_LEASE_ACTION_COUNT] = {
 	"take",
@@ -16,16 +16,16 @@
 };
 
 typedef struct {
-	bool mine; /* the state names this process as the holder */
-	bool free;
+	bool is_own; /* this process holds it in the state */
+	bool is_free;
 	int64_t fence;
 	int64_t latest;
-	int64_t seen_ms; /* when latest was seen for the first time */
-	int64_t until_ms; /* this process may act before this */
+	int64_t latest_seen_ms; /* when latest was first observed */
+	int64_t valid_until_ms; /* this process may act until then */
 	int64_t next_renew_ms;
-	bool surplus; /* to be given back */
-	int64_t keep_until_ms; /* taken above the target */
-	bool tried; /* an action was decided in this round */
+	bool is_surplus; /* to be released */
+	int64_t retain_until_ms; /* acquired above the target */
+	bool has_action; /* in this round */
 } lease_t;
 
 struct wwh_lease_keeper {
@@ -39,17 +39,18 @@
 };
 
 static lease_t *lease_of(const wwh_lease_keeper_t *keeper, int32_t shard);
-static bool renew_one(wwh_lease_keeper_t *keeper, int64_t now_ms,
-		      wwh_lease_action_t *action);
-static bool take_one(wwh_lease_keeper_t *keeper, int64_t now_ms,
-		     int64_t unclaimed_ms, wwh_lease_action_t *action);
-static int64_t orphan_ms(const wwh_lease_keeper_t *keeper);
-static bool release_one(wwh_lease_keeper_t *keeper, wwh_lease_action_t *action);
+static bool decide_renew(wwh_lease_keeper_t *keeper, int64_t now_ms,
+			 wwh_lease_action_t *action);
+static bool decide_take(wwh_lease_keeper_t *keeper, int64_t now_ms,
+			int64_t min_unrenewed_ms, wwh_lease_action_t *action);
+static int64_t orphan_timeout_ms(const wwh_lease_keeper_t *keeper);
+static bool decide_release(wwh_lease_keeper_t *keeper,
+			   wwh_lease_action_t *action);
 static bool may_take(const wwh_lease_keeper_t *keeper, const lease_t *lease,
 		     int64_t now_ms);
 static int32_t wanted_count(const wwh_lease_keeper_t *keeper);
 static bool is_wanted(const wwh_lease_keeper_t *keeper, int32_t index);
-static int32_t mine_count(const wwh_lease_keeper_t *keeper);
+static int32_t own_count(const wwh_lease_keeper_t *keeper);
 static bool is_above_target(wwh_lease_keeper_t *keeper, int64_t now_ms);
 
 wwh_lease_keeper_options_t wwh_lease_keeper_options_defaults(void)
@@ -91,15 +92,15 @@
 	g_free(keeper);
 }
 
-void wwh_lease_keeper_members(wwh_lease_keeper_t *keeper, int32_t rank,
-			      int32_t count)
+void wwh_lease_keeper_set_members(wwh_lease_keeper_t *keeper, int32_t rank,
+				  int32_t count)
 {
 	g_assert(rank >= 0 && rank < count);
 	keeper->rank = rank;
 	keeper->members = count;
 }
 
-void wwh_lease_keeper_wanted(wwh_lease_keeper_t *keeper, uint64_t shards)
+void wwh_lease_keeper_set_wanted(wwh_lease_keeper_t *keeper, uint64_t shards)
 {
 	keeper->wanted = shards;
 }
@@ -107,7 +108,7 @@
 void wwh_lease_keeper_log_gap(wwh_lease_keeper_t *keeper, int64_t now_ms)
 {
 	for (int32_t i = 0; i < keeper->options.shard_count; i++)
-		keeper->leases[i].seen_ms = now_ms;
+		keeper->leases[i].latest_seen_ms = now_ms;
 }
 
 void wwh_lease_keeper_observe(wwh_lease_keeper_t *keeper, int64_t now_ms,
@@ -115,87 +116,89 @@
 {
 	lease_t *lease = lease_of(keeper, shard);
 
-	lease->tried = false;
-	lease->free = !view->held;
-	lease->mine = view->held && strcmp(view->holder, keeper->author) == 0;
+	lease->has_action = false;
+	lease->is_free = !view->held;
+	lease->is_own = view->held && strcmp(view->holder, keeper->author) == 0;
 	lease->fence = view->fence;
-	if (!lease->mine)
-		lease->until_ms = 0;
+	if (!lease->is_own)
+		lease->valid_until_ms = 0;
 	if (lease->latest == view->latest)
 		return;
 	lease->latest = view->latest;
-	lease->seen_ms = now_ms;
+	lease->latest_seen_ms = now_ms;
 }
 
 void wwh_lease_keeper_begin_round(wwh_lease_keeper_t *keeper, int64_t now_ms,
-				  bool giving)
+				  bool release_all)
 {
-	int32_t keep = wwh_lease_keeper_target(keeper);
+	int32_t remaining_target = wwh_lease_keeper_target(keeper);
 	bool above = is_above_target(keeper, now_ms);
 
-	if (giving)
-		keep = 0;
+	if (release_all)
+		remaining_target = 0;
 	for (int32_t i = 0; i < keeper->options.shard_count; i++) {
 		lease_t *lease = &keeper->leases[i];
 
-		if (!lease->mine) {
-			lease->surplus = false;
+		if (!lease->is_own) {
+			lease->is_surplus = false;
 			continue;
 		}
-		lease->surplus =
-			!is_wanted(keeper, i) || giving ||
-			(keep <= 0 && above && now_ms >= lease->keep_until_ms);
-		keep -= is_wanted(keeper, i) ? 1 : 0;
+		lease->is_surplus = !is_wanted(keeper, i) || release_all ||
+				    (remaining_target <= 0 && above &&
+				     now_ms >= lease->retain_until_ms);
+		remaining_target -= is_wanted(keeper, i) ? 1 : 0;
 	}
 }
 
 bool wwh_lease_keeper_decide(wwh_lease_keeper_t *keeper, int64_t now_ms,
-			     bool may_release, bool giving,
+			     bool may_release, bool release_all,
 			     wwh_lease_action_t *action)
 {
-	if (giving)
-		return may_release && release_one(keeper, action);
-	if (renew_one(keeper, now_ms, action))
+	if (release_all)
+		return may_release && decide_release(keeper, action);
+	if (decide_renew(keeper, now_ms, action))
 		return true;
-	if (may_release && release_one(keeper, action))
+	if (may_release && decide_release(keeper, action))
 		return true;
-	if (mine_count(keeper) < wwh_lease_keeper_target(keeper))
-		return take_one(keeper, now_ms, 0, action);
-	if (!take_one(keeper, now_ms, orphan_ms(keeper), action))
+	if (own_count(keeper) < wwh_lease_keeper_target(keeper))
+		return decide_take(keeper, now_ms, 0, action);
+	if (!decide_take(keeper, now_ms, orphan_timeout_ms(keeper), action))
 		return false;
-	lease_of(keeper, action->shard)->keep_until_ms =
-		now_ms + ORPHAN_HOLD_MS;
+	lease_of(keeper, action->shard)->retain_until_ms =
+		now_ms + ORPHAN_MIN_HOLD_MS;
 	return true;
 }
 
-void wwh_lease_keeper_confirmed(wwh_lease_keeper_t *keeper, int32_t shard,
-				int64_t began_ms)
+void wwh_lease_keeper_confirm(wwh_lease_keeper_t *keeper, int32_t shard,
+			      int64_t began_ms)
 {
 	lease_t *lease = lease_of(keeper, shard);
 
-	lease->mine = true;
-	lease->until_ms = began_ms + keeper->options.duration_ms;
+	lease->is_own = true;
+	lease->valid_until_ms = began_ms + keeper->options.duration_ms;
 	lease->next_renew_ms = began_ms + keeper->options.duration_ms / 3;
 }
 
 bool wwh_lease_keeper_holds(const wwh_lease_keeper_t *keeper, int64_t now_ms,
-			    int32_t shard, int64_t *until_ms)
+			    int32_t shard, int64_t *valid_until_ms)
 {
 	const lease_t *lease = lease_of(keeper, shard);
 
-	if (until_ms != NULL)
-		*until_ms = lease->until_ms;
-	return lease->mine && !lease->surplus && now_ms < lease->until_ms;
+	if (valid_until_ms != NULL)
+		*valid_until_ms = lease->valid_until_ms;
+	return lease->is_own && !lease->is_surplus &&
+	       now_ms < lease->valid_until_ms;
 }
 
-int32_t wwh_lease_keeper_held(const wwh_lease_keeper_t *keeper, int64_t now_ms)
+int32_t wwh_lease_keeper_held_count(const wwh_lease_keeper_t *keeper,
+				    int64_t now_ms)
 {
 	int32_t count = 0;
 
 	for (int32_t i = 0; i < keeper->options.shard_count; i++) {
 		const lease_t *lease = &keeper->leases[i];
 
-		count += lease->mine && now_ms < lease->until_ms;
+		count += lease->is_own && now_ms < lease->valid_until_ms;
 	}
 	return count;
 }
@@ -231,16 +234,16 @@
 	return &keeper->leases[index];
 }
 
-static bool renew_one(wwh_lease_keeper_t *keeper, int64_t now_ms,
-		      wwh_lease_action_t *action)
+static bool decide_renew(wwh_lease_keeper_t *keeper, int64_t now_ms,
+			 wwh_lease_action_t *action)
 {
 	for (int32_t i = 0; i < keeper->options.shard_count; i++) {
 		lease_t *lease = &keeper->leases[i];
 
-		if (!lease->mine || lease->surplus || lease->tried ||
+		if (!lease->is_own || lease->is_surplus || lease->has_action ||
 		    now_ms < lease->next_renew_ms)
 			continue;
-		lease->tried = true;
+		lease->has_action = true;
 		action->kind = WWH_LEASE_RENEW;
 		action->shard = keeper->options.first_shard + i;
 		action->offset = lease->fence;
@@ -250,11 +253,11 @@
 }
 
 /*
- * Members begin their search at different leases, so that two that look at
- * the same moment seldom ask for the same one.
+ * Members begin their search at different leases, so that two that search at the
+ * same time seldom choose the same one.
  */
-static bool take_one(wwh_lease_keeper_t *keeper, int64_t now_ms,
-		     int64_t unclaimed_ms, wwh_lease_action_t *action)
+static bool decide_take(wwh_lease_keeper_t *keeper, int64_t now_ms,
+			int64_t min_unrenewed_ms, wwh_lease_action_t *action)
 {
 	int32_t count = keeper->options.shard_count;
 	int32_t start =
@@ -264,29 +267,31 @@
 		int32_t index = (start + i) % count;
 		lease_t *lease = &keeper->leases[index];
 
-		if (lease->mine || lease->tried || !is_wanted(keeper, index) ||
+		if (lease->is_own || lease->has_action ||
+		    !is_wanted(keeper, index) ||
 		    !may_take(keeper, lease, now_ms) ||
-		    now_ms - lease->seen_ms < unclaimed_ms)
+		    now_ms - lease->latest_seen_ms < min_unrenewed_ms)
 			continue;
-		lease->tried = true;
+		lease->has_action = true;
 		action->kind = WWH_LEASE_TAKE;
 		action->shard = keeper->options.first_shard + index;
-		action->offset = lease->free ? WWH_NO_OFFSET : lease->latest;
+		action->offset = lease->is_free ? WWH_NO_OFFSET : lease->latest;
 		return true;
 	}
 	return false;
 }
 
-static bool release_one(wwh_lease_keeper_t *keeper, wwh_lease_action_t *action)
+static bool decide_release(wwh_lease_keeper_t *keeper,
+			   wwh_lease_action_t *action)
 {
 	for (int32_t i = keeper->options.shard_count - 1; i >= 0; i--) {
 		lease_t *lease = &keeper->leases[i];
 
-		if (!lease->mine || !lease->surplus || lease->tried)
+		if (!lease->is_own || !lease->is_surplus || lease->has_action)
 			continue;
-		lease->tried = true;
-		lease->mine = false;
-		lease->until_ms = 0;
+		lease->has_action = true;
+		lease->is_own = false;
+		lease->valid_until_ms = 0;
 		action->kind = WWH_LEASE_RELEASE;
 		action->shard = keeper->options.first_shard + i;
 		action->offset = lease->fence;
@@ -295,13 +300,16 @@
 	return false;
 }
 
-/* How long a lease stays with nobody before any member may take it. */
-static int64_t orphan_ms(const wwh_lease_keeper_t *keeper)
+/*
+ * Returns how long a lease must have had no renewal before a member may acquire
+ * it above its target.
+ */
+static int64_t orphan_timeout_ms(const wwh_lease_keeper_t *keeper)
 {
 	int64_t wait_ms =
 		(int64_t)keeper->options.duration_ms + keeper->options.grace_ms;
 
-	return 2 * wait_ms + (int64_t)keeper->rank * ORPHAN_STEP_MS;
+	return 2 * wait_ms + (int64_t)keeper->rank * ORPHAN_RANK_DELAY_MS;
 }
 
 static bool may_take(const wwh_lease_keeper_t *keeper, const lease_t *lease,
@@ -310,21 +318,21 @@
 	int64_t wait_ms =
 		(int64_t)keeper->options.duration_ms + keeper->options.grace_ms;
 
-	return lease->free || now_ms - lease->seen_ms >= wait_ms;
+	return lease->is_free || now_ms - lease->latest_seen_ms >= wait_ms;
 }
 
-static int32_t mine_count(const wwh_lease_keeper_t *keeper)
+static int32_t own_count(const wwh_lease_keeper_t *keeper)
 {
 	int32_t count = 0;
 
 	for (int32_t i = 0; i < keeper->options.shard_count; i++)
-		count += keeper->leases[i].mine && is_wanted(keeper, i);
+		count += keeper->leases[i].is_own && is_wanted(keeper, i);
 	return count;
 }
 
 static bool is_above_target(wwh_lease_keeper_t *keeper, int64_t now_ms)
 {
-	if (mine_count(keeper) <= wwh_lease_keeper_target(keeper)) {
+	if (own_count(keeper) <= wwh_lease_keeper_target(keeper)) {
 		keeper->above_since_ms = -1;
 		return false;
 	}
