--- a/include/waxwinghollow/shard_journal.h
+++ b/include/waxwinghollow/shard_journal.h
@@ -3,20 +3,20 @@
 
 /*
  * NAME
- *	shard_journal - a shard's records, written in their order by one holder
+ *	shard_journal - a shard's records, written in order by one holder
  *
  * USE
- *	Records get numbers that rise by one and are appended in groups, one
- *	call at a time. A call that got no answer is repeated with the same
- *	epoch and sequence number until its result is known: the store then
- *	gives its first answer again and stores nothing twice.
+ *	Records are numbered consecutively and appended in batches, one call at
+ *	a time. A call without an answer is repeated with the same epoch and
+ *	sequence number until its result is known: the store then repeats its
+ *	first answer and stores nothing twice.
  *
  *	A writer with a higher epoch ends the journal: on_lost is called and
  *	nothing is written any more. Records that weren't durable by then may
- *	be stored or not.
+ *	or may not be stored.
  *
  * ORDER OF CALLS
- *	wwh_shard_journal_new; wwh_shard_journal_keep and
+ *	wwh_shard_journal_new; wwh_shard_journal_append and
  *	wwh_shard_journal_run by the thread of its http_calls;
  *	wwh_shard_journal_delete, also from within a callback.
  */
@@ -31,8 +31,8 @@
 	const char *producer;
 	int64_t epoch;
 	int64_t next_sequence;
-	int64_t call_bytes; /* of one call, at most */
-	int64_t group_ms; /* records that nobody waits for wait this long */
+	int64_t max_call_bytes;
+	int64_t batch_delay_ms; /* how long records that aren't urgent wait */
 	void (*on_durable)(int64_t record, void *client_data);
 	void (*on_lost)(const char *why, void *client_data);
 	void *client_data;
@@ -44,34 +44,47 @@
 wwh_shard_journal_new(const wwh_shard_journal_options_t *options);
 void wwh_shard_journal_delete(wwh_shard_journal_t *journal);
 
-/* value NULL drops the key. urgent: somebody waits for it. */
-int64_t wwh_shard_journal_keep(wwh_shard_journal_t *journal, const char *key,
-			       GBytes *value, bool urgent, int64_t now_ms);
+/*
+ * Queues a record and returns its number. value NULL drops the key. urgent: a
+ * caller waits until the record is durable.
+ */
+int64_t wwh_shard_journal_append(wwh_shard_journal_t *journal, const char *key,
+				 GBytes *value, bool urgent, int64_t now_ms);
 void wwh_shard_journal_run(wwh_shard_journal_t *journal, int64_t now_ms);
 
 /*
- * Drops a record that is in no call so far: it is surely not stored and never
- * will be. False: it was sent, and may be stored.
+ * Discards a record that hasn't been sent: it is not stored and never will be.
+ * Returns false if the record was sent, and thus may be stored.
  */
-bool wwh_shard_journal_take_back(wwh_shard_journal_t *journal, int64_t number);
+bool wwh_shard_journal_discard(wwh_shard_journal_t *journal, int64_t number);
 
-/* When the last append that succeeded was sent: the claim held then. */
+/*
+ * Returns when the last successful append was sent; the claim was in force then.
+ * Returns 0 after the journal was lost.
+ */
 int64_t wwh_shard_journal_confirmed_ms(const wwh_shard_journal_t *journal);
 
-/* How long the oldest record has been waiting to become durable. */
+/* Returns how long the oldest record that isn't durable has been waiting. */
 int64_t wwh_shard_journal_lag_ms(const wwh_shard_journal_t *journal,
 				 int64_t now_ms);
 
-/* How long the last append took that succeeded. */
-int64_t wwh_shard_journal_took_ms(const wwh_shard_journal_t *journal);
+/* Considers successful appends only. */
+int64_t
+wwh_shard_journal_last_append_duration_ms(const wwh_shard_journal_t *journal);
 
-/* When a call that failed was sent last; 0: none has. */
-int64_t wwh_shard_journal_failed_ms(const wwh_shard_journal_t *journal);
+/* Returns when the last failed call was sent; 0: no call has failed. */
+int64_t wwh_shard_journal_last_failure_ms(const wwh_shard_journal_t *journal);
 
-/* The last call got no answer, or one that says that it had no effect. */
+/*
+ * Returns whether the last call got no answer, or an answer that it had no
+ * effect.
+ */
 bool wwh_shard_journal_failing(const wwh_shard_journal_t *journal);
 
-/* The store refused the last call: it answers, but takes nothing now. */
+/*
+ * Returns whether the store refused the last call: it answers, but accepts no
+ * records now.
+ */
 bool wwh_shard_journal_refused(const wwh_shard_journal_t *journal);
 
 #endif
--- a/include/waxwinghollow/store_follower.h
+++ b/include/waxwinghollow/store_follower.h
@@ -3,23 +3,23 @@
 
 /*
  * NAME
- *	store_follower - the newest record of each key, and then each change
+ *	store_follower - reports the newest record of each key, then each change
  *
  * USE
- *	Reads all keys of a partition once, then follows its log. When the log
- *	has been trimmed beyond where it is, it reads all keys again and
- *	reports those that are gone as dropped.
+ *	Reads all keys of a partition once (the full read), then follows its
+ *	log. When the log has been trimmed beyond the follower's offset, it
+ *	repeats the full read and reports keys that are gone as dropped.
  *
- *	A list that holds a record without a key that can be read drops no key:
- *	any that is missing may be that one.
+ *	A full read with a record whose key is unreadable drops no key: any
+ *	missing key may be that one.
  *
- *	A call that gets no answer is repeated: the time limit of a read is a
- *	little longer than the store may wait, so that a connection that has
- *	gone silent costs one wait. A read that got none asks for half as much
- *	the next time, so that a follower under load still gets on.
+ *	A call without an answer is repeated. The time limit of a read is a
+ *	little longer than the store may wait, so that a silent connection costs
+ *	one wait. A read without an answer halves the size of the next one, so
+ *	that a follower under load still makes progress.
  *
- *	A follower that is behind by more changes than there are keys reads all
- *	keys again instead.
+ *	A follower that is behind by more than 2000 changes, and by more than
+ *	twice the number of keys, repeats the full read instead.
  *
  * ORDER OF CALLS
  *	wwh_store_follower_new; wwh_store_follower_run often, by the thread of
@@ -34,19 +34,20 @@
 	const char *endpoint;
 	const char *topic;
 	int32_t part;
-	int64_t wait_ms; /* of a read */
-	int64_t gap_ms; /* between two reads; 0: none */
+	int64_t wait_ms; /* how long the store may hold a read open */
+	int64_t read_interval_ms; /* at least, between two reads; 0: none */
 	/*
-	 * value NULL: the key was dropped. size 0 and a value: the key is
-	 * there, and its value can't be read.
+	 * value NULL: the key was dropped. A value of size 0: the key exists,
+	 * but its value is unreadable.
 	 */
 	void (*on_record)(const char *key, const uint8_t *value, size_t size,
 			  void *client_data);
-	/* A record without a key that can be read; may be NULL. */
-	void (*on_nameless)(int64_t offset, const char *why, void *client_data);
-	/* All that was there when it began has been reported. */
+	/* A record whose key is unreadable; may be NULL. */
+	void (*on_unreadable_key)(int64_t offset, const char *why,
+				  void *client_data);
+	/* All records that existed when the follower began were reported. */
 	void (*on_caught_up)(void *client_data);
-	/* The store answers, or doesn't, as against the time before. */
+	/* The store has become reachable or unreachable. */
 	void (*on_reach)(bool reached, const char *why, void *client_data);
 	void *client_data;
 } wwh_store_follower_options_t;
@@ -61,16 +62,22 @@
 bool wwh_store_follower_caught_up(const wwh_store_follower_t *follower);
 
 /*
- * What was in the log at this time of wwh_store_follower_run has been reported;
- * 0: nothing yet. While it reads all keys for the first time, this holds for
- * those that have been reported.
+ * Returns the time, as given to wwh_store_follower_run, as of which all records
+ * of the log were reported; 0: none yet. During the first full read this applies
+ * to the keys that were reported.
  */
 int64_t wwh_store_follower_complete_ms(const wwh_store_follower_t *follower);
 
-/* The last call failed: the store may be away, or this process cut off. */
+/*
+ * Returns whether the last call failed: the store may be down, or this process
+ * cut off.
+ */
 bool wwh_store_follower_failing(const wwh_store_follower_t *follower);
 
-/* It is reading all keys: what it has reported is partly old. */
-bool wwh_store_follower_reading_all(const wwh_store_follower_t *follower);
+/*
+ * Returns whether a full read is in progress: some of the reported records may be
+ * outdated.
+ */
+bool wwh_store_follower_in_full_read(const wwh_store_follower_t *follower);
 
 #endif
--- a/src/libwaxwinghollow/include/private/shard_claim_state.h
+++ b/src/libwaxwinghollow/include/private/shard_claim_state.h
@@ -2,17 +2,18 @@
 #define PRIVATE_SHARD_CLAIM_STATE_H
 
 /*
- * What the parts of a claim share: shard_claim.c claims and makes known,
- * shard_claim_watch.c knows who holds the shard and who should.
+ * State shared by the claim's sources: shard_claim.c makes the claim and publishes
+ * the notice; shard_claim_watch.c tracks which process holds the shard and to
+ * which one it is assigned.
  */
 
 #include "waxwinghollow/shard_claim.h"
 #include "waxwinghollow/store_follower.h"
 
 /*
- * An epoch is the number of claims so far and a random part: two processes
- * that claim at once must not share one, or the store would take the second
- * one's claim for a repeat of the first one's.
+ * An epoch consists of the number of claims so far and random low bits: if two
+ * processes that claim at once had the same epoch, the store would treat the
+ * second claim as a repeat of the first.
  */
 #define CLAIM_RANDOM_BITS 16
 
@@ -21,10 +22,10 @@
 typedef enum {
 	CLAIM_WATCHING = 0,
 	CLAIM_LOADING, /* reading the journal */
-	CLAIM_APPENDING, /* the claim's record is on its way */
-	CLAIM_CONFIRMING, /* until that record is read back */
+	CLAIM_APPENDING, /* the claim's record is being appended */
+	CLAIM_CONFIRMING, /* until the claim's record is read back */
 	CLAIM_HELD,
-	CLAIM_GIVEN_UP,
+	CLAIM_RELEASED,
 } claim_state_t;
 
 struct wwh_shard_claim {
@@ -36,23 +37,23 @@
 	int32_t references;
 	int64_t now_ms;
 	/* the group */
-	int64_t assigned_ms; /* when the call that said so was sent */
+	int64_t assigned_sent_ms; /* when the join that reported it was sent */
 	int64_t join_sent_ms;
 	int64_t generation;
-	int64_t reached_since_ms; /* each call since was answered; 0: none */
-	/* the holder as made known */
+	int64_t store_reachable_since_ms; /* all joins since succeeded; 0: none */
+	/* the holder according to the notices */
 	wwh_store_follower_t *notices;
-	char *holder; /* NULL: nobody */
+	char *holder; /* NULL: no process holds the shard */
 	int64_t holder_epoch;
-	int64_t holder_known_ms; /* since when; 0: before this one started */
-	int32_t short_terms; /* holders in a row that were replaced soon */
+	int64_t holder_since_ms; /* 0: no notice read so far */
+	int32_t short_terms; /* consecutive, shorter than SHORT_TERM_MS */
 	int64_t probe_sent_ms;
-	int64_t probe_epoch; /* of the holder that was asked */
-	int64_t yields_ms; /* the holder says so since; 0: it doesn't */
-	int64_t proven_ms; /* since then the journal took a record; 0: not */
-	int64_t proof_failed_ms; /* the last time that it took none */
-	int64_t answered_ms; /* reluctant: when a holder was there last */
-	int64_t left_until_ms; /* to others: as a reluctant one until then */
+	int64_t probe_epoch; /* of the holder that was probed */
+	int64_t yielding_since_ms; /* 0: the holder doesn't yield */
+	int64_t write_check_passed_ms; /* 0: not yet */
+	int64_t write_check_failed_ms;
+	int64_t holder_answered_ms; /* tracked on standby or withdrawn */
+	int64_t withdrawn_until_ms; /* joins like a standby until then */
 	/* the claim */
 	wwh_store_follower_t *journal;
 	GHashTable *records;
@@ -62,52 +63,56 @@
 	int64_t append_sent_ms;
 	int64_t retry_ms;
 	int64_t notice_retry_ms;
-	int64_t notice_epoch; /* of the claim that is made known in flight */
+	int64_t notice_epoch; /* of the notice in flight */
 	int32_t probes_failed;
 	bool deleted;
 	bool join_in_flight;
 	bool assigned;
 	bool probe_in_flight;
-	bool proof_in_flight;
-	bool holder_ended; /* its process is gone, or says it doesn't hold */
-	bool holder_gave_up; /* it says so, and that nothing of it is out */
-	bool holder_orders_hosts; /* it has ended, and its orders are out */
-	bool others_at_work; /* when the claim was begun, as the next one */
+	bool write_check_in_flight;
+	bool holder_has_ended; /* connection refused, or it reports so */
+	bool holder_released; /* and has no orders outstanding */
+	bool holder_orders_pending; /* ended with orders to hosts out */
+	bool others_at_work; /* these three as of claim_begin */
 	bool others_ended;
 	bool inherits_load;
-	bool has_claimed; /* since the process started */
+	bool has_claimed; /* since this process started */
 	bool append_in_flight;
-	bool notice_pending; /* the holder is to be made known */
+	bool notice_pending; /* a notice is to be published */
 	bool notice_in_flight;
-	bool notice_of_giving_up; /* what is in flight says so */
+	bool notice_is_release; /* of the notice in flight */
 	bool leave_settled;
 };
 
 /* shard_claim_watch.c */
 
-/* Stays in the group, unless others are to be left the shard. */
-void claim_stay_in_group(wwh_shard_claim_t *claim);
+/* Joins the group or renews the membership, if this process may join. */
+void claim_renew_membership(wwh_shard_claim_t *claim);
 
-/* For a follower of the notices. */
+/* wwh_store_follower on_record callback for the notices. */
 void claim_on_notice(const char *key, const uint8_t *value, size_t size,
 		     void *data);
 
-/* Begins a claim when this process should hold the shard and nobody does. */
-void claim_watch(wwh_shard_claim_t *claim);
+/*
+ * Probes the holder. Begins a claim if the shard is assigned to this process and
+ * no other process holds it, or if this process held it before a restart.
+ */
+void claim_check_holder(wwh_shard_claim_t *claim);
 
-/* shard_claim_text.c: what is written under the keys; false: it isn't that */
+/* shard_claim_text.c: decoding of records; false: the record is malformed */
 bool claim_read_notice(const uint8_t *value, size_t size, int64_t *epoch,
-		       char **address); /* g_free; NULL: nobody holds it */
+		       char **address); /* free with g_free; NULL: no holder */
 bool claim_read_record(const uint8_t *value, size_t size, int64_t *epoch);
-void claim_judge(wwh_shard_claim_t *claim, const char *key, bool whole);
-void claim_on_nameless(int64_t offset, const char *why, void *data);
+void claim_report_record(wwh_shard_claim_t *claim, const char *key,
+			 bool is_valid);
+void claim_on_unreadable_key(int64_t offset, const char *why, void *data);
 
 /* shard_claim.c */
 void claim_begin(wwh_shard_claim_t *claim, const char *why,
 		 bool others_at_work);
 void claim_unref(wwh_shard_claim_t *claim);
-void claim_explain(wwh_shard_claim_t *claim, const char *event,
-		   const char *format, ...)
+void claim_log_event(wwh_shard_claim_t *claim, const char *event,
+		     const char *format, ...)
 	__attribute__((format(printf, 3, 4)));
 
 #endif
--- a/src/libwaxwinghollow/job_holder.c
+++ b/src/libwaxwinghollow/job_holder.c
@@ -93,9 +93,9 @@
 		.endpoint = options->settings->store,
 		.topic = WIRE_TOPIC_UPSTREAMS,
 		.wait_ms = UPSTREAMS_WAIT_MS,
-		.gap_ms = UPSTREAMS_GAP_MS,
+		.read_interval_ms = UPSTREAMS_GAP_MS,
 		.on_record = job_holder_on_upstream,
-		.on_nameless = job_holder_on_nameless_upstream,
+		.on_unreadable_key = job_holder_on_nameless_upstream,
 		.on_reach = on_reach,
 		.client_data = holder,
 	};
@@ -320,8 +320,8 @@
 	/* the first start at an upstream waits for its record */
 	bool urgent =
 		holder->urgent || (kind == WWH_KEEP_UPSTREAM && value != NULL);
-	int64_t number = wwh_shard_journal_keep(holder->journal, whole, value,
-						urgent, holder->now_ms);
+	int64_t number = wwh_shard_journal_append(holder->journal, whole, value,
+						  urgent, holder->now_ms);
 
 	/* one that couldn't be read is replaced now */
 	if (value == NULL)
@@ -350,8 +350,8 @@
 		.producer = holder->options.producer,
 		.epoch = holder->options.epoch,
 		.next_sequence = holder->options.next_sequence,
-		.call_bytes = holder->options.settings->store_call_bytes,
-		.group_ms = GROUP_MS,
+		.max_call_bytes = holder->options.settings->store_call_bytes,
+		.batch_delay_ms = GROUP_MS,
 		.on_durable = on_durable,
 		.on_lost = on_journal_lost,
 		.client_data = holder,
@@ -530,8 +530,8 @@
 {
 	if (suspended && holder->unconfirmed_since_ms == 0) {
 		holder->unconfirmed_since_ms = holder->now_ms;
-		(void)wwh_shard_journal_keep(holder->journal, CONFIRM_KEY, NULL,
-					     true, holder->now_ms);
+		(void)wwh_shard_journal_append(holder->journal, CONFIRM_KEY,
+					       NULL, true, holder->now_ms);
 	}
 	return holder->unconfirmed_since_ms == 0;
 }
@@ -570,6 +570,6 @@
 	}
 	if (holder->now_ms - confirmed_ms >= CONFIRM_EVERY_MS &&
 	    wwh_shard_journal_lag_ms(holder->journal, holder->now_ms) == 0)
-		(void)wwh_shard_journal_keep(holder->journal, CONFIRM_KEY, NULL,
-					     true, holder->now_ms);
+		(void)wwh_shard_journal_append(holder->journal, CONFIRM_KEY,
+					       NULL, true, holder->now_ms);
 }
--- a/src/libwaxwinghollow/job_holder_requests.c
+++ b/src/libwaxwinghollow/job_holder_requests.c
@@ -128,7 +128,7 @@
 static bool take_back(wwh_job_holder_t *holder, const char *job, int64_t record)
 {
 	if (!wwh_scheduler_untouched(holder->scheduler, job) ||
-	    !wwh_shard_journal_take_back(holder->journal, record))
+	    !wwh_shard_journal_discard(holder->journal, record))
 		return false;
 	wwh_scheduler_take_back(holder->scheduler, job);
 	return true;
@@ -156,7 +156,8 @@
 {
 	int64_t limit_ms =
 		MAX(STALLED_MS,
-		    SLOW_APPENDS * wwh_shard_journal_took_ms(holder->journal));
+		    SLOW_APPENDS * wwh_shard_journal_last_append_duration_ms(
+					   holder->journal));
 
 	if (wwh_shard_journal_refused(holder->journal))
 		limit_ms = REFUSED_STALLED_MS;
--- a/src/libwaxwinghollow/job_service_http.c
+++ b/src/libwaxwinghollow/job_service_http.c
@@ -216,15 +216,16 @@
 static wwh_shard_answer_t shard_answer(const wwh_job_service_t *service)
 {
 	if (service->claims && !service->stopping)
-		return WWH_SHARD_UNSURE;
+		return WWH_SHARD_UNCONFIRMED;
 	if (!service->holds && service->handed_over)
-		return service->handed_over_early ? WWH_SHARD_HANDED_OVER_EARLY
-						  : WWH_SHARD_HANDED_OVER;
+		return service->handed_over_early
+			       ? WWH_SHARD_HANDED_OVER_ORDERS_PENDING
+			       : WWH_SHARD_HANDED_OVER;
 	if (!service->holds || (service->stopping && !service->orders_hosts))
 		return WWH_SHARD_NOT_HELD;
 	if (service->yields)
 		return WWH_SHARD_YIELDS;
-	return service->reaches_store ? WWH_SHARD_HELD : WWH_SHARD_UNSURE;
+	return service->reaches_store ? WWH_SHARD_HELD : WWH_SHARD_UNCONFIRMED;
 }
 
 static void answer_text(wwh_http_response_t *response, int32_t status,
--- a/src/libwaxwinghollow/job_service_loop.c
+++ b/src/libwaxwinghollow/job_service_loop.c
@@ -165,8 +165,8 @@
 		service->lost_holder = g_steal_pointer(&service->holder);
 	}
 	if (stopping && service->holder == NULL)
-		wwh_shard_claim_give_up(service->claim, now_ms);
-	wwh_shard_claim_leave_to_others(
+		wwh_shard_claim_release(service->claim, now_ms);
+	wwh_shard_claim_set_withdrawn(
 		service->claim, wwh_loop_lag_blames_host(service->lag), now_ms);
 	hand_over(service, now_ms);
 	wwh_shard_claim_run(service->claim, now_ms);
@@ -225,7 +225,7 @@
 	if (orders_hosts && now_ms - service->asked_for_ms < limit_ms)
 		return;
 	(void)job_service_drop_holder(service, "handed-over");
-	wwh_shard_claim_handed_over(service->claim, now_ms);
+	wwh_shard_claim_handle_handover(service->claim, now_ms);
 	service->asked_for_ms = 0;
 	g_mutex_lock(&service->lock);
 	service->asked_for = false;
@@ -305,5 +305,5 @@
 {
 	return service->holder == NULL &&
 	       g_hash_table_size(service->forwards) == 0 &&
-	       wwh_shard_claim_given_up(service->claim);
+	       wwh_shard_claim_is_released(service->claim);
 }
--- a/src/libwaxwinghollow/shard_claim.c
+++ b/src/libwaxwinghollow/shard_claim.c
@@ -7,34 +7,35 @@
 
 #define CLAIM_KEY "C"
 
-#define LEAVE_LIMIT_MS 700
+#define LEAVE_TIMEOUT_MS 700
 
 #define NOTICE_WAIT_MS 1500
 #define JOURNAL_WAIT_MS 300
 
-#define APPEND_LIMIT_MS 800
+#define APPEND_TIMEOUT_MS 800
 #define RETRY_MS 150
 
 /*
- * A host that turned slow is slow for some seconds; named again by the group, it
- * would take the shard back.
+ * A host that became slow stays slow for some seconds. Without this delay the
+ * group might assign the shard to it again, and it would take the shard back.
  */
-#define LEFT_TO_OTHERS_MS 10000
+#define WITHDRAWAL_MS 10000
 
-/* Twice what the successor needs for its claim, with a slow store. */
-#define LEFT_TO_SUCCESSOR_MS 2000
+/* Twice the time that the successor needs for its claim with a slow store. */
+#define SUCCESSOR_CLAIM_MS 2000
 
-static void stop_reading(wwh_shard_claim_t *claim);
-static void on_journal(const char *key, const uint8_t *value, size_t size,
-		       void *data);
+static void stop_journal_read(wwh_shard_claim_t *claim);
+static void on_journal_record(const char *key, const uint8_t *value,
+			      size_t size, void *data);
 static void append_claim(wwh_shard_claim_t *claim);
-static void on_claimed(const wwh_http_answer_t *answer, void *data);
-static void confirm(wwh_shard_claim_t *claim);
-static void make_known(wwh_shard_claim_t *claim);
-static void on_made_known(const wwh_http_answer_t *answer, void *data);
+static void on_claim_appended(const wwh_http_answer_t *answer, void *data);
+static void confirm_claim(wwh_shard_claim_t *claim);
+static void publish_notice(wwh_shard_claim_t *claim);
+static void on_notice_published(const wwh_http_answer_t *answer, void *data);
 static void leave_group(wwh_shard_claim_t *claim, wwh_http_done_t done);
-static void on_left(const wwh_http_answer_t *answer, void *data);
-static void on_left_to_others(const wwh_http_answer_t *answer, void *data);
+static void on_group_left(const wwh_http_answer_t *answer, void *data);
+static void on_group_left_for_withdrawal(const wwh_http_answer_t *answer,
+					 void *data);
 
 wwh_shard_claim_t *wwh_shard_claim_new(const wwh_shard_claim_options_t *options)
 {
@@ -46,7 +47,7 @@
 		.part = options->notice_part,
 		.wait_ms = NOTICE_WAIT_MS,
 		.on_record = claim_on_notice,
-		.on_nameless = claim_on_nameless,
+		.on_unreadable_key = claim_on_unreadable_key,
 		.client_data = claim,
 	};
 
@@ -64,7 +65,7 @@
 	if (claim == NULL)
 		return;
 	claim->deleted = true;
-	stop_reading(claim);
+	stop_journal_read(claim);
 	wwh_store_follower_delete(claim->notices);
 	claim->notices = NULL;
 	claim_unref(claim);
@@ -74,13 +75,13 @@
 {
 	claim->now_ms = now_ms;
 	wwh_store_follower_run(claim->notices, now_ms);
-	if (claim->state != CLAIM_GIVEN_UP)
-		claim_stay_in_group(claim);
+	if (claim->state != CLAIM_RELEASED)
+		claim_renew_membership(claim);
 	if (claim->notice_pending)
-		make_known(claim);
+		publish_notice(claim);
 	switch (claim->state) {
 	case CLAIM_WATCHING:
-		claim_watch(claim);
+		claim_check_holder(claim);
 		break;
 	case CLAIM_LOADING:
 		wwh_store_follower_run(claim->journal, now_ms);
@@ -92,7 +93,7 @@
 		break;
 	case CLAIM_CONFIRMING:
 		wwh_store_follower_run(claim->journal, now_ms);
-		confirm(claim);
+		confirm_claim(claim);
 		break;
 	default:
 		break;
@@ -106,60 +107,60 @@
 	       claim->state == CLAIM_CONFIRMING;
 }
 
-void wwh_shard_claim_lost(wwh_shard_claim_t *claim, int64_t now_ms)
+void wwh_shard_claim_handle_loss(wwh_shard_claim_t *claim, int64_t now_ms)
 {
 	claim->now_ms = now_ms;
-	stop_reading(claim);
+	stop_journal_read(claim);
 	claim->notice_pending = false;
-	if (claim->state == CLAIM_GIVEN_UP)
+	if (claim->state == CLAIM_RELEASED)
 		return;
 	claim->state = CLAIM_WATCHING;
 	claim->retry_ms = now_ms + RETRY_MS;
 	claim->probes_failed = 0;
-	claim->holder_ended = false;
-	claim->holder_gave_up = false;
-	claim->holder_orders_hosts = false;
-	claim->yields_ms = 0;
+	claim->holder_has_ended = false;
+	claim->holder_released = false;
+	claim->holder_orders_pending = false;
+	claim->yielding_since_ms = 0;
 	claim->probe_sent_ms = now_ms;
 }
 
-void wwh_shard_claim_handed_over(wwh_shard_claim_t *claim, int64_t now_ms)
+void wwh_shard_claim_handle_handover(wwh_shard_claim_t *claim, int64_t now_ms)
 {
-	wwh_shard_claim_lost(claim, now_ms);
-	claim->retry_ms = now_ms + LEFT_TO_SUCCESSOR_MS;
+	wwh_shard_claim_handle_loss(claim, now_ms);
+	claim->retry_ms = now_ms + SUCCESSOR_CLAIM_MS;
 }
 
-void wwh_shard_claim_leave_to_others(wwh_shard_claim_t *claim, bool leave,
-				     int64_t now_ms)
+void wwh_shard_claim_set_withdrawn(wwh_shard_claim_t *claim, bool withdrawn,
+				   int64_t now_ms)
 {
-	bool has_left = now_ms < claim->left_until_ms;
+	bool was_withdrawn = now_ms < claim->withdrawn_until_ms;
 
-	if (claim->state != CLAIM_HELD || leave == has_left)
+	if (claim->state != CLAIM_HELD || withdrawn == was_withdrawn)
 		return;
-	claim->left_until_ms = leave ? now_ms + LEFT_TO_OTHERS_MS : 0;
-	if (!leave)
+	claim->withdrawn_until_ms = withdrawn ? now_ms + WITHDRAWAL_MS : 0;
+	if (!withdrawn)
 		return;
-	claim_explain(claim, "shard-left-to-others", "epoch=%" G_GINT64_FORMAT,
-		      claim->epoch);
-	leave_group(claim, on_left_to_others);
+	claim_log_event(claim, "shard-left-to-others",
+			"epoch=%" G_GINT64_FORMAT, claim->epoch);
+	leave_group(claim, on_group_left_for_withdrawal);
 }
 
-void wwh_shard_claim_give_up(wwh_shard_claim_t *claim, int64_t now_ms)
+void wwh_shard_claim_release(wwh_shard_claim_t *claim, int64_t now_ms)
 {
-	bool held = claim->state == CLAIM_HELD;
+	bool was_held = claim->state == CLAIM_HELD;
 
-	if (claim->state == CLAIM_GIVEN_UP)
+	if (claim->state == CLAIM_RELEASED)
 		return;
 	claim->now_ms = now_ms;
-	stop_reading(claim);
-	claim->state = CLAIM_GIVEN_UP;
-	claim->notice_pending = held;
-	leave_group(claim, on_left);
+	stop_journal_read(claim);
+	claim->state = CLAIM_RELEASED;
+	claim->notice_pending = was_held;
+	leave_group(claim, on_group_left);
 }
 
-bool wwh_shard_claim_given_up(const wwh_shard_claim_t *claim)
+bool wwh_shard_claim_is_released(const wwh_shard_claim_t *claim)
 {
-	return claim->state == CLAIM_GIVEN_UP && claim->leave_settled &&
+	return claim->state == CLAIM_RELEASED && claim->leave_settled &&
 	       !claim->notice_pending;
 }
 
@@ -183,27 +184,28 @@
 		.topic = claim->topic,
 		.part = claim->options.journal_part,
 		.wait_ms = JOURNAL_WAIT_MS,
-		.on_record = on_journal,
-		.on_nameless = claim_on_nameless,
+		.on_record = on_journal_record,
+		.on_unreadable_key = claim_on_unreadable_key,
 		.client_data = claim,
 	};
 
-	claim_explain(claim, "shard-claim-begun",
-		      "why=%s holder=%s holder_epoch=%" G_GINT64_FORMAT, why,
-		      claim->holder == NULL ? "-" : claim->holder,
-		      claim->holder_epoch);
+	claim_log_event(claim, "shard-claim-begun",
+			"why=%s holder=%s holder_epoch=%" G_GINT64_FORMAT, why,
+			claim->holder == NULL ? "-" : claim->holder,
+			claim->holder_epoch);
 	claim->state = CLAIM_LOADING;
 	claim->others_at_work = others_at_work;
-	claim->others_ended = claim->holder != NULL && claim->holder_ended &&
-			      !claim->holder_gave_up;
-	claim->inherits_load = claim->holder_gave_up || others_at_work;
+	claim->others_ended = claim->holder != NULL &&
+			      claim->holder_has_ended &&
+			      !claim->holder_released;
+	claim->inherits_load = claim->holder_released || others_at_work;
 	claim->epoch = 0;
 	claim->records = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 					       (GDestroyNotify)g_bytes_unref);
 	claim->journal = wwh_store_follower_new(&journal);
 }
 
-static void stop_reading(wwh_shard_claim_t *claim)
+static void stop_journal_read(wwh_shard_claim_t *claim)
 {
 	wwh_store_follower_delete(claim->journal);
 	claim->journal = NULL;
@@ -212,8 +214,8 @@
 	claim->records = NULL;
 }
 
-static void on_journal(const char *key, const uint8_t *value, size_t size,
-		       void *data)
+static void on_journal_record(const char *key, const uint8_t *value,
+			      size_t size, void *data)
 {
 	wwh_shard_claim_t *claim = data;
 	int64_t epoch;
@@ -223,11 +225,11 @@
 		return;
 	}
 	if (strcmp(key, CLAIM_KEY) == 0) {
-		bool whole = claim_read_record(value, size, &epoch);
+		bool is_valid = claim_read_record(value, size, &epoch);
 
-		claim_judge(claim, key, whole);
-		/* in the claim's place, it would wait for its own for good */
-		if (!whole)
+		claim_report_record(claim, key, is_valid);
+		/* stored, it would leave this claim unconfirmed for ever */
+		if (!is_valid)
 			return;
 		claim->highest_counter =
 			MAX(claim->highest_counter, epoch >> CLAIM_RANDOM_BITS);
@@ -237,9 +239,9 @@
 }
 
 /*
- * Sent again with the same epoch and sequence number until its result is
- * known: given up half way, a claim that arrives late would fence off the
- * holder that this process or another has become meanwhile.
+ * Sends the claim with the same epoch and sequence number until its result is
+ * known: if it were abandoned, the record might arrive late and fence off the
+ * process that has become the holder meanwhile, this one or another.
  */
 static void append_claim(wwh_shard_claim_t *claim)
 {
@@ -264,16 +266,17 @@
 			strlen(claim->nonce));
 	call = wire_store_append(claim->store, claim->topic,
 				 claim->options.journal_part, &writer, body,
-				 APPEND_LIMIT_MS);
+				 APPEND_TIMEOUT_MS);
 	claim->state = CLAIM_APPENDING;
 	claim->has_claimed = true;
 	claim->append_in_flight = true;
 	claim->append_sent_ms = claim->now_ms;
 	claim->references++;
-	wwh_http_calls_send(claim->options.calls, call, on_claimed, claim);
+	wwh_http_calls_send(claim->options.calls, call, on_claim_appended,
+			    claim);
 }
 
-static void on_claimed(const wwh_http_answer_t *answer, void *data)
+static void on_claim_appended(const wwh_http_answer_t *answer, void *data)
 {
 	wwh_shard_claim_t *claim = data;
 	wire_store_result_t result = wire_store_append_answer(answer);
@@ -289,12 +292,12 @@
 		break;
 	case WIRE_STORE_FENCED:
 	case WIRE_STORE_SEQUENCE:
-		/* somebody else has claimed with a higher epoch */
-		claim_explain(claim, "shard-claim-refused",
-			      "epoch=%" G_GINT64_FORMAT " result=%s",
-			      claim->epoch, wire_store_result_names[result]);
+		/* another process has claimed with a higher epoch */
+		claim_log_event(claim, "shard-claim-refused",
+				"epoch=%" G_GINT64_FORMAT " result=%s",
+				claim->epoch, wire_store_result_names[result]);
 		claim->highest_counter++;
-		stop_reading(claim);
+		stop_journal_read(claim);
 		claim->state = CLAIM_WATCHING;
 		claim->retry_ms = claim->now_ms + RETRY_MS;
 		break;
@@ -306,44 +309,45 @@
 }
 
 /*
- * All records before the claim were read when its own record is. A claim of
- * another process behind it shows as another value of the same key.
+ * When the claim's own record has been read, so have all records before it. A
+ * later claim of another process is another value of the same key.
  */
-static void confirm(wwh_shard_claim_t *claim)
+static void confirm_claim(wwh_shard_claim_t *claim)
 {
 	GBytes *value = g_hash_table_lookup(claim->records, CLAIM_KEY);
 	GHashTable *records = claim->records;
-	wwh_held_t held;
+	wwh_shard_holding_t held;
 	int64_t epoch = 0;
 	const char *text;
 	gsize size = 0;
 
 	/*
-	 * While all keys are read again, as the log was trimmed meanwhile,
-	 * the claim may be among those read and others still be old.
+	 * During a full read that was repeated because the log was trimmed,
+	 * the claim may already have been read while other records are still
+	 * outdated.
 	 */
-	if (value == NULL || wwh_store_follower_reading_all(claim->journal))
+	if (value == NULL || wwh_store_follower_in_full_read(claim->journal))
 		return;
 	text = g_bytes_get_data(value, &size);
 	if (claim_read_record((const uint8_t *)text, size, &epoch) &&
 	    epoch >> CLAIM_RANDOM_BITS > claim->epoch >> CLAIM_RANDOM_BITS) {
-		claim_explain(claim, "shard-claim-overtaken",
-			      "epoch=%" G_GINT64_FORMAT
-			      " other=%" G_GINT64_FORMAT,
-			      claim->epoch, epoch);
-		wwh_shard_claim_lost(claim, claim->now_ms);
+		claim_log_event(claim, "shard-claim-overtaken",
+				"epoch=%" G_GINT64_FORMAT
+				" other=%" G_GINT64_FORMAT,
+				claim->epoch, epoch);
+		wwh_shard_claim_handle_loss(claim, claim->now_ms);
 		return;
 	}
 	if (size != strlen(claim->nonce) ||
 	    memcmp(text, claim->nonce, size) != 0)
 		return;
 	claim->records = NULL;
-	stop_reading(claim);
+	stop_journal_read(claim);
 	claim->state = CLAIM_HELD;
 	claim->notice_pending = true;
-	claim_explain(claim, "shard-held",
-		      "epoch=%" G_GINT64_FORMAT " records=%u", claim->epoch,
-		      g_hash_table_size(records));
+	claim_log_event(claim, "shard-held",
+			"epoch=%" G_GINT64_FORMAT " records=%u", claim->epoch,
+			g_hash_table_size(records));
 	held.epoch = claim->epoch;
 	held.holder_count = claim->epoch >> CLAIM_RANDOM_BITS;
 	held.next_sequence = 1;
@@ -354,10 +358,10 @@
 	claim->options.on_held(&held, claim->options.client_data);
 	g_hash_table_destroy(records);
 	if (claim->state == CLAIM_HELD)
-		make_known(claim);
+		publish_notice(claim);
 }
 
-static void make_known(wwh_shard_claim_t *claim)
+static void publish_notice(wwh_shard_claim_t *claim)
 {
 	wire_writer_t writer = {
 		.producer = claim->options.producer,
@@ -369,9 +373,9 @@
 
 	if (claim->notice_in_flight || claim->now_ms < claim->notice_retry_ms)
 		return;
-	writer.sequence = claim->state == CLAIM_GIVEN_UP;
+	writer.sequence = claim->state == CLAIM_RELEASED;
 	text = g_strdup_printf("%" G_GINT64_FORMAT " %s", claim->epoch,
-			       claim->state == CLAIM_GIVEN_UP ? ""
+			       claim->state == CLAIM_RELEASED ? ""
 							      : claim->self);
 	body = g_byte_array_new();
 	wire_store_pack(body, CLAIM_NOTICE_KEY, (const uint8_t *)text,
@@ -379,31 +383,33 @@
 	g_free(text);
 	call = wire_store_append(claim->store, claim->topic,
 				 claim->options.notice_part, &writer, body,
-				 APPEND_LIMIT_MS);
+				 APPEND_TIMEOUT_MS);
 	claim->notice_in_flight = true;
 	claim->notice_epoch = claim->epoch;
-	claim->notice_of_giving_up = claim->state == CLAIM_GIVEN_UP;
+	claim->notice_is_release = claim->state == CLAIM_RELEASED;
 	claim->references++;
-	wwh_http_calls_send(claim->options.calls, call, on_made_known, claim);
+	wwh_http_calls_send(claim->options.calls, call, on_notice_published,
+			    claim);
 }
 
 /*
- * The claim may have been lost and made again since the notice was sent. Taken
- * as settled by the old notice, no process would learn that the shard is held.
+ * The claim may have been lost and made again since the notice was sent. If the
+ * old notice's answer cleared notice_pending, the new claim's notice would never
+ * be published, and no process would learn that the shard is held.
  */
-static void on_made_known(const wwh_http_answer_t *answer, void *data)
+static void on_notice_published(const wwh_http_answer_t *answer, void *data)
 {
 	wwh_shard_claim_t *claim = data;
-	bool newest =
+	bool is_current =
 		claim->notice_epoch == claim->epoch &&
-		claim->notice_of_giving_up == (claim->state == CLAIM_GIVEN_UP);
+		claim->notice_is_release == (claim->state == CLAIM_RELEASED);
 	wire_store_result_t result = wire_store_append_answer(answer);
 
 	claim->notice_in_flight = false;
 	if (result == WIRE_STORE_NOT_DONE || result == WIRE_STORE_UNKNOWN ||
 	    result == WIRE_STORE_FULL)
 		claim->notice_retry_ms = claim->now_ms + RETRY_MS;
-	else if (newest)
+	else if (is_current)
 		claim->notice_pending = false;
 	claim_unref(claim);
 }
@@ -412,29 +418,30 @@
 {
 	wwh_http_call_t *call =
 		wire_store_leave(claim->store, claim->options.group,
-				 claim->self, LEAVE_LIMIT_MS);
+				 claim->self, LEAVE_TIMEOUT_MS);
 
 	claim->references++;
 	wwh_http_calls_send(claim->options.calls, call, done, claim);
 }
 
-static void on_left(const wwh_http_answer_t *answer, void *data)
+static void on_group_left(const wwh_http_answer_t *answer, void *data)
 {
 	wwh_shard_claim_t *claim = data;
 
-	(void)answer; /* unanswered, the group notices by itself */
+	(void)answer; /* without one, the membership expires */
 	claim->leave_settled = true;
 	claim_unref(claim);
 }
 
-static void on_left_to_others(const wwh_http_answer_t *answer, void *data)
+static void on_group_left_for_withdrawal(const wwh_http_answer_t *answer,
+					 void *data)
 {
-	(void)answer; /* unanswered, the group notices by itself */
+	(void)answer; /* without one, the membership expires */
 	claim_unref(data);
 }
 
-void claim_explain(wwh_shard_claim_t *claim, const char *event,
-		   const char *format, ...)
+void claim_log_event(wwh_shard_claim_t *claim, const char *event,
+		     const char *format, ...)
 {
 	char detail[256];
 	va_list arguments;
--- a/src/libwaxwinghollow/shard_claim_text.c
+++ b/src/libwaxwinghollow/shard_claim_text.c
@@ -3,7 +3,7 @@
 #include "private/shard_claim_state.h"
 #include "wire_fields.h"
 
-/* More would leave no room for the next epoch. */
+/* With more digits the next epoch could overflow. */
 #define EPOCH_MAX_DIGITS 18
 
 #define NONCE_CHARS 16
@@ -11,7 +11,7 @@
 static bool read_epoch(const uint8_t *value, size_t size, int64_t *epoch,
 		       char **rest);
 
-/* A notice is "EPOCH ADDRESS"; without an address nobody holds the shard. */
+/* A notice is "EPOCH ADDRESS"; without an address no process holds the shard. */
 bool claim_read_notice(const uint8_t *value, size_t size, int64_t *epoch,
 		       char **address)
 {
@@ -27,7 +27,7 @@
 	return false;
 }
 
-/* A claim is "EPOCH NONCE". */
+/* A claim record is "EPOCH NONCE". */
 bool claim_read_record(const uint8_t *value, size_t size, int64_t *epoch)
 {
 	char *nonce;
@@ -41,19 +41,20 @@
 	return ok;
 }
 
-void claim_judge(wwh_shard_claim_t *claim, const char *key, bool whole)
+void claim_report_record(wwh_shard_claim_t *claim, const char *key,
+			 bool is_valid)
 {
 	wwh_bad_records_t *bad = claim->options.bad_records;
 
 	if (bad == NULL)
 		return;
-	if (whole)
+	if (is_valid)
 		wwh_bad_records_whole(bad, key);
 	else
-		wwh_bad_records_found(bad, key, "it isn't an epoch and a text");
+		wwh_bad_records_found(bad, key, "expected an epoch and a text");
 }
 
-void claim_on_nameless(int64_t offset, const char *why, void *data)
+void claim_on_unreadable_key(int64_t offset, const char *why, void *data)
 {
 	wwh_shard_claim_t *claim = data;
 	char *key = g_strdup_printf("(offset %" G_GINT64_FORMAT ")", offset);
--- a/src/libwaxwinghollow/shard_journal.c
+++ b/src/libwaxwinghollow/shard_journal.c
@@ -5,34 +5,37 @@
 #include "wire_store.h"
 
 /*
- * An append takes some ms: what takes longer than the first limit is a silent
- * connection, on which the holder waits for nothing, or a store that is slow for
- * all. Each repetition of an append costs a slow store as much as the first, so
- * that with one limit none might ever be answered in time.
+ * An append takes some ms. One that exceeds the first time-out was sent on a silent
+ * connection, where waiting is useless, or to a store that is slow for all
+ * processes. Each repetition costs a slow store as much as the first call, so with
+ * a fixed time-out no append might ever be answered in time.
  */
-#define APPEND_LIMIT_MS 700
-#define APPEND_LONGEST_LIMIT_MS 2000
+#define APPEND_TIMEOUT_MS 700
+#define APPEND_TIMEOUT_MAX_MS 2000
 
-/* Of the time that the last append took, as an answer may take longer. */
-#define LIMIT_OF_LAST 2
+/*
+ * Factor of the last append's duration in the time-out, as the next append may take
+ * longer.
+ */
+#define TIMEOUT_PER_LAST_APPEND 2
 
 /*
- * A store that refuses is asked again this often. Callers are turned away
- * until an append goes through, and those who come for the last time are lost:
- * 3.5% of all with 0.4 s at most between two tries, 2.8% with 0.1 s (means of
- * 27 plays each of nine days with an outage of the store).
+ * Delays between retries when the store refuses or doesn't answer. Callers are
+ * rejected until an append succeeds, and the jobs of those that make their last
+ * try are lost: 3.5% of all with at most 0.4 s between two tries, 2.8% with 0.1 s
+ * (means of 27 simulations each of nine days with an outage of the store).
  */
 #define RETRY_FIRST_MS 40
 #define RETRY_MAX_MS 100
 
-/* A store that is full or doesn't understand is asked again slowly. */
+/* Delay between retries when the store is full or rejects the call as invalid. */
 #define RETRY_REFUSED_MS 1000
 
 typedef struct {
 	char *key;
-	GBytes *value; /* NULL: dropped */
+	GBytes *value; /* NULL: the key is dropped */
 	int64_t number;
-	int64_t kept_ms;
+	int64_t queued_ms;
 	bool urgent;
 } entry_t;
 
@@ -46,9 +49,9 @@
 	bool lost;
 	GQueue *waiting; /* entry_t, not in the call in progress */
 	bool urgent;
-	GByteArray *batch; /* of the call in progress; NULL: none */
+	GByteArray *batch; /* of the call in progress; NULL: no call */
 	int64_t batch_last;
-	int64_t batch_kept_ms;
+	int64_t batch_queued_ms;
 	int64_t sequence;
 	int64_t next_number;
 	bool in_flight;
@@ -56,21 +59,21 @@
 	int64_t sent_us; /* the same on the monotonic clock */
 	int64_t retry_ms;
 	int32_t failures;
-	int64_t failed_ms;
-	int32_t unanswered; /* calls in a row */
-	int64_t took_ms; /* the last append that succeeded */
-	bool refused; /* the last call was answered, and had no effect */
+	int64_t last_failure_ms;
+	int32_t unanswered; /* consecutive calls */
+	int64_t last_append_duration_ms; /* of the last success */
+	bool refused; /* the last call was answered without effect */
 	int64_t confirmed_ms;
 };
 
 static void unref(wwh_shard_journal_t *journal);
 static void entry_delete(gpointer data);
-static void gather(wwh_shard_journal_t *journal);
-static int64_t limit_ms(const wwh_shard_journal_t *journal);
+static void build_batch(wwh_shard_journal_t *journal);
+static int64_t append_timeout_ms(const wwh_shard_journal_t *journal);
 static bool is_due(const wwh_shard_journal_t *journal, int64_t now_ms);
 static void send(wwh_shard_journal_t *journal, int64_t now_ms);
 static void on_appended(const wwh_http_answer_t *answer, void *data);
-static void wait_and_retry(wwh_shard_journal_t *journal, int64_t wait_ms);
+static void schedule_retry(wwh_shard_journal_t *journal, int64_t wait_ms);
 
 wwh_shard_journal_t *
 wwh_shard_journal_new(const wwh_shard_journal_options_t *options)
@@ -96,22 +99,22 @@
 	unref(journal);
 }
 
-int64_t wwh_shard_journal_keep(wwh_shard_journal_t *journal, const char *key,
-			       GBytes *value, bool urgent, int64_t now_ms)
+int64_t wwh_shard_journal_append(wwh_shard_journal_t *journal, const char *key,
+				 GBytes *value, bool urgent, int64_t now_ms)
 {
 	entry_t *entry = g_new0(entry_t, 1);
 
 	entry->key = g_strdup(key);
 	entry->value = value == NULL ? NULL : g_bytes_ref(value);
 	entry->number = journal->next_number++;
-	entry->kept_ms = now_ms;
+	entry->queued_ms = now_ms;
 	entry->urgent = urgent;
 	g_queue_push_tail(journal->waiting, entry);
 	journal->urgent = journal->urgent || urgent;
 	return entry->number;
 }
 
-bool wwh_shard_journal_take_back(wwh_shard_journal_t *journal, int64_t number)
+bool wwh_shard_journal_discard(wwh_shard_journal_t *journal, int64_t number)
 {
 	for (GList *at = journal->waiting->tail; at != NULL; at = at->prev) {
 		entry_t *entry = at->data;
@@ -132,7 +135,7 @@
 	if (journal->batch == NULL) {
 		if (!is_due(journal, now_ms))
 			return;
-		gather(journal);
+		build_batch(journal);
 	}
 	send(journal, now_ms);
 }
@@ -148,14 +151,14 @@
 	const entry_t *first;
 
 	if (journal->batch != NULL)
-		return now_ms - journal->batch_kept_ms;
+		return now_ms - journal->batch_queued_ms;
 	first = g_queue_peek_head(journal->waiting);
-	return first == NULL ? 0 : now_ms - first->kept_ms;
+	return first == NULL ? 0 : now_ms - first->queued_ms;
 }
 
-int64_t wwh_shard_journal_failed_ms(const wwh_shard_journal_t *journal)
+int64_t wwh_shard_journal_last_failure_ms(const wwh_shard_journal_t *journal)
 {
-	return journal->failed_ms;
+	return journal->last_failure_ms;
 }
 
 bool wwh_shard_journal_failing(const wwh_shard_journal_t *journal)
@@ -163,9 +166,10 @@
 	return journal->failures > 0;
 }
 
-int64_t wwh_shard_journal_took_ms(const wwh_shard_journal_t *journal)
+int64_t
+wwh_shard_journal_last_append_duration_ms(const wwh_shard_journal_t *journal)
 {
-	return journal->took_ms;
+	return journal->last_append_duration_ms;
 }
 
 bool wwh_shard_journal_refused(const wwh_shard_journal_t *journal)
@@ -202,15 +206,15 @@
 
 	return first != NULL &&
 	       (journal->urgent ||
-		now_ms - first->kept_ms >= journal->options.group_ms);
+		now_ms - first->queued_ms >= journal->options.batch_delay_ms);
 }
 
-static void gather(wwh_shard_journal_t *journal)
+static void build_batch(wwh_shard_journal_t *journal)
 {
 	const entry_t *first = g_queue_peek_head(journal->waiting);
 
 	journal->batch = g_byte_array_new();
-	journal->batch_kept_ms = first->kept_ms;
+	journal->batch_queued_ms = first->queued_ms;
 	journal->urgent = false;
 	while (!g_queue_is_empty(journal->waiting)) {
 		entry_t *entry = g_queue_peek_head(journal->waiting);
@@ -222,7 +226,7 @@
 		if (journal->batch->len > 0 &&
 		    (int64_t)(journal->batch->len + size) +
 				    (int64_t)strlen(entry->key) + 8 >
-			    journal->options.call_bytes) {
+			    journal->options.max_call_bytes) {
 			journal->urgent = true;
 			return;
 		}
@@ -241,7 +245,8 @@
 	};
 	wwh_http_call_t *call = wire_store_append(
 		journal->endpoint, journal->topic, journal->options.part,
-		&writer, g_byte_array_ref(journal->batch), limit_ms(journal));
+		&writer, g_byte_array_ref(journal->batch),
+		append_timeout_ms(journal));
 
 	call->taken_first = true;
 	journal->in_flight = true;
@@ -251,13 +256,13 @@
 	wwh_http_calls_send(journal->options.calls, call, on_appended, journal);
 }
 
-static int64_t limit_ms(const wwh_shard_journal_t *journal)
+static int64_t append_timeout_ms(const wwh_shard_journal_t *journal)
 {
 	int64_t limit =
-		MAX((int64_t)APPEND_LIMIT_MS << MIN(journal->unanswered, 2),
-		    LIMIT_OF_LAST * journal->took_ms);
+		MAX((int64_t)APPEND_TIMEOUT_MS << MIN(journal->unanswered, 2),
+		    TIMEOUT_PER_LAST_APPEND * journal->last_append_duration_ms);
 
-	return MIN(limit, APPEND_LONGEST_LIMIT_MS);
+	return MIN(limit, APPEND_TIMEOUT_MAX_MS);
 }
 
 static void on_appended(const wwh_http_answer_t *answer, void *data)
@@ -279,8 +284,9 @@
 		g_byte_array_unref(journal->batch);
 		journal->batch = NULL;
 		journal->failures = 0;
-		journal->took_ms = (g_get_monotonic_time() - journal->sent_us) /
-				   G_TIME_SPAN_MILLISECOND;
+		journal->last_append_duration_ms =
+			(g_get_monotonic_time() - journal->sent_us) /
+			G_TIME_SPAN_MILLISECOND;
 		journal->sequence++;
 		journal->confirmed_ms = journal->sent_ms;
 		journal->options.on_durable(journal->batch_last,
@@ -294,22 +300,22 @@
 		break;
 	case WIRE_STORE_FULL:
 	case WIRE_STORE_BAD:
-		g_warning("the store doesn't take records: %s, status %d",
+		g_warning("store rejected a batch of records: %s, status %d",
 			  wire_store_result_names[result], answer->status);
-		wait_and_retry(journal, RETRY_REFUSED_MS);
+		schedule_retry(journal, RETRY_REFUSED_MS);
 		break;
 	default:
-		wait_and_retry(journal, (int64_t)RETRY_FIRST_MS
+		schedule_retry(journal, (int64_t)RETRY_FIRST_MS
 						<< MIN(journal->failures, 4));
 		break;
 	}
 	unref(journal);
 }
 
-static void wait_and_retry(wwh_shard_journal_t *journal, int64_t wait_ms)
+static void schedule_retry(wwh_shard_journal_t *journal, int64_t wait_ms)
 {
 	journal->failures++;
-	journal->failed_ms = journal->sent_ms;
+	journal->last_failure_ms = journal->sent_ms;
 	journal->retry_ms = journal->sent_ms + MIN(wait_ms, RETRY_REFUSED_MS);
 	if (wait_ms < RETRY_REFUSED_MS)
 		journal->retry_ms =
--- a/src/libwaxwinghollow/store_follower.c
+++ b/src/libwaxwinghollow/store_follower.c
@@ -4,29 +4,30 @@
 
 #include "wire_store.h"
 
-/* Beyond the store's wait: its own time and two network trips. */
-#define ANSWER_LIMIT_MS 700
+/* Beyond wait_ms: the store's processing time and a network round trip. */
+#define ANSWER_TIMEOUT_MS 700
 
-/* All keys may take some time to be put together. */
-#define NEWEST_LIMIT_MS 1500
+/* The store may need some time to collect all keys. */
+#define FULL_READ_TIMEOUT_MS 1500
 
 #define RETRY_FIRST_MS 60
 #define RETRY_MAX_MS 400
 
 /*
- * What one read asks for. A read that outlasts its limit is lost as a whole: with
- * a size that stayed the same, a reader that has fallen behind would get nothing
- * more. It grows again with reads that take a small part of the limit.
+ * Size of one read. A read that exceeds its time-out is lost as a whole: with a
+ * fixed size, a follower that has fallen behind would make no progress any more.
+ * The size grows again when a read of at least half the size takes less than
+ * READ_FAST_US.
  */
 #define READ_FIRST_KB 128
-#define READ_LEAST_KB 32
-#define READ_MOST_KB 1024
-#define READ_QUICK_US (ANSWER_LIMIT_MS * 1000 / 4)
+#define READ_MIN_KB 32
+#define READ_MAX_KB 1024
+#define READ_FAST_US (ANSWER_TIMEOUT_MS * 1000 / 4)
 #define KB 1024
 
 /*
- * Behind by more records than this, and than twice the number of keys, the
- * newest record of each key is read sooner than all changes.
+ * For a follower behind by more records than this, and than twice the number of
+ * keys, a full read is faster than reading all changes.
  */
 #define FAR_BEHIND_RECORDS 2000
 
@@ -34,21 +35,21 @@
 	wwh_store_follower_options_t options;
 	char *endpoint;
 	char *topic;
-	int32_t references; /* the owner's and that of a call in progress */
+	int32_t references; /* of the owner and of a call in progress */
 	bool deleted;
 	bool in_flight;
-	bool reading_all;
+	bool in_full_read;
 	bool caught_up;
 	bool unreachable;
-	char *after; /* page to go on with; NULL: the first */
-	int64_t all_end; /* of the first page */
-	int64_t all_sent_ms; /* of the first page */
-	int64_t complete_ms; /* all before it has been reported; 0: nothing */
-	GHashTable *keys; /* all known keys */
-	GHashTable *seen; /* keys of this reading of all */
-	bool seen_nameless; /* in this reading of all */
-	int64_t next;
-	int32_t read_kb; /* of the next read, at most */
+	char *next_page_key; /* NULL: the first page */
+	int64_t full_read_end; /* end of the log at the first page */
+	int64_t full_read_sent_ms; /* when the first page was requested */
+	int64_t complete_ms; /* all records before it were reported; 0: none */
+	GHashTable *keys;
+	GHashTable *listed_keys; /* in this full read */
+	bool has_unreadable_key; /* in this full read */
+	int64_t next_offset;
+	int32_t read_kb; /* maximum size of the next read */
 	int64_t sent_ms;
 	int64_t sent_us; /* the same on the monotonic clock */
 	int64_t retry_ms;
@@ -56,20 +57,22 @@
 };
 
 static void unref(wwh_store_follower_t *follower);
-static void on_all(const wwh_http_answer_t *answer, void *data);
-static void on_read(const wwh_http_answer_t *answer, void *data);
-static void size_reads(wwh_store_follower_t *follower,
-		       const wwh_http_answer_t *answer);
+static void on_page(const wwh_http_answer_t *answer, void *data);
+static void on_changes_read(const wwh_http_answer_t *answer, void *data);
+static void adjust_read_size(wwh_store_follower_t *follower,
+			     const wwh_http_answer_t *answer);
 static bool is_far_behind(const wwh_store_follower_t *follower, int64_t end);
-static int64_t answered_as_of(const wwh_store_follower_t *follower,
-			      bool has_records);
-static void take_key(const wire_record_t *record, void *data);
-static void take_change(const wire_record_t *record, void *data);
-static void report(wwh_store_follower_t *follower, const wire_record_t *record);
-static void drop_unseen(wwh_store_follower_t *follower);
-static void begin_all(wwh_store_follower_t *follower);
-static void answered(wwh_store_follower_t *follower);
-static void failed(wwh_store_follower_t *follower, wire_store_result_t result);
+static int64_t complete_as_of_ms(const wwh_store_follower_t *follower,
+				 bool has_records);
+static void on_listed_record(const wire_record_t *record, void *data);
+static void on_changed_record(const wire_record_t *record, void *data);
+static void report_record(wwh_store_follower_t *follower,
+			  const wire_record_t *record);
+static void drop_unlisted_keys(wwh_store_follower_t *follower);
+static void begin_full_read(wwh_store_follower_t *follower);
+static void handle_answer(wwh_store_follower_t *follower);
+static void handle_failure(wwh_store_follower_t *follower,
+			   wire_store_result_t result);
 
 wwh_store_follower_t *
 wwh_store_follower_new(const wwh_store_follower_options_t *options)
@@ -83,7 +86,7 @@
 	follower->read_kb = READ_FIRST_KB;
 	follower->keys =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	begin_all(follower);
+	begin_full_read(follower);
 	return follower;
 }
 
@@ -105,21 +108,23 @@
 	follower->references++;
 	follower->sent_ms = now_ms;
 	follower->sent_us = g_get_monotonic_time();
-	if (follower->reading_all) {
+	if (follower->in_full_read) {
 		call = wire_store_newest(follower->endpoint, follower->topic,
 					 follower->options.part,
-					 follower->after, NEWEST_LIMIT_MS);
+					 follower->next_page_key,
+					 FULL_READ_TIMEOUT_MS);
 		call->taken_first = true;
-		wwh_http_calls_send(follower->options.calls, call, on_all,
+		wwh_http_calls_send(follower->options.calls, call, on_page,
 				    follower);
 		return;
 	}
 	call = wire_store_read(follower->endpoint, follower->topic,
-			       follower->options.part, follower->next,
+			       follower->options.part, follower->next_offset,
 			       follower->read_kb, follower->options.wait_ms,
-			       follower->options.wait_ms + ANSWER_LIMIT_MS);
+			       follower->options.wait_ms + ANSWER_TIMEOUT_MS);
 	call->taken_first = true;
-	wwh_http_calls_send(follower->options.calls, call, on_read, follower);
+	wwh_http_calls_send(follower->options.calls, call, on_changes_read,
+			    follower);
 }
 
 bool wwh_store_follower_caught_up(const wwh_store_follower_t *follower)
@@ -127,9 +132,9 @@
 	return follower->caught_up;
 }
 
-bool wwh_store_follower_reading_all(const wwh_store_follower_t *follower)
+bool wwh_store_follower_in_full_read(const wwh_store_follower_t *follower)
 {
-	return follower->reading_all;
+	return follower->in_full_read;
 }
 
 int64_t wwh_store_follower_complete_ms(const wwh_store_follower_t *follower)
@@ -147,18 +152,18 @@
 	if (--follower->references > 0)
 		return;
 	g_hash_table_destroy(follower->keys);
-	if (follower->seen != NULL)
-		g_hash_table_destroy(follower->seen);
-	g_free(follower->after);
+	if (follower->listed_keys != NULL)
+		g_hash_table_destroy(follower->listed_keys);
+	g_free(follower->next_page_key);
 	g_free(follower->endpoint);
 	g_free(follower->topic);
 	g_free(follower);
 }
 
-static void on_all(const wwh_http_answer_t *answer, void *data)
+static void on_page(const wwh_http_answer_t *answer, void *data)
 {
 	wwh_store_follower_t *follower = data;
-	bool first = follower->after == NULL;
+	bool first = follower->next_page_key == NULL;
 	wire_store_result_t result;
 	int64_t end = 0;
 	char *last = NULL;
@@ -168,27 +173,27 @@
 		unref(follower);
 		return;
 	}
-	result = wire_store_newest_answer(answer, &end, &last, take_key,
+	result = wire_store_newest_answer(answer, &end, &last, on_listed_record,
 					  follower);
 	if (result != WIRE_STORE_OK) {
-		failed(follower, result);
+		handle_failure(follower, result);
 		unref(follower);
 		return;
 	}
-	answered(follower);
-	/* what changes while pages are read is read again from here */
+	handle_answer(follower);
+	/* changes made during the full read are read from this offset */
 	if (first) {
-		follower->all_end = end;
-		follower->all_sent_ms = follower->sent_ms;
+		follower->full_read_end = end;
+		follower->full_read_sent_ms = follower->sent_ms;
 	}
 	if (!follower->caught_up || last == NULL)
-		follower->complete_ms = follower->all_sent_ms;
-	g_free(follower->after);
-	follower->after = last;
+		follower->complete_ms = follower->full_read_sent_ms;
+	g_free(follower->next_page_key);
+	follower->next_page_key = last;
 	if (last == NULL) {
-		drop_unseen(follower);
-		follower->reading_all = false;
-		follower->next = follower->all_end;
+		drop_unlisted_keys(follower);
+		follower->in_full_read = false;
+		follower->next_offset = follower->full_read_end;
 		if (!follower->caught_up) {
 			follower->caught_up = true;
 			if (!follower->deleted &&
@@ -200,11 +205,11 @@
 	unref(follower);
 }
 
-static void on_read(const wwh_http_answer_t *answer, void *data)
+static void on_changes_read(const wwh_http_answer_t *answer, void *data)
 {
 	wwh_store_follower_t *follower = data;
 	wire_store_result_t result;
-	int64_t next = follower->next;
+	int64_t next_offset = follower->next_offset;
 	int64_t end = 0;
 
 	follower->in_flight = false;
@@ -212,55 +217,59 @@
 		unref(follower);
 		return;
 	}
-	size_reads(follower, answer);
-	result = wire_store_read_answer(answer, follower->next, &next, &end,
-					take_change, follower);
+	adjust_read_size(follower, answer);
+	result = wire_store_read_answer(answer, follower->next_offset,
+					&next_offset, &end, on_changed_record,
+					follower);
 	if (result == WIRE_STORE_OK) {
-		bool has_records = next > follower->next;
+		bool has_records = next_offset > follower->next_offset;
 
-		answered(follower);
-		follower->next = next;
-		/* without a gap while there is more to read */
-		if (next >= end) {
+		handle_answer(follower);
+		follower->next_offset = next_offset;
+		/* no delay while there is more to read */
+		if (next_offset >= end) {
 			follower->complete_ms =
-				answered_as_of(follower, has_records);
-			follower->retry_ms =
-				follower->sent_ms + follower->options.gap_ms;
+				complete_as_of_ms(follower, has_records);
+			follower->retry_ms = follower->sent_ms +
+					     follower->options.read_interval_ms;
 		}
 		if (!follower->deleted && is_far_behind(follower, end))
-			begin_all(follower);
+			begin_full_read(follower);
 	} else if (result == WIRE_STORE_TRIMMED) {
-		answered(follower);
-		begin_all(follower);
+		handle_answer(follower);
+		begin_full_read(follower);
 	} else {
-		failed(follower, result);
+		handle_failure(follower, result);
 	}
 	unref(follower);
 }
 
-static void size_reads(wwh_store_follower_t *follower,
-		       const wwh_http_answer_t *answer)
+static void adjust_read_size(wwh_store_follower_t *follower,
+			     const wwh_http_answer_t *answer)
 {
 	int64_t took_us = g_get_monotonic_time() - follower->sent_us;
 	bool full = answer->body_size >= (size_t)follower->read_kb * KB / 2;
 
 	if (answer->outcome == WWH_CALL_NO_ANSWER)
-		follower->read_kb = MAX(follower->read_kb / 2, READ_LEAST_KB);
-	else if (full && took_us < READ_QUICK_US)
-		follower->read_kb = MIN(follower->read_kb * 2, READ_MOST_KB);
+		follower->read_kb = MAX(follower->read_kb / 2, READ_MIN_KB);
+	else if (full && took_us < READ_FAST_US)
+		follower->read_kb = MIN(follower->read_kb * 2, READ_MAX_KB);
 }
 
 static bool is_far_behind(const wwh_store_follower_t *follower, int64_t end)
 {
-	int64_t behind = end - follower->next;
+	int64_t behind = end - follower->next_offset;
 	int64_t keys = g_hash_table_size(follower->keys);
 
 	return behind > MAX(2 * keys, FAR_BEHIND_RECORDS);
 }
 
-/* Without a record, the store has waited in full before it answered. */
-static int64_t answered_as_of(const wwh_store_follower_t *follower,
-			      bool has_records)
+/*
+ * Returns the time as of which all records were read. A store that answers without
+ * a record has waited for one, and none was written meanwhile.
+ */
+static int64_t complete_as_of_ms(const wwh_store_follower_t *follower,
+				 bool has_records)
 {
 	int64_t took_ms = (g_get_monotonic_time() - follower->sent_us) /
 			  G_TIME_SPAN_MILLISECOND;
@@ -269,31 +278,32 @@
 	       (has_records ? 0 : MIN(follower->options.wait_ms, took_ms));
 }
 
-static void take_key(const wire_record_t *record, void *data)
+static void on_listed_record(const wire_record_t *record, void *data)
 {
 	wwh_store_follower_t *follower = data;
 
 	if (follower->deleted)
 		return;
 	if (record->key == NULL)
-		follower->seen_nameless = true;
+		follower->has_unreadable_key = true;
 	else
-		g_hash_table_add(follower->seen, g_strdup(record->key));
-	report(follower, record);
+		g_hash_table_add(follower->listed_keys, g_strdup(record->key));
+	report_record(follower, record);
 }
 
-static void take_change(const wire_record_t *record, void *data)
+static void on_changed_record(const wire_record_t *record, void *data)
 {
-	report(data, record);
+	report_record(data, record);
 }
 
-static void report(wwh_store_follower_t *follower, const wire_record_t *record)
+static void report_record(wwh_store_follower_t *follower,
+			  const wire_record_t *record)
 {
 	if (follower->deleted)
 		return;
 	if (record->key == NULL) {
-		if (follower->options.on_nameless != NULL)
-			follower->options.on_nameless(
+		if (follower->options.on_unreadable_key != NULL)
+			follower->options.on_unreadable_key(
 				record->offset, record->why,
 				follower->options.client_data);
 		return;
@@ -307,43 +317,44 @@
 }
 
 /*
- * Keys that were dropped while the log was out of reach. One that stands there
- * under a key that can't be read would look dropped as well.
+ * Reports keys as dropped that the full read didn't list: their drops were trimmed
+ * from the log. None is reported if a listed key was unreadable: that key would
+ * look dropped as well.
  */
-static void drop_unseen(wwh_store_follower_t *follower)
+static void drop_unlisted_keys(wwh_store_follower_t *follower)
 {
 	GPtrArray *gone;
 	GHashTableIter iterator;
 	gpointer key;
 
-	if (follower->seen_nameless)
+	if (follower->has_unreadable_key)
 		return;
 	gone = g_ptr_array_new_with_free_func(g_free);
 	g_hash_table_iter_init(&iterator, follower->keys);
 	while (g_hash_table_iter_next(&iterator, &key, NULL)) {
-		if (!g_hash_table_contains(follower->seen, key))
+		if (!g_hash_table_contains(follower->listed_keys, key))
 			g_ptr_array_add(gone, g_strdup(key));
 	}
 	for (guint i = 0; i < gone->len; i++) {
 		wire_record_t record = { .key = g_ptr_array_index(gone, i) };
 
-		report(follower, &record);
+		report_record(follower, &record);
 	}
 	g_ptr_array_unref(gone);
 }
 
-static void begin_all(wwh_store_follower_t *follower)
+static void begin_full_read(wwh_store_follower_t *follower)
 {
-	follower->reading_all = true;
-	follower->seen_nameless = false;
-	g_clear_pointer(&follower->after, g_free);
-	if (follower->seen != NULL)
-		g_hash_table_destroy(follower->seen);
-	follower->seen =
+	follower->in_full_read = true;
+	follower->has_unreadable_key = false;
+	g_clear_pointer(&follower->next_page_key, g_free);
+	if (follower->listed_keys != NULL)
+		g_hash_table_destroy(follower->listed_keys);
+	follower->listed_keys =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 }
 
-static void answered(wwh_store_follower_t *follower)
+static void handle_answer(wwh_store_follower_t *follower)
 {
 	follower->failures = 0;
 	if (!follower->unreachable)
@@ -354,7 +365,8 @@
 					   follower->options.client_data);
 }
 
-static void failed(wwh_store_follower_t *follower, wire_store_result_t result)
+static void handle_failure(wwh_store_follower_t *follower,
+			   wire_store_result_t result)
 {
 	int64_t wait_ms = (int64_t)RETRY_FIRST_MS << MIN(follower->failures, 3);
 
--- a/src/test_shard_claim/claim_fixture.h
+++ b/src/test_shard_claim/claim_fixture.h
@@ -2,8 +2,8 @@
 #define CLAIM_FIXTURE_H
 
 /*
- * A claim on a stand-in of the store, and two processes that are asked whether
- * they hold the shard.
+ * A claim on a stand-in of the store, and two other processes that are probed for
+ * whether they hold the shard.
  */
 
 #include "../test_standins/include/standin_jobs.h"
@@ -16,15 +16,15 @@
 #define WAIT_MAX_MS 10000
 #define EPOCH(count) ((int64_t)(count) << 16)
 
-/* A process that is asked whether it holds the shard. */
+/* Another process, which is probed for whether it holds the shard. */
 typedef struct {
 	wwh_listener_t *listener;
 	char address[32];
 	GMutex lock;
 	GCond changed;
-	int32_t status; /* 0: takes questions and answers none yet */
-	int32_t asked;
-	int32_t asked_to_hand_over;
+	int32_t status; /* 0: answers to probes are delayed */
+	int32_t probe_count;
+	int32_t handover_request_count;
 } peer_t;
 
 typedef struct {
@@ -33,23 +33,23 @@
 	wwh_http_calls_t *calls;
 	wwh_shard_claim_t *claim;
 	peer_t peers[2];
-	char *holder; /* as the claim made it known */
+	char *holder; /* as reported by on_holder */
 	int64_t holder_epoch;
-	char *lines; /* what it explained */
-	wwh_held_t held; /* epoch 0: not held */
-	guint records;
-	const char *late_notice; /* of another, written once this one holds */
-	int32_t others; /* notices of others that it took while it holds */
+	char *event_log; /* events of the claim, one a line */
+	wwh_shard_holding_t held; /* epoch 0: not held */
+	guint held_record_count;
+	const char *late_notice; /* of another process; written by on_held */
+	int32_t foreign_notices; /* of other processes, reported while held */
 } fixture_t;
 
-static inline void on_question(const wwh_http_request_t *request,
-			       wwh_http_response_t *response, void *client_data)
+static inline void on_probe(const wwh_http_request_t *request,
+			    wwh_http_response_t *response, void *client_data)
 {
 	peer_t *peer = client_data;
 
 	g_mutex_lock(&peer->lock);
-	peer->asked++;
-	peer->asked_to_hand_over +=
+	peer->probe_count++;
+	peer->handover_request_count +=
 		g_str_has_suffix(request->target, "?successor");
 	while (peer->status == 0)
 		g_cond_wait(&peer->changed, &peer->lock);
@@ -65,42 +65,42 @@
 	g_mutex_unlock(&peer->lock);
 }
 
-static inline int32_t times_asked(peer_t *peer)
+static inline int32_t get_probe_count(peer_t *peer)
 {
-	int32_t asked;
+	int32_t probe_count;
 
 	g_mutex_lock(&peer->lock);
-	asked = peer->asked;
+	probe_count = peer->probe_count;
 	g_mutex_unlock(&peer->lock);
-	return asked;
+	return probe_count;
 }
 
-static inline int32_t times_asked_to_hand_over(peer_t *peer)
+static inline int32_t get_handover_request_count(peer_t *peer)
 {
-	int32_t asked;
+	int32_t count;
 
 	g_mutex_lock(&peer->lock);
-	asked = peer->asked_to_hand_over;
+	count = peer->handover_request_count;
 	g_mutex_unlock(&peer->lock);
-	return asked;
+	return count;
 }
 
-static inline void put(fixture_t *fixture, const char *part, const char *key,
-		       const char *value)
+static inline void put_record(fixture_t *fixture, const char *part,
+			      const char *key, const char *value)
 {
 	g_mutex_lock(&fixture->standin->lock);
 	standin_put(fixture->standin, TOPIC, part, key, value, strlen(value));
 	g_mutex_unlock(&fixture->standin->lock);
 }
 
-static inline void on_held(const wwh_held_t *held, void *client_data)
+static inline void on_held(const wwh_shard_holding_t *held, void *client_data)
 {
 	fixture_t *fixture = client_data;
 
 	fixture->held = *held;
-	fixture->records = g_hash_table_size(held->records);
+	fixture->held_record_count = g_hash_table_size(held->records);
 	if (fixture->late_notice != NULL)
-		put(fixture, "1", "holder", fixture->late_notice);
+		put_record(fixture, "1", "holder", fixture->late_notice);
 }
 
 static inline void on_holder(const char *address, int64_t epoch,
@@ -108,22 +108,22 @@
 {
 	fixture_t *fixture = client_data;
 
-	fixture->others +=
+	fixture->foreign_notices +=
 		fixture->held.epoch != 0 && g_strcmp0(address, SELF) != 0;
 	g_free(fixture->holder);
 	fixture->holder_epoch = epoch;
 	fixture->holder = g_strdup(address);
 }
 
-static inline void on_explain(const char *event, const char *detail,
-			      void *client_data)
+static inline void append_event(const char *event, const char *detail,
+				void *client_data)
 {
 	fixture_t *fixture = client_data;
-	char *lines =
-		g_strconcat(fixture->lines, event, " ", detail, "\n", NULL);
+	char *event_log =
+		g_strconcat(fixture->event_log, event, " ", detail, "\n", NULL);
 
-	g_free(fixture->lines);
-	fixture->lines = lines;
+	g_free(fixture->event_log);
+	fixture->event_log = event_log;
 }
 
 static inline int set_up(void **state)
@@ -133,7 +133,7 @@
 	fixture->standin = standin_new();
 	fixture->counters = wwh_counters_new();
 	fixture->calls = wwh_http_calls_new(fixture->counters);
-	fixture->lines = g_strdup("");
+	fixture->event_log = g_strdup("");
 	for (int32_t i = 0; i < 2; i++) {
 		peer_t *peer = &fixture->peers[i];
 
@@ -141,7 +141,7 @@
 		g_cond_init(&peer->changed);
 		peer->status = 200;
 		peer->listener =
-			standin_listen(fixture->standin, on_question, peer);
+			standin_listen(fixture->standin, on_probe, peer);
 		snprintf(peer->address, sizeof(peer->address), "127.0.0.1:%d",
 			 wwh_listener_port(peer->listener));
 	}
@@ -168,12 +168,12 @@
 	wwh_counters_delete(fixture->counters);
 	standin_delete(fixture->standin);
 	g_free(fixture->holder);
-	g_free(fixture->lines);
+	g_free(fixture->event_log);
 	g_free(fixture);
 	return 0;
 }
 
-static inline void start_claim(fixture_t *fixture, bool reluctant)
+static inline void start_claim(fixture_t *fixture, bool is_standby)
 {
 	char *store = g_strdup_printf(
 		"127.0.0.1:%d", wwh_listener_port(fixture->standin->store));
@@ -187,10 +187,10 @@
 		.self = SELF,
 		.producer = "p",
 		.member_ttl_ms = MEMBER_TTL_MS,
-		.reluctant = reluctant,
+		.is_standby = is_standby,
 		.on_held = on_held,
 		.on_holder = on_holder,
-		.explain = on_explain,
+		.explain = append_event,
 		.client_data = fixture,
 	};
 
@@ -198,18 +198,18 @@
 	g_free(store);
 }
 
-static inline void make_holder(fixture_t *fixture, const char *address,
-			       int64_t epoch)
+static inline void publish_holder(fixture_t *fixture, const char *address,
+				  int64_t epoch)
 {
 	char *notice =
 		g_strdup_printf("%" G_GINT64_FORMAT " %s", epoch, address);
 
-	put(fixture, "1", "holder", notice);
+	put_record(fixture, "1", "holder", notice);
 	g_free(notice);
 }
 
-/* The group's member is another process, which it will drop in a while. */
-static inline void assign_to_another(fixture_t *fixture)
+/* Makes another process the group's member until its time limit expires. */
+static inline void assign_to_other_process(fixture_t *fixture)
 {
 	g_mutex_lock(&fixture->standin->lock);
 	g_free(fixture->standin->member);
@@ -249,39 +249,39 @@
 	assert_int_not_equal(fixture->held.epoch, 0);
 }
 
-static inline void run_until_asked(fixture_t *fixture, int32_t peer,
-				   int32_t times)
+static inline void run_until_probed(fixture_t *fixture, int32_t peer,
+				    int32_t times)
 {
 	int64_t end_ms = standin_now_ms() + WAIT_MAX_MS;
 
-	while (times_asked(&fixture->peers[peer]) < times &&
+	while (get_probe_count(&fixture->peers[peer]) < times &&
 	       standin_now_ms() < end_ms)
 		run_for(fixture, 20);
-	assert_true(times_asked(&fixture->peers[peer]) >= times);
+	assert_true(get_probe_count(&fixture->peers[peer]) >= times);
 }
 
 /* test_hand_over.c */
-#define HAND_OVER_TESTS                                                        \
+#define HANDOVER_TESTS                                                         \
 	cmocka_unit_test_setup_teardown(                                       \
-		a_holder_without_the_store_is_asked_to_hand_over, set_up,      \
+		holder_rejected_by_store_is_asked_to_hand_over, set_up,        \
 		tear_down),                                                    \
 		cmocka_unit_test_setup_teardown(                               \
-			a_group_that_answers_is_no_proof_of_the_store, set_up, \
+			group_answers_do_not_prove_store_is_writable, set_up,  \
 			tear_down),                                            \
 		cmocka_unit_test_setup_teardown(                               \
-			without_the_store_itself_it_asks_for_nothing, set_up,  \
-			tear_down),                                            \
+			no_handover_request_while_store_is_unreachable,        \
+			set_up, tear_down),                                    \
 		cmocka_unit_test_setup_teardown(                               \
-			a_holder_with_orders_out_counts_as_at_work, set_up,    \
+			holder_with_pending_orders_counts_as_at_work, set_up,  \
 			tear_down),                                            \
 		cmocka_unit_test_setup_teardown(                               \
-			a_holder_that_leaves_the_shard_stays_out_of_the_group, \
-			set_up, tear_down)
-
-void a_holder_without_the_store_is_asked_to_hand_over(void **state);
-void a_group_that_answers_is_no_proof_of_the_store(void **state);
-void without_the_store_itself_it_asks_for_nothing(void **state);
-void a_holder_with_orders_out_counts_as_at_work(void **state);
-void a_holder_that_leaves_the_shard_stays_out_of_the_group(void **state);
+			withdrawn_holder_stays_out_of_group, set_up,           \
+			tear_down)
+
+void holder_rejected_by_store_is_asked_to_hand_over(void **state);
+void group_answers_do_not_prove_store_is_writable(void **state);
+void no_handover_request_while_store_is_unreachable(void **state);
+void holder_with_pending_orders_counts_as_at_work(void **state);
+void withdrawn_holder_stays_out_of_group(void **state);
 
 #endif
--- a/src/test_shard_claim/test_hand_over.c
+++ b/src/test_shard_claim/test_hand_over.c
@@ -1,27 +1,24 @@
-/*
- * A holder that the store turns away, and the process that is to hold the shard
- * next.
- */
+/* Hand-over of a shard from its holder to the process that is assigned to it. */
 
 #include "claim_fixture.h"
 
 /*
- * The store turns the holder away and serves this process. The holder went on
- * for two seconds without being able to accept a job, was then taken for one
- * that may be at work, and hosts got no orders for three more seconds. It gives
- * up when it is asked, and says so: nothing of it is on its way.
+ * The store rejects the holder and serves this process. Guards against a holder
+ * that goes on for two seconds without being able to accept a job, then counts as
+ * possibly at work, and leaves hosts without orders for three more seconds.
+ * Instead it hands over on request, and reports that no orders are outstanding.
  */
-void a_holder_without_the_store_is_asked_to_hand_over(void **state)
+void holder_rejected_by_store_is_asked_to_hand_over(void **state)
 {
 	fixture_t *fixture = *state;
 	int64_t end_ms = standin_now_ms() + WAIT_MAX_MS;
 
-	make_holder(fixture, fixture->peers[0].address, EPOCH(4));
+	publish_holder(fixture, fixture->peers[0].address, EPOCH(4));
 	start_claim(fixture, false);
-	run_until_asked(fixture, 0, 2);
-	assert_int_equal(times_asked_to_hand_over(&fixture->peers[0]), 0);
+	run_until_probed(fixture, 0, 2);
+	assert_int_equal(get_handover_request_count(&fixture->peers[0]), 0);
 	set_status(&fixture->peers[0], 409);
-	while (times_asked_to_hand_over(&fixture->peers[0]) == 0 &&
+	while (get_handover_request_count(&fixture->peers[0]) == 0 &&
 	       standin_now_ms() < end_ms)
 		run_for(fixture, 10);
 	assert_int_equal(fixture->held.epoch, 0);
@@ -32,65 +29,68 @@
 	assert_false(fixture->held.others_ended);
 }
 
-/* The store takes no record of anybody, and answers the group all the while. */
-void a_group_that_answers_is_no_proof_of_the_store(void **state)
+/*
+ * The store accepts no records from any process, but still answers the group's
+ * calls.
+ */
+void group_answers_do_not_prove_store_is_writable(void **state)
 {
 	fixture_t *fixture = *state;
 
-	make_holder(fixture, fixture->peers[0].address, EPOCH(4));
+	publish_holder(fixture, fixture->peers[0].address, EPOCH(4));
 	start_claim(fixture, false);
-	run_until_asked(fixture, 0, 3);
+	run_until_probed(fixture, 0, 3);
 	g_mutex_lock(&fixture->standin->lock);
 	fixture->standin->refuses_records = true;
 	g_mutex_unlock(&fixture->standin->lock);
 	set_status(&fixture->peers[0], 409);
 	run_for(fixture, 3500);
-	assert_int_equal(times_asked_to_hand_over(&fixture->peers[0]), 0);
-	assert_null(strstr(fixture->lines, "shard-claim-begun"));
-	/* back for this process, and a moment later for the holder */
+	assert_int_equal(get_handover_request_count(&fixture->peers[0]), 0);
+	assert_null(strstr(fixture->event_log, "shard-claim-begun"));
+	/* the store accepts records of this process before the holder's */
 	g_mutex_lock(&fixture->standin->lock);
 	fixture->standin->refuses_records = false;
 	g_mutex_unlock(&fixture->standin->lock);
 	run_for(fixture, 500);
 	set_status(&fixture->peers[0], 200);
 	run_for(fixture, 1000);
-	assert_int_equal(times_asked_to_hand_over(&fixture->peers[0]), 0);
+	assert_int_equal(get_handover_request_count(&fixture->peers[0]), 0);
 }
 
 /*
- * The store is away for all. A holder that gave up now would leave what runs
- * without anyone to go on with it, as nobody can claim.
+ * The store is unreachable for all processes. If the holder released the shard now,
+ * its running tasks would be unmanaged, as no process could claim.
  */
-void without_the_store_itself_it_asks_for_nothing(void **state)
+void no_handover_request_while_store_is_unreachable(void **state)
 {
 	fixture_t *fixture = *state;
 
-	make_holder(fixture, fixture->peers[0].address, EPOCH(4));
+	publish_holder(fixture, fixture->peers[0].address, EPOCH(4));
 	start_claim(fixture, false);
-	run_until_asked(fixture, 0, 3);
+	run_until_probed(fixture, 0, 3);
 	set_busy(fixture, true);
 	set_status(&fixture->peers[0], 409);
 	run_for(fixture, 2000);
-	assert_int_equal(times_asked_to_hand_over(&fixture->peers[0]), 0);
+	assert_int_equal(get_handover_request_count(&fixture->peers[0]), 0);
 	assert_int_equal(fixture->held.epoch, 0);
 	set_status(&fixture->peers[0], 200);
 	set_busy(fixture, false);
 	run_for(fixture, 1000);
-	assert_int_equal(times_asked_to_hand_over(&fixture->peers[0]), 0);
+	assert_int_equal(get_handover_request_count(&fixture->peers[0]), 0);
 }
 
 /*
- * A slow holder hands over while orders to hosts are out: waited for, they kept
- * all jobs waiting. The next one gives hosts no orders for a while: a late one
- * beside its own would take down a host too many.
+ * A slow holder hands over while orders to hosts are outstanding, as waiting for
+ * them delayed all jobs. The next holder sends hosts no orders for a while: a late
+ * order of the previous one in addition to its own would take down a host too many.
  */
-void a_holder_with_orders_out_counts_as_at_work(void **state)
+void holder_with_pending_orders_counts_as_at_work(void **state)
 {
 	fixture_t *fixture = *state;
 
-	make_holder(fixture, fixture->peers[0].address, EPOCH(4));
+	publish_holder(fixture, fixture->peers[0].address, EPOCH(4));
 	start_claim(fixture, false);
-	run_until_asked(fixture, 0, 1);
+	run_until_probed(fixture, 0, 1);
 	set_status(&fixture->peers[0], 425);
 	run_until_held(fixture);
 	assert_true(fixture->held.others_at_work);
@@ -107,11 +107,12 @@
 }
 
 /*
- * A holder whose host turned slow leaves the group, so that this names another
- * process. Back in it at once, or when that one has taken over, it would be named
- * again, and as slow as before. In time again, it may be.
+ * A holder whose host became slow leaves the group, so that the group assigns the
+ * shard to another process. If it rejoined at once, or as soon as the other process
+ * has taken over, it would be assigned again and be as slow as before. It may
+ * rejoin when its host is fast again.
  */
-void a_holder_that_leaves_the_shard_stays_out_of_the_group(void **state)
+void withdrawn_holder_stays_out_of_group(void **state)
 {
 	fixture_t *fixture = *state;
 
@@ -119,16 +120,15 @@
 	run_until_held(fixture);
 	run_for(fixture, 500);
 	assert_true(is_member(fixture));
-	wwh_shard_claim_leave_to_others(fixture->claim, true, standin_now_ms());
+	wwh_shard_claim_set_withdrawn(fixture->claim, true, standin_now_ms());
 	run_for(fixture, MEMBER_TTL_MS + 500);
 	assert_false(is_member(fixture));
-	wwh_shard_claim_leave_to_others(fixture->claim, false,
-					standin_now_ms());
+	wwh_shard_claim_set_withdrawn(fixture->claim, false, standin_now_ms());
 	run_for(fixture, MEMBER_TTL_MS);
 	assert_true(is_member(fixture));
-	wwh_shard_claim_leave_to_others(fixture->claim, true, standin_now_ms());
-	make_holder(fixture, fixture->peers[0].address, EPOCH(9));
-	wwh_shard_claim_handed_over(fixture->claim, standin_now_ms());
+	wwh_shard_claim_set_withdrawn(fixture->claim, true, standin_now_ms());
+	publish_holder(fixture, fixture->peers[0].address, EPOCH(9));
+	wwh_shard_claim_handle_handover(fixture->claim, standin_now_ms());
 	run_for(fixture, MEMBER_TTL_MS + 500);
 	assert_false(is_member(fixture));
 }
--- a/src/test_shard_claim/test_shard_claim.c
+++ b/src/test_shard_claim/test_shard_claim.c
@@ -1,69 +1,71 @@
 /*
- * Who claims a shard, and when, on a stand-in of the store and of the
- * processes that hold it.
+ * Which process claims a shard, and when, on stand-ins of the store and of the
+ * processes that hold the shard.
  */
 
 #include "claim_fixture.h"
 
-/* Until a silent holder is replaced, where the one before it held for long. */
-#define SILENT_HOLDER_MS 1300
+/* Time until a silent holder is replaced if the previous one's term was long. */
+#define SILENT_HOLDER_REPLACED_MS 1300
 
-static void a_shard_that_nobody_holds_is_claimed_with_its_records(void **state)
+static void unheld_shard_is_claimed_with_its_records(void **state)
 {
 	fixture_t *fixture = *state;
 
-	put(fixture, "0", "Ja", "job a");
-	put(fixture, "0", "Jb", "job b");
+	put_record(fixture, "0", "Ja", "job a");
+	put_record(fixture, "0", "Jb", "job b");
 	start_claim(fixture, false);
 	run_until_held(fixture);
 	run_for(fixture, 300);
 	assert_int_equal(fixture->held.epoch >> 16, 1);
-	assert_int_equal(fixture->records, 3); /* the claim's own too */
+	/* including the claim's own record */
+	assert_int_equal(fixture->held_record_count, 3);
 	assert_false(fixture->held.others_at_work);
 	assert_false(fixture->held.others_ended);
 	assert_string_equal(fixture->holder, SELF);
 }
 
-static void a_holder_that_answers_is_left_alone(void **state)
+static void answering_holder_is_not_replaced(void **state)
 {
 	fixture_t *fixture = *state;
 
-	make_holder(fixture, fixture->peers[0].address, EPOCH(4));
+	publish_holder(fixture, fixture->peers[0].address, EPOCH(4));
 	start_claim(fixture, false);
-	run_until_asked(fixture, 0, 4);
+	run_until_probed(fixture, 0, 4);
 	assert_int_equal(fixture->held.epoch, 0);
-	assert_string_equal(fixture->lines,
+	assert_string_equal(fixture->event_log,
 			    "shard-assigned assigned=1 generation=1\n");
 }
 
-/* Its upstreams may still get its orders: the next one has to wait for them. */
-static void a_silent_holder_is_replaced_as_one_that_may_be_at_work(void **state)
+/* Upstreams may still get its orders; the next holder has to wait for them. */
+static void silent_holder_is_replaced_and_counts_as_at_work(void **state)
 {
 	fixture_t *fixture = *state;
 
 	set_status(&fixture->peers[0], 0);
-	make_holder(fixture, fixture->peers[0].address, EPOCH(4));
+	publish_holder(fixture, fixture->peers[0].address, EPOCH(4));
 	start_claim(fixture, false);
 	run_until_held(fixture);
 	assert_int_equal(fixture->held.epoch >> 16, 5);
 	assert_true(fixture->held.others_at_work);
-	assert_true(times_asked(&fixture->peers[0]) >= 2);
+	assert_true(get_probe_count(&fixture->peers[0]) >= 2);
 }
 
 /*
  * Guards against a chain of claims: holders that recover a large shard answer
- * late, and each would be replaced before it has.
+ * late, and each would be replaced before it has finished.
  */
-static void a_holder_after_a_short_lived_one_gets_more_time(void **state)
+static void holder_after_short_term_gets_more_time(void **state)
 {
 	fixture_t *fixture = *state;
 
-	make_holder(fixture, fixture->peers[0].address, EPOCH(4));
+	publish_holder(fixture, fixture->peers[0].address, EPOCH(4));
 	start_claim(fixture, false);
-	run_until_asked(fixture, 0, 1);
+	run_until_probed(fixture, 0, 1);
 	set_status(&fixture->peers[1], 0);
-	make_holder(fixture, fixture->peers[1].address, EPOCH(5));
-	run_for(fixture, SILENT_HOLDER_MS + SILENT_HOLDER_MS / 2);
+	publish_holder(fixture, fixture->peers[1].address, EPOCH(5));
+	run_for(fixture,
+		SILENT_HOLDER_REPLACED_MS + SILENT_HOLDER_REPLACED_MS / 2);
 	assert_int_equal(fixture->held.epoch, 0);
 	run_until_held(fixture);
 	assert_int_equal(fixture->held.epoch >> 16, 6);
@@ -71,33 +73,33 @@
 }
 
 /*
- * Guards against a shard that nobody holds after two processes claimed it at
- * once: the second one gave it up for the first one's late notice.
+ * Guards against a shard without a holder after two processes claimed it at once:
+ * the second one released it because of the first one's late notice.
  */
-static void a_notice_of_an_older_claim_ends_no_holder(void **state)
+static void notice_of_older_claim_does_not_end_holder(void **state)
 {
 	fixture_t *fixture = *state;
 
-	/* the other one's claim is number 4, and this one's 5 */
-	put(fixture, "0", "C", "262144 0123456789abcdef");
+	/* the other process's claim is number 4, and this one's is 5 */
+	put_record(fixture, "0", "C", "262144 0123456789abcdef");
 	fixture->late_notice = "262144 127.0.0.1:2";
 	start_claim(fixture, false);
 	run_until_held(fixture);
 	assert_int_equal(fixture->held.epoch >> 16, 5);
 	run_for(fixture, 300);
-	assert_int_equal(fixture->others, 0);
+	assert_int_equal(fixture->foreign_notices, 0);
 	assert_string_equal(fixture->holder, SELF);
-	make_holder(fixture, fixture->peers[0].address, EPOCH(6));
+	publish_holder(fixture, fixture->peers[0].address, EPOCH(6));
 	run_for(fixture, 300);
-	assert_int_equal(fixture->others, 1);
+	assert_int_equal(fixture->foreign_notices, 1);
 }
 
-static void a_holder_that_says_it_holds_no_more_is_replaced(void **state)
+static void holder_that_reports_not_held_is_replaced(void **state)
 {
 	fixture_t *fixture = *state;
 
 	set_status(&fixture->peers[0], 404);
-	make_holder(fixture, fixture->peers[0].address, EPOCH(4));
+	publish_holder(fixture, fixture->peers[0].address, EPOCH(4));
 	start_claim(fixture, false);
 	run_until_held(fixture);
 	assert_int_equal(fixture->held.epoch >> 16, 5);
@@ -106,37 +108,36 @@
 }
 
 /*
- * A holder is asked and doesn't answer at once; another process becomes the
- * holder; then the first one says that it holds no more. That was taken for
- * an answer of the new holder, which was replaced while it was at work, and
- * its orders weren't waited for.
+ * A holder answers a probe late, that it doesn't hold the shard any more, after
+ * another process has become the holder. Guards against attributing that answer to
+ * the new holder, which was replaced while at work, without waiting for its orders.
  */
-static void an_answer_says_nothing_of_the_next_holder(void **state)
+static void probe_answer_does_not_apply_to_next_holder(void **state)
 {
 	fixture_t *fixture = *state;
 	int64_t end_ms = standin_now_ms() + WAIT_MAX_MS;
 
 	set_status(&fixture->peers[0], 0);
-	make_holder(fixture, fixture->peers[0].address, EPOCH(4));
+	publish_holder(fixture, fixture->peers[0].address, EPOCH(4));
 	start_claim(fixture, false);
-	run_until_asked(fixture, 0, 1);
-	make_holder(fixture, fixture->peers[1].address, EPOCH(5));
+	run_until_probed(fixture, 0, 1);
+	publish_holder(fixture, fixture->peers[1].address, EPOCH(5));
 	while (g_strcmp0(fixture->holder, fixture->peers[1].address) != 0 &&
 	       standin_now_ms() < end_ms)
 		run_for(fixture, 10);
 	set_status(&fixture->peers[0], 404);
 	run_for(fixture, 1500);
-	assert_null(strstr(fixture->lines, "shard-claim-begun"));
+	assert_null(strstr(fixture->event_log, "shard-claim-begun"));
 	assert_int_equal(fixture->held.epoch, 0);
-	assert_true(times_asked(&fixture->peers[1]) >= 2);
+	assert_true(get_probe_count(&fixture->peers[1]) >= 2);
 }
 
 /*
  * The answer to a notice is slow; meanwhile the claim is lost and made again.
- * The old notice's answer was taken for the new one's, which was never sent:
- * all other processes turned callers away, though the shard was held.
+ * Guards against taking the old notice's answer for that of the new notice, which
+ * was never sent: all other processes rejected callers, though the shard was held.
  */
-static void each_claim_is_made_known_by_a_notice_of_its_own(void **state)
+static void each_claim_publishes_its_own_notice(void **state)
 {
 	fixture_t *fixture = *state;
 	int64_t first;
@@ -148,15 +149,15 @@
 	run_until_held(fixture);
 	first = fixture->held.epoch;
 	fixture->held.epoch = 0;
-	wwh_shard_claim_lost(fixture->claim, standin_now_ms());
+	wwh_shard_claim_handle_loss(fixture->claim, standin_now_ms());
 	run_until_held(fixture);
 	assert_true(fixture->held.epoch > first);
 	run_for(fixture, 1500);
 	assert_int_equal(fixture->holder_epoch, fixture->held.epoch);
 }
 
-/* Another process claims between this one's reading and its claim. */
-static void a_claim_that_the_store_refuses_is_begun_anew(void **state)
+/* Another process claims after this one has read the journal. */
+static void rejected_claim_is_retried(void **state)
 {
 	fixture_t *fixture = *state;
 
@@ -165,16 +166,16 @@
 	g_mutex_unlock(&fixture->standin->lock);
 	start_claim(fixture, false);
 	run_until_held(fixture);
-	assert_non_null(strstr(fixture->lines, "shard-claim-refused"));
+	assert_non_null(strstr(fixture->event_log, "shard-claim-refused"));
 	assert_true(fixture->held.epoch >= EPOCH(2));
 }
 
 /*
- * Another writer has put something else in the notice's place. It was read as
- * a notice of a far later holder: the real one's were passed over from then
- * on, and a process that held the shard gave it up.
+ * Another writer has stored a malformed value under the notice's key. Guards against
+ * reading it as a notice with a very high epoch: all later notices were ignored,
+ * and a process that held the shard released it.
  */
-static void a_notice_that_cant_be_read_is_passed_over(void **state)
+static void malformed_notice_is_ignored(void **state)
 {
 	static const char *const texts[] = {
 		"9223372036854775807 10.0.0.9:1",
@@ -188,26 +189,26 @@
 	};
 	fixture_t *fixture = *state;
 
-	make_holder(fixture, fixture->peers[0].address, EPOCH(4));
+	publish_holder(fixture, fixture->peers[0].address, EPOCH(4));
 	start_claim(fixture, false);
-	run_until_asked(fixture, 0, 1);
+	run_until_probed(fixture, 0, 1);
 	for (size_t i = 0; i < G_N_ELEMENTS(texts); i++) {
-		put(fixture, "1", "holder", texts[i]);
+		put_record(fixture, "1", "holder", texts[i]);
 		run_for(fixture, 150);
 		assert_string_equal(fixture->holder, fixture->peers[0].address);
 		assert_int_equal(fixture->holder_epoch, EPOCH(4));
 	}
-	make_holder(fixture, fixture->peers[1].address, EPOCH(5));
+	publish_holder(fixture, fixture->peers[1].address, EPOCH(5));
 	run_for(fixture, 300);
 	assert_string_equal(fixture->holder, fixture->peers[1].address);
 }
 
 /*
- * Another writer has put something else in the claim's place. Its number was
- * taken for the highest epoch so far, the next one wasn't a number any more,
- * and the store refused it for good: nobody could hold the shard.
+ * Another writer has stored a malformed value under the claim's key. Guards against
+ * taking its number for the highest epoch: the next epoch overflowed, the store
+ * rejected it for ever, and no process could hold the shard.
  */
-static void a_claim_that_cant_be_read_is_passed_over(void **state)
+static void malformed_claim_record_is_ignored(void **state)
 {
 	static const char *const texts[] = {
 		"9223372036854775807 0011223344556677",
@@ -218,8 +219,8 @@
 	fixture_t *fixture = *state;
 
 	for (size_t i = 0; i < G_N_ELEMENTS(texts); i++)
-		put(fixture, "0", i % 2 == 0 ? "C" : "Cx", texts[i]);
-	put(fixture, "0", "C", texts[0]);
+		put_record(fixture, "0", i % 2 == 0 ? "C" : "Cx", texts[i]);
+	put_record(fixture, "0", "C", texts[0]);
 	start_claim(fixture, false);
 	run_until_held(fixture);
 	assert_true(fixture->held.epoch > 0);
@@ -227,30 +228,30 @@
 }
 
 /*
- * All processes are killed and start again within a second. Callers are told
- * that nobody holds the shard until the group drops the member that it had
- * assigned the shard to, up to its whole time limit. The process that the
- * notice names is back and surely holds nothing any more, and no claim hangs
- * on the group: it claims as soon as it has read its own name.
+ * All processes are killed and restart within a second. Guards against rejecting
+ * callers until the group drops the member that it had assigned the shard to, which
+ * takes up to its whole time limit. The process that the notice names is back and
+ * surely doesn't hold the shard any more, and a claim doesn't depend on the group:
+ * it claims as soon as it has read its own address.
  */
-static void a_holder_that_starts_again_waits_for_no_group(void **state)
+static void restarted_holder_claims_without_group(void **state)
 {
 	fixture_t *fixture = *state;
 
-	assign_to_another(fixture);
-	make_holder(fixture, SELF, EPOCH(4));
+	assign_to_other_process(fixture);
+	publish_holder(fixture, SELF, EPOCH(4));
 	start_claim(fixture, false);
 	run_for(fixture, MEMBER_TTL_MS / 2);
 	assert_int_equal(fixture->held.epoch >> 16, 5);
-	assert_null(strstr(fixture->lines, "shard-assigned"));
+	assert_null(strstr(fixture->event_log, "shard-assigned"));
 }
 
 /*
- * A holder loses the shard to a claim whose notice isn't out yet. It still
- * reads its own name, and must not claim the shard back: the two would take
- * it from each other on and on.
+ * A holder loses the shard to a claim whose notice isn't published yet. The current
+ * notice still has its own address, but it must not claim the shard back: the two
+ * processes would replace each other endlessly.
  */
-static void a_holder_that_lost_the_shard_waits_for_the_group(void **state)
+static void holder_that_lost_shard_waits_for_group(void **state)
 {
 	fixture_t *fixture = *state;
 
@@ -259,37 +260,39 @@
 	run_for(fixture, 100);
 	assert_string_equal(fixture->holder, SELF);
 	fixture->held.epoch = 0;
-	assign_to_another(fixture);
+	assign_to_other_process(fixture);
 	run_for(fixture, MEMBER_TTL_MS / 2);
-	assert_non_null(strstr(fixture->lines, "shard-assigned assigned=0"));
-	assign_to_another(fixture);
-	wwh_shard_claim_lost(fixture->claim, standin_now_ms());
+	assert_non_null(
+		strstr(fixture->event_log, "shard-assigned assigned=0"));
+	assign_to_other_process(fixture);
+	wwh_shard_claim_handle_loss(fixture->claim, standin_now_ms());
 	run_for(fixture, MEMBER_TTL_MS / 2);
 	assert_int_equal(fixture->held.epoch, 0);
 }
 
-/* A process with little processor time leaves the shard to others also then. */
-static void a_reluctant_holder_that_starts_again_waits(void **state)
+/* A standby process waits for the group even after a restart. */
+static void restarted_standby_holder_waits_for_group(void **state)
 {
 	fixture_t *fixture = *state;
 
-	assign_to_another(fixture);
-	make_holder(fixture, SELF, EPOCH(4));
+	assign_to_other_process(fixture);
+	publish_holder(fixture, SELF, EPOCH(4));
 	start_claim(fixture, true);
 	run_for(fixture, MEMBER_TTL_MS / 2);
 	assert_int_equal(fixture->held.epoch, 0);
 }
 
 /*
- * A holder starts again and claims; the process that the group names asks it
- * in that moment, hears that it doesn't hold the shard, and claims too. The
- * first one serves for a tenth of a second, and all upstreams are asked twice.
+ * A holder restarts and claims; the process that the group assigned the shard to
+ * probes it at that time. Guards against the answer that it doesn't hold the shard:
+ * the assigned process claims too, the first one serves for a tenth of a second,
+ * and all upstreams are polled twice.
  */
-static void a_claim_on_its_way_can_be_told(void **state)
+static void claim_in_progress_is_reported(void **state)
 {
 	fixture_t *fixture = *state;
 
-	make_holder(fixture, SELF, EPOCH(4));
+	publish_holder(fixture, SELF, EPOCH(4));
 	start_claim(fixture, false);
 	assert_false(wwh_shard_claim_in_progress(fixture->claim));
 	while (!wwh_shard_claim_in_progress(fixture->claim))
@@ -306,49 +309,45 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		HAND_OVER_TESTS,
+		HANDOVER_TESTS,
 		cmocka_unit_test_setup_teardown(
-			a_shard_that_nobody_holds_is_claimed_with_its_records,
-			set_up, tear_down),
-		cmocka_unit_test_setup_teardown(
-			a_holder_that_answers_is_left_alone, set_up, tear_down),
+			unheld_shard_is_claimed_with_its_records, set_up,
+			tear_down),
 		cmocka_unit_test_setup_teardown(
-			a_silent_holder_is_replaced_as_one_that_may_be_at_work,
-			set_up, tear_down),
+			answering_holder_is_not_replaced, set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
-			a_holder_after_a_short_lived_one_gets_more_time, set_up,
+			silent_holder_is_replaced_and_counts_as_at_work, set_up,
 			tear_down),
 		cmocka_unit_test_setup_teardown(
-			a_notice_of_an_older_claim_ends_no_holder, set_up,
+			holder_after_short_term_gets_more_time, set_up,
 			tear_down),
 		cmocka_unit_test_setup_teardown(
-			a_holder_that_says_it_holds_no_more_is_replaced, set_up,
+			notice_of_older_claim_does_not_end_holder, set_up,
 			tear_down),
 		cmocka_unit_test_setup_teardown(
-			an_answer_says_nothing_of_the_next_holder, set_up,
+			holder_that_reports_not_held_is_replaced, set_up,
 			tear_down),
 		cmocka_unit_test_setup_teardown(
-			each_claim_is_made_known_by_a_notice_of_its_own, set_up,
+			probe_answer_does_not_apply_to_next_holder, set_up,
 			tear_down),
 		cmocka_unit_test_setup_teardown(
-			a_claim_that_the_store_refuses_is_begun_anew, set_up,
-			tear_down),
+			each_claim_publishes_its_own_notice, set_up, tear_down),
+		cmocka_unit_test_setup_teardown(rejected_claim_is_retried,
+						set_up, tear_down),
+		cmocka_unit_test_setup_teardown(malformed_notice_is_ignored,
+						set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
-			a_notice_that_cant_be_read_is_passed_over, set_up,
-			tear_down),
+			malformed_claim_record_is_ignored, set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
-			a_claim_that_cant_be_read_is_passed_over, set_up,
+			restarted_holder_claims_without_group, set_up,
 			tear_down),
 		cmocka_unit_test_setup_teardown(
-			a_holder_that_starts_again_waits_for_no_group, set_up,
+			holder_that_lost_shard_waits_for_group, set_up,
 			tear_down),
 		cmocka_unit_test_setup_teardown(
-			a_holder_that_lost_the_shard_waits_for_the_group,
-			set_up, tear_down),
-		cmocka_unit_test_setup_teardown(
-			a_reluctant_holder_that_starts_again_waits, set_up,
+			restarted_standby_holder_waits_for_group, set_up,
 			tear_down),
-		cmocka_unit_test_setup_teardown(a_claim_on_its_way_can_be_told,
+		cmocka_unit_test_setup_teardown(claim_in_progress_is_reported,
 						set_up, tear_down),
 	};
 
--- a/src/test_shard_journal/test_shard_journal.c
+++ b/src/test_shard_journal/test_shard_journal.c
@@ -1,6 +1,6 @@
 /*
- * Records on their way to a store that goes away and comes back, on a
- * stand-in of the store and a clock of the test's.
+ * Appends to a store that is unavailable or slow at times, on a stand-in of the
+ * store and a simulated clock.
  */
 
 #include "../test_standins/include/standin_jobs.h"
@@ -11,10 +11,10 @@
 #define STEP_MS 10
 #define CALL_BYTES 65536
 
-/* More than an append is waited for at first. */
+/* Longer than the first time-out of an append. */
 #define SLOW_APPEND_MS 900
 
-/* Then a failed check says what is missing. */
+/* After that a check fails and shows what is missing. */
 #define WAIT_MAX_MS 20000
 
 typedef struct {
@@ -36,7 +36,7 @@
 static void on_lost(const char *why, void *client_data)
 {
 	(void)client_data;
-	fail_msg("the journal is lost: %s", why);
+	fail_msg("the journal was lost: %s", why);
 }
 
 static int set_up(void **state)
@@ -47,7 +47,7 @@
 		.producer = "p",
 		.epoch = 1,
 		.next_sequence = 0,
-		.call_bytes = CALL_BYTES,
+		.max_call_bytes = CALL_BYTES,
 		.on_durable = on_durable,
 		.on_lost = on_lost,
 		.client_data = fixture,
@@ -93,7 +93,7 @@
 		wwh_counters_get(fixture->counters, "calls.sent"));
 }
 
-/* Each call is over before the test's clock goes on. */
+/* Completes each call before the simulated clock advances. */
 static void run_for(fixture_t *fixture, int64_t run_ms)
 {
 	int64_t end_ms = fixture->now_ms + run_ms;
@@ -110,19 +110,19 @@
 }
 
 /*
- * The store refuses all calls for some seconds and comes back. Callers are
- * turned away until the first append goes through, and most come for the last
- * time then: the journal asked again only 0.4 s after its last refusal. Asked
- * every tenth of a second, the store's return is noticed in time.
+ * The store refuses all calls for some seconds and recovers. Guards against a retry
+ * interval of 0.4 s: callers are rejected until the first append succeeds, and most
+ * make their last try in that time. With a retry every 0.1 s the recovery is
+ * noticed in time.
  */
-static void a_store_that_is_back_gets_its_records_at_once(void **state)
+static void recovered_store_receives_records_at_once(void **state)
 {
 	fixture_t *fixture = *state;
 	int64_t record;
 
 	set_busy(fixture, true);
-	record = wwh_shard_journal_keep(fixture->journal, "Ja", NULL, true,
-					fixture->now_ms);
+	record = wwh_shard_journal_append(fixture->journal, "Ja", NULL, true,
+					  fixture->now_ms);
 	for (int32_t return_ms = 0; return_ms < 400; return_ms += 100) {
 		run_for(fixture, 3000 + return_ms);
 		assert_true(fixture->durable < record);
@@ -130,32 +130,32 @@
 		run_for(fixture, 120);
 		assert_int_equal(fixture->durable, record);
 		set_busy(fixture, true);
-		record = wwh_shard_journal_keep(fixture->journal, "Ja", NULL,
-						true, fixture->now_ms);
+		record = wwh_shard_journal_append(fixture->journal, "Ja", NULL,
+						  true, fixture->now_ms);
 	}
 }
 
-/* Each call has its price, refused ones too. */
-static void a_store_that_refuses_is_asked_ten_times_a_second(void **state)
+/* Refused calls load the store too. */
+static void retries_are_limited_to_ten_per_second(void **state)
 {
 	fixture_t *fixture = *state;
 
 	set_busy(fixture, true);
-	(void)wwh_shard_journal_keep(fixture->journal, "Ja", NULL, true,
-				     fixture->now_ms);
+	(void)wwh_shard_journal_append(fixture->journal, "Ja", NULL, true,
+				       fixture->now_ms);
 	run_for(fixture, 5000);
 	assert_true(calls_sent(fixture) <= 52);
 }
 
 /*
- * Guards against a store that is slow for all and counts as silent for as long as
- * it is: no append was waited for until its answer.
+ * Guards against a slow store that counts as silent for as long as it is slow: every
+ * append timed out before its answer.
  */
-static void a_slow_store_takes_records(void **state)
+static void slow_store_accepts_records(void **state)
 {
 	fixture_t *fixture = *state;
-	int64_t record = wwh_shard_journal_keep(fixture->journal, "Ja", NULL,
-						true, fixture->now_ms);
+	int64_t record = wwh_shard_journal_append(fixture->journal, "Ja", NULL,
+						  true, fixture->now_ms);
 
 	g_mutex_lock(&fixture->standin->lock);
 	fixture->standin->append_delay_ms = SLOW_APPEND_MS;
@@ -163,9 +163,9 @@
 	run_for(fixture, 200);
 	assert_int_equal(fixture->durable, record);
 	assert_true(calls_sent(fixture) <= 2);
-	/* and the next one is waited for at its first try */
-	record = wwh_shard_journal_keep(fixture->journal, "Jb", NULL, true,
-					fixture->now_ms);
+	/* the next append succeeds at its first try */
+	record = wwh_shard_journal_append(fixture->journal, "Jb", NULL, true,
+					  fixture->now_ms);
 	run_for(fixture, 20);
 	assert_int_equal(fixture->durable, record);
 	assert_true(calls_sent(fixture) <= 3);
@@ -175,12 +175,12 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test_setup_teardown(
-			a_store_that_is_back_gets_its_records_at_once, set_up,
+			recovered_store_receives_records_at_once, set_up,
 			tear_down),
 		cmocka_unit_test_setup_teardown(
-			a_store_that_refuses_is_asked_ten_times_a_second,
-			set_up, tear_down),
-		cmocka_unit_test_setup_teardown(a_slow_store_takes_records,
+			retries_are_limited_to_ten_per_second, set_up,
+			tear_down),
+		cmocka_unit_test_setup_teardown(slow_store_accepts_records,
 						set_up, tear_down),
 	};
 
--- a/src/test_store_follower/test_store_follower.c
+++ b/src/test_store_follower/test_store_follower.c
@@ -1,6 +1,6 @@
 /*
- * What a follower reports of lists and changes in which another writer has
- * left what can't be read. The store answers with what each test says.
+ * What a follower reports of lists and changes with unreadable records of another
+ * writer. Each test sets the store's answers.
  */
 
 #include "../test_standins/include/standin_jobs.h"
@@ -10,27 +10,28 @@
 #define WAIT_MAX_MS 10000
 #define GAP_MS 20
 
-/* A list's answer and that of a read of its log; each is a whole body. */
+/* list and read are whole bodies of the store's answers. */
 typedef struct {
 	GMutex lock;
 	const char *list;
-	bool trimmed; /* the next read is told that its log is */
+	bool trimmed; /* the next read is answered 410, log trimmed */
 	const uint8_t *read;
 	size_t read_size;
-	int32_t lists; /* that were answered */
-	bool has_log; /* LOG_RECORDS are served in place of read */
-	int64_t end_beyond; /* the log ends so far behind them */
+	int32_t lists_served;
+	bool serves_log; /* serves LOG_RECORDS records instead of read */
+	int64_t end_offset_lead; /* how far the log's end is beyond them */
 	standin_t *standin; /* for its counters */
 	wwh_listener_t *listener;
 	wwh_counters_t *counters;
 	wwh_http_calls_t *calls;
 	wwh_store_follower_t *follower;
-	GString *seen; /* a word for each report */
+	/* KEY= for a value, KEY- if dropped, KEY! if unreadable, ?OFFSET */
+	GString *reports;
 } fixture_t;
 
 static const uint8_t empty_read[16];
 
-/* Of a store whose answers take time by their size. */
+/* A log whose answers take a time in proportion to their size. */
 #define LOG_RECORDS 600
 #define RECORD_BYTES 1024
 #define RECORD_US 3000
@@ -46,29 +47,30 @@
 	}
 }
 
-static int64_t number_of(const wwh_http_request_t *http, const char *name,
-			 int64_t missing)
+static int64_t query_number(const wwh_http_request_t *http, const char *name,
+			    int64_t default_number)
 {
 	char *text = wwh_http_query(http->target, name);
 	int64_t number =
-		text == NULL ? missing : g_ascii_strtoll(text, NULL, 10);
+		text == NULL ? default_number : g_ascii_strtoll(text, NULL, 10);
 
 	g_free(text);
 	return number;
 }
 
-/* As many records from the offset asked for as the size asked for allows. */
+/* Serves records from the requested offset, up to the requested size. */
 static void serve_log(fixture_t *fixture, const wwh_http_request_t *http,
 		      wwh_http_response_t *response)
 {
-	int64_t from = number_of(http, "from", FIRST_OFFSET);
-	int64_t most = number_of(http, "maxKb", DEFAULT_KB);
+	int64_t from = query_number(http, "from", FIRST_OFFSET);
+	int64_t most = query_number(http, "maxKb", DEFAULT_KB);
 	int64_t end = FIRST_OFFSET + LOG_RECORDS;
 	int64_t count = MIN(most, end - from);
 	uint8_t record[RECORD_BYTES] = { 1, 'k' };
 
 	response->status = 200;
-	put_number(response->body, (uint64_t)(end + fixture->end_beyond), 8);
+	put_number(response->body, (uint64_t)(end + fixture->end_offset_lead),
+		   8);
 	put_number(response->body, 0, 8);
 	for (int64_t i = 0; i < count; i++) {
 		put_number(response->body, RECORD_BYTES, 4);
@@ -88,11 +90,11 @@
 	g_mutex_lock(&fixture->lock);
 	if (g_str_has_suffix(path, "/log-newest")) {
 		standin_answer(response, 200, fixture->list);
-		fixture->lists++;
+		fixture->lists_served++;
 	} else if (fixture->trimmed) {
 		fixture->trimmed = false;
 		standin_answer(response, 410, "{\"first\":9}");
-	} else if (fixture->has_log) {
+	} else if (fixture->serves_log) {
 		serve_log(fixture, http, response);
 	} else {
 		response->status = 200;
@@ -110,18 +112,19 @@
 {
 	fixture_t *fixture = client_data;
 
-	g_string_append_printf(fixture->seen, "%s%s ", key,
+	g_string_append_printf(fixture->reports, "%s%s ", key,
 			       value == NULL ? "-"
 			       : size == 0   ? "!"
 					     : "=");
 }
 
-static void on_nameless(int64_t offset, const char *why, void *client_data)
+static void on_unreadable_key(int64_t offset, const char *why,
+			      void *client_data)
 {
 	fixture_t *fixture = client_data;
 
 	assert_non_null(why);
-	g_string_append_printf(fixture->seen, "?%d ", (int)offset);
+	g_string_append_printf(fixture->reports, "?%d ", (int)offset);
 }
 
 static int set_up(void **state)
@@ -129,9 +132,10 @@
 	fixture_t *fixture = g_new0(fixture_t, 1);
 	wwh_store_follower_options_t options = { .topic = "t",
 						 .wait_ms = 100,
-						 .gap_ms = GAP_MS,
+						 .read_interval_ms = GAP_MS,
 						 .on_record = on_record,
-						 .on_nameless = on_nameless };
+						 .on_unreadable_key =
+							 on_unreadable_key };
 	char *endpoint;
 
 	fixture->standin = standin_new();
@@ -141,7 +145,7 @@
 	fixture->listener = standin_listen(fixture->standin, on_store, fixture);
 	fixture->counters = wwh_counters_new();
 	fixture->calls = wwh_http_calls_new(fixture->counters);
-	fixture->seen = g_string_new(NULL);
+	fixture->reports = g_string_new(NULL);
 	endpoint = g_strdup_printf("127.0.0.1:%d",
 				   wwh_listener_port(fixture->listener));
 	options.calls = fixture->calls;
@@ -163,7 +167,7 @@
 	wwh_listener_delete(fixture->listener);
 	wwh_counters_delete(fixture->counters);
 	standin_delete(fixture->standin);
-	g_string_free(fixture->seen, TRUE);
+	g_string_free(fixture->reports, TRUE);
 	g_free(fixture);
 	return 0;
 }
@@ -178,97 +182,99 @@
 	}
 }
 
-/* All keys are read, at first or again, as this list. */
-static void list(fixture_t *fixture, const char *list, bool again)
+/* Serves list as the answer to a full read: the first, or one after a trim. */
+static void serve_list_and_run(fixture_t *fixture, const char *list, bool again)
 {
 	int64_t end_ms = standin_now_ms() + WAIT_MAX_MS;
 	bool done = false;
 
-	g_string_truncate(fixture->seen, 0);
+	g_string_truncate(fixture->reports, 0);
 	g_mutex_lock(&fixture->lock);
 	fixture->list = list;
 	fixture->trimmed = again;
-	fixture->lists = 0;
+	fixture->lists_served = 0;
 	g_mutex_unlock(&fixture->lock);
 	while (!done && standin_now_ms() < end_ms) {
 		run_for(fixture, 10);
 		g_mutex_lock(&fixture->lock);
-		done = fixture->lists > 0;
+		done = fixture->lists_served > 0;
 		g_mutex_unlock(&fixture->lock);
 	}
 	assert_true(done);
 	run_for(fixture, 200);
 }
 
-static void list_first(fixture_t *fixture)
+static void read_first_list(fixture_t *fixture)
 {
-	list(fixture,
-	     "{\"items\":[{\"key\":\"a\",\"value\":\"YQ==\"},"
-	     "{\"key\":\"b\",\"value\":\"YQ==\"}],\"end\":9}",
-	     false);
-	assert_string_equal(fixture->seen->str, "a= b= ");
+	serve_list_and_run(fixture,
+			   "{\"items\":[{\"key\":\"a\",\"value\":\"YQ==\"},"
+			   "{\"key\":\"b\",\"value\":\"YQ==\"}],\"end\":9}",
+			   false);
+	assert_string_equal(fixture->reports->str, "a= b= ");
 }
 
-static void list_again(fixture_t *fixture, const char *text)
+static void read_list_again(fixture_t *fixture, const char *text)
 {
-	list(fixture, text, true);
+	serve_list_and_run(fixture, text, true);
 }
 
-#define WHOLE(key) "{\"key\":\"" key "\",\"value\":\"YQ==\"}"
+#define VALID_ITEM(key) "{\"key\":\"" key "\",\"value\":\"YQ==\"}"
 
 /*
- * A follower knows two keys, the history is dropped, and in the list that it
- * reads then one key's value can't be read. The key was taken as dropped, and
- * its upstream as removed. It is there; mended it is whole, and gone dropped.
+ * A follower knows two keys, the log is trimmed, and in the next full read one key's
+ * value is unreadable. Guards against reporting the key as dropped, by which its
+ * upstream counted as removed. The key is reported as unreadable, with its value
+ * when that is readable again, and as dropped only when it is gone.
  */
-static void a_bad_value_is_not_a_dropped_key(void **state)
+static void unreadable_value_does_not_drop_key(void **state)
 {
 	fixture_t *fixture = *state;
 
-	list_first(fixture);
-	list_again(fixture,
-		   "{\"items\":[" WHOLE("a") ",{\"key\":\"b\","
-					     "\"value\":7}],\"end\":9}");
-	assert_string_equal(fixture->seen->str, "a= b! ");
-	list_again(fixture,
-		   "{\"items\":[" WHOLE("a") "," WHOLE("b") "],\"end\":9}");
-	assert_string_equal(fixture->seen->str, "a= b= ");
-	list_again(fixture, "{\"items\":[" WHOLE("a") "],\"end\":9}");
-	assert_string_equal(fixture->seen->str, "a= b- ");
+	read_first_list(fixture);
+	read_list_again(fixture, "{\"items\":[" VALID_ITEM(
+					 "a") ",{\"key\":\"b\","
+					      "\"value\":7}],\"end\":9}");
+	assert_string_equal(fixture->reports->str, "a= b! ");
+	read_list_again(fixture, "{\"items\":[" VALID_ITEM("a") "," VALID_ITEM(
+					 "b") "],\"end\":9}");
+	assert_string_equal(fixture->reports->str, "a= b= ");
+	read_list_again(fixture, "{\"items\":[" VALID_ITEM("a") "],\"end\":9}");
+	assert_string_equal(fixture->reports->str, "a= b- ");
 }
 
 /*
- * The same, and the key itself can't be read: any key that is missing may be
- * that one, and none is dropped until a list comes that can be read.
+ * An unreadable key in a full read: any missing key may be that one, so none is
+ * reported as dropped until all keys of a full read are readable.
  */
-static void a_bad_key_drops_no_other(void **state)
+static void unreadable_key_drops_no_key(void **state)
 {
 	fixture_t *fixture = *state;
 
-	list_first(fixture);
-	list_again(fixture,
-		   "{\"items\":[" WHOLE(
-			   "a") ",{\"key\":7,"
-				"\"value\":\"YQ==\",\"offset\":5}],\"end\":9}");
-	assert_string_equal(fixture->seen->str, "a= ?5 ");
-	list_again(fixture, "{\"items\":[" WHOLE("a") "],\"end\":9}");
-	assert_string_equal(fixture->seen->str, "a= b- ");
+	read_first_list(fixture);
+	read_list_again(
+		fixture,
+		"{\"items\":[" VALID_ITEM(
+			"a") ",{\"key\":7,"
+			     "\"value\":\"YQ==\",\"offset\":5}],\"end\":9}");
+	assert_string_equal(fixture->reports->str, "a= ?5 ");
+	read_list_again(fixture, "{\"items\":[" VALID_ITEM("a") "],\"end\":9}");
+	assert_string_equal(fixture->reports->str, "a= b- ");
 }
 
-/* An answer that is no list is asked for again, and drops nothing. */
-static void an_answer_that_is_no_list_drops_nothing(void **state)
+/* A malformed list is requested again, and drops no key. */
+static void malformed_list_drops_no_key(void **state)
 {
 	fixture_t *fixture = *state;
 
-	list_first(fixture);
-	list_again(fixture, "{\"items\":7,\"end\":9}");
-	assert_string_equal(fixture->seen->str, "");
-	assert_true(wwh_store_follower_reading_all(fixture->follower));
-	list_first(fixture);
+	read_first_list(fixture);
+	read_list_again(fixture, "{\"items\":7,\"end\":9}");
+	assert_string_equal(fixture->reports->str, "");
+	assert_true(wwh_store_follower_in_full_read(fixture->follower));
+	read_first_list(fixture);
 }
 
-/* Among changes of the log some can't be read: those around them are told. */
-static void a_bad_change_stops_no_watch(void **state)
+/* Unreadable changes in the log don't hide the readable ones around them. */
+static void unreadable_change_does_not_stop_follower(void **state)
 {
 	static const char body[] = "\0\0\0\0\0\0\0\x0d\0\0\0\0\0\0\0\0"
 				   "\0\0\0\x03\x01"
@@ -285,62 +291,63 @@
 				   "b";
 	fixture_t *fixture = *state;
 
-	list_first(fixture);
-	g_string_truncate(fixture->seen, 0);
+	read_first_list(fixture);
+	g_string_truncate(fixture->reports, 0);
 	g_mutex_lock(&fixture->lock);
 	fixture->read = (const uint8_t *)body;
 	fixture->read_size = sizeof(body) - 1;
 	g_mutex_unlock(&fixture->lock);
 	run_for(fixture, 500);
-	assert_string_equal(fixture->seen->str, "a= ?10 ?11 ?12 ?13 b- ");
+	assert_string_equal(fixture->reports->str, "a= ?10 ?11 ?12 ?13 b- ");
 }
 
 /* Counts the changes that were reported; each is one record of the log. */
-static int32_t changes_seen(const fixture_t *fixture)
+static int32_t changes_reported(const fixture_t *fixture)
 {
 	int32_t count = 0;
 
-	for (const char *at = fixture->seen->str; (at = strstr(at, "k=")); at++)
+	for (const char *at = fixture->reports->str; (at = strstr(at, "k="));
+	     at++)
 		count++;
 	return count;
 }
 
 /*
- * Guards against a follower that stops for good once its backlog takes longer
- * to transfer than one read may last.
+ * Guards against a follower that makes no progress once its backlog takes longer to
+ * transfer than the time-out of one read.
  */
-static void a_backlog_larger_than_one_read_is_read_in_parts(void **state)
+static void backlog_larger_than_one_read_is_read_in_parts(void **state)
 {
 	fixture_t *fixture = *state;
 
-	list_first(fixture);
-	g_string_truncate(fixture->seen, 0);
+	read_first_list(fixture);
+	g_string_truncate(fixture->reports, 0);
 	g_mutex_lock(&fixture->lock);
-	fixture->has_log = true;
+	fixture->serves_log = true;
 	g_mutex_unlock(&fixture->lock);
 	run_for(fixture, 5000);
-	assert_int_equal(changes_seen(fixture), LOG_RECORDS);
+	assert_int_equal(changes_reported(fixture), LOG_RECORDS);
 }
 
 /*
  * Guards against a follower that counts as up to date while a part of its backlog
  * hasn't been read.
  */
-static void a_follower_with_a_backlog_is_not_up_to_date(void **state)
+static void follower_with_backlog_is_not_up_to_date(void **state)
 {
 	fixture_t *fixture = *state;
 	int64_t begun_ms;
 
 	assert_int_equal(wwh_store_follower_complete_ms(fixture->follower), 0);
-	list_first(fixture);
+	read_first_list(fixture);
 	assert_true(wwh_store_follower_complete_ms(fixture->follower) > 0);
-	g_string_truncate(fixture->seen, 0);
+	g_string_truncate(fixture->reports, 0);
 	g_mutex_lock(&fixture->lock);
-	fixture->has_log = true;
+	fixture->serves_log = true;
 	g_mutex_unlock(&fixture->lock);
 	begun_ms = standin_now_ms();
 	run_for(fixture, 600);
-	assert_in_range(changes_seen(fixture), 1, LOG_RECORDS - 1);
+	assert_in_range(changes_reported(fixture), 1, LOG_RECORDS - 1);
 	assert_true(wwh_store_follower_complete_ms(fixture->follower) <
 		    begun_ms + 100);
 	run_for(fixture, 4400);
@@ -348,42 +355,42 @@
 		    begun_ms + 600);
 }
 
-/* Guards against reading every change of a log that has run far ahead. */
-static void a_follower_far_behind_reads_the_newest_of_each_key(void **state)
+/* Guards against reading every change of a log that is far ahead. */
+static void follower_far_behind_reads_newest_of_each_key(void **state)
 {
 	fixture_t *fixture = *state;
 
-	list_first(fixture);
+	read_first_list(fixture);
 	g_mutex_lock(&fixture->lock);
-	fixture->has_log = true;
-	fixture->end_beyond = 10000;
-	fixture->list = "{\"items\":[" WHOLE("z") "],\"end\":609}";
+	fixture->serves_log = true;
+	fixture->end_offset_lead = 10000;
+	fixture->list = "{\"items\":[" VALID_ITEM("z") "],\"end\":609}";
 	g_mutex_unlock(&fixture->lock);
 	run_for(fixture, 1000);
-	assert_non_null(strstr(fixture->seen->str, "z= "));
+	assert_non_null(strstr(fixture->reports->str, "z= "));
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test_setup_teardown(
-			a_bad_value_is_not_a_dropped_key, set_up, tear_down),
-		cmocka_unit_test_setup_teardown(a_bad_key_drops_no_other,
+			unreadable_value_does_not_drop_key, set_up, tear_down),
+		cmocka_unit_test_setup_teardown(unreadable_key_drops_no_key,
+						set_up, tear_down),
+		cmocka_unit_test_setup_teardown(malformed_list_drops_no_key,
 						set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
-			an_answer_that_is_no_list_drops_nothing, set_up,
+			unreadable_change_does_not_stop_follower, set_up,
 			tear_down),
-		cmocka_unit_test_setup_teardown(a_bad_change_stops_no_watch,
-						set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
-			a_backlog_larger_than_one_read_is_read_in_parts, set_up,
+			backlog_larger_than_one_read_is_read_in_parts, set_up,
 			tear_down),
 		cmocka_unit_test_setup_teardown(
-			a_follower_with_a_backlog_is_not_up_to_date, set_up,
+			follower_with_backlog_is_not_up_to_date, set_up,
 			tear_down),
 		cmocka_unit_test_setup_teardown(
-			a_follower_far_behind_reads_the_newest_of_each_key,
-			set_up, tear_down),
+			follower_far_behind_reads_newest_of_each_key, set_up,
+			tear_down),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
