--- a/include/waxwinghollow/capacity.h
+++ b/include/waxwinghollow/capacity.h
@@ -40,7 +40,7 @@
 	int32_t failed;
 	int32_t limit; /* may be lost at once */
 	int32_t room; /* may be taken out now, at least */
-	wwh_binding_t binding; /* what keeps room from being larger */
+	wwh_constraint_t binding; /* what keeps room from being larger */
 	wwh_domain_t reserve; /* the failure to survive */
 	int32_t reserve_workers; /* what that failure would take now */
 	int32_t held_back; /* reserve_workers and what is out by plan */
--- a/include/waxwinghollow/placement.h
+++ b/include/waxwinghollow/placement.h
@@ -36,7 +36,7 @@
  *	  throttled, leads to a checkpoint. Nothing is stopped but a cancelled
  *	  job.
  *	- Two runs of a non-idempotent job. A job whose lease lapsed while its
- *	  holder was paused is placed again only after wwh_placement_safe_ms:
+ *	  holder was paused is placed again only after wwh_placement_earliest_rerun_ms:
  *	  its worker stops it by itself when the lease lapses, and lapse_margin
  *	  is for clocks that run apart. The platform refuses orders with an
  *	  older fence than the newest that it saw for the task.
@@ -68,16 +68,16 @@
 } wwh_placement_options_t;
 
 typedef enum {
-	WWH_PLACE_START = 0,
-	WWH_PLACE_THROTTLE, /* to cores of the decision */
-	WWH_PLACE_CHECKPOINT, /* room is needed; it goes on elsewhere */
-	WWH_PLACE_IMPOSSIBLE,
-	WWH_PLACE_WAIT, /* told with the reason */
-	WWH_PLACE_KIND_COUNT
-} wwh_place_kind_t;
+	WWH_PLACEMENT_START = 0,
+	WWH_PLACEMENT_THROTTLE, /* to cores of the decision */
+	WWH_PLACEMENT_CHECKPOINT, /* room is needed; it goes on elsewhere */
+	WWH_PLACEMENT_IMPOSSIBLE,
+	WWH_PLACEMENT_WAIT, /* told with the reason */
+	WWH_PLACEMENT_KIND_COUNT
+} wwh_placement_kind_t;
 
-/* Names of wwh_place_kind_t, in the same order. */
-extern const char *const wwh_place_kind_names[WWH_PLACE_KIND_COUNT];
+/* Names of wwh_placement_kind_t, in the same order. */
+extern const char *const wwh_placement_kind_names[WWH_PLACEMENT_KIND_COUNT];
 
 typedef enum {
 	WWH_REASON_NONE = 0,
@@ -100,12 +100,12 @@
 extern const char *const wwh_reason_names[WWH_REASON_COUNT];
 
 typedef struct {
-	wwh_place_kind_t kind;
+	wwh_placement_kind_t kind;
 	wwh_reason_t reason;
 	int32_t job;
 	int32_t worker; /* WWH_FLEET_NONE where none is meant */
 	int64_t cpu_millicores; /* THROTTLE */
-} wwh_place_t;
+} wwh_placement_decision_t;
 
 typedef struct wwh_placement wwh_placement_t;
 
@@ -117,7 +117,7 @@
 void wwh_placement_delete(wwh_placement_t *placement);
 
 /*
- * Appends the pool's decisions to decisions (of wwh_place_t), in the order in
+ * Appends the pool's decisions to decisions (of wwh_placement_decision_t), in the order in
  * which they have to be carried out. Each decision is counted in the
  * placement, so that later ones don't give the same room twice.
  */
@@ -133,7 +133,7 @@
 wwh_load_t wwh_placement_room(const wwh_placement_t *placement, int32_t worker);
 
 /* From when on another run of a job whose run is unknown can't overlap. */
-int64_t wwh_placement_safe_ms(const wwh_fleet_job_t *job,
-			      const wwh_placement_options_t *options);
+int64_t wwh_placement_earliest_rerun_ms(const wwh_fleet_job_t *job,
+					const wwh_placement_options_t *options);
 
 #endif
--- a/include/waxwinghollow/planner.h
+++ b/include/waxwinghollow/planner.h
@@ -75,7 +75,7 @@
 	int32_t skipped; /* that aren't serving */
 	int32_t out_at_once; /* chosen */
 	int32_t most_at_once; /* that the limits allow */
-	wwh_binding_t binding; /* what keeps most_at_once from being more */
+	wwh_constraint_t binding; /* what keeps most_at_once from being more */
 	int32_t held_back; /* out_at_once and the reserve */
 	int32_t moves;
 	int32_t again;
@@ -97,7 +97,7 @@
 	int64_t duration_ms;
 	int64_t end_ms; /* time of day; -1: never */
 	int32_t slowest_pool; /* index; WWH_FLEET_NONE: nothing to do */
-	wwh_binding_t binding; /* of the slowest pool */
+	wwh_constraint_t binding; /* of the slowest pool */
 	double cost; /* in points */
 } wwh_plan_totals_t;
 
--- a/include/waxwinghollow/pool_sizing.h
+++ b/include/waxwinghollow/pool_sizing.h
@@ -16,7 +16,7 @@
  *	for.
  *
  * ORDER OF CALLS
- *	wwh_pool_sizing_new; wwh_pool_sizing_wanted each time with the figures
+ *	wwh_pool_sizing_new; wwh_pool_sizing_desired_hosts each time with the figures
  *	of the moment, whose history it keeps by pool; wwh_pool_sizing_delete.
  */
 
@@ -24,14 +24,14 @@
 #include <stdint.h>
 
 typedef struct {
-	int64_t work_left; /* millicore-ms of tasks that aren't done */
-	int64_t usable_now; /* millicores that could be used at this moment */
-	int64_t arrived_work; /* of work_left: handed in within half a second */
-	int64_t arrived_usable; /* of usable_now: the same */
+	int64_t remaining_work; /* millicore-ms of tasks that aren't done */
+	int64_t usable_millicores; /* millicores that could be used at this moment */
+	int64_t recent_work; /* of remaining_work: handed in within half a second */
+	int64_t recent_millicores; /* of usable_millicores: the same */
 	int64_t lasting; /* millicores of lasting tasks */
-	int32_t hosts_bound; /* hosts that lasting tasks run on or need */
+	int32_t min_hosts; /* hosts that lasting tasks run on or need */
 	int64_t host_millicores; /* of one host; 0: unknown */
-} wwh_pool_figures_t;
+} wwh_pool_demand_t;
 
 typedef struct wwh_pool_sizing wwh_pool_sizing_t;
 
@@ -42,9 +42,10 @@
  * Hosts that pool should have now. It grows at once; it shrinks only to the
  * most that was wanted within the last moments.
  */
-int32_t wwh_pool_sizing_wanted(wwh_pool_sizing_t *sizing, const char *pool,
-			       const wwh_pool_figures_t *figures,
-			       int64_t now_ms);
+int32_t wwh_pool_sizing_desired_hosts(wwh_pool_sizing_t *sizing,
+				      const char *pool,
+				      const wwh_pool_demand_t *figures,
+				      int64_t now_ms);
 
 /*
  * Cuts what count pools want, in place, down to hosts in all. Those that want little get
--- a/src/libwaxwinghollow/budget.c
+++ b/src/libwaxwinghollow/budget.c
@@ -8,7 +8,7 @@
 	int32_t serving;
 } domain_count_t;
 
-struct wwh_tally {
+struct wwh_pool_budget {
 	const wwh_fleet_view_t *view;
 	const wwh_fleet_pool_t *pool;
 	int32_t limit;
@@ -19,18 +19,18 @@
 	domain_count_t *zones; /* by zone index */
 };
 
-const char *const wwh_binding_names[WWH_BINDING_KIND_COUNT] = {
+const char *const wwh_constraint_names[WWH_CONSTRAINT_KIND_COUNT] = {
 	"none",		 "lose_count",	  "lose_percent",
 	"lose_per_rack", "lose_per_zone", "reserve",
 	"window",	 "state",	  "workers",
 };
 
-static domain_count_t *rack_of(const wwh_tally_t *tally, int32_t worker);
-static domain_count_t *zone_of(const wwh_tally_t *tally, int32_t worker);
-static void add_rack(wwh_tally_t *tally, int32_t rack);
-static void count(wwh_tally_t *tally, int32_t worker, int32_t lost,
+static domain_count_t *rack_of(const wwh_pool_budget_t *tally, int32_t worker);
+static domain_count_t *zone_of(const wwh_pool_budget_t *tally, int32_t worker);
+static void add_rack(wwh_pool_budget_t *tally, int32_t rack);
+static void count(wwh_pool_budget_t *tally, int32_t worker, int32_t lost,
 		  int32_t serving);
-static wwh_binding_t total_binding(const wwh_tally_t *tally);
+static wwh_constraint_t total_binding(const wwh_pool_budget_t *tally);
 
 int32_t wwh_budget_limit(const wwh_pool_t *rule, int32_t size)
 {
@@ -39,9 +39,10 @@
 	return MIN(rule->lose_count, share);
 }
 
-wwh_tally_t *wwh_tally_new(const wwh_fleet_view_t *view, int32_t pool)
+wwh_pool_budget_t *wwh_pool_budget_new(const wwh_fleet_view_t *view,
+				       int32_t pool)
 {
-	wwh_tally_t *tally = g_new0(wwh_tally_t, 1);
+	wwh_pool_budget_t *tally = g_new0(wwh_pool_budget_t, 1);
 
 	tally->view = view;
 	tally->pool = wwh_fleet_pool(view, pool);
@@ -61,7 +62,7 @@
 	return tally;
 }
 
-void wwh_tally_delete(wwh_tally_t *tally)
+void wwh_pool_budget_delete(wwh_pool_budget_t *tally)
 {
 	if (!tally)
 		return;
@@ -71,13 +72,16 @@
 	g_free(tally);
 }
 
-wwh_binding_t wwh_tally_allows(const wwh_tally_t *tally, int32_t worker)
+wwh_constraint_t wwh_pool_budget_allows(const wwh_pool_budget_t *tally,
+					int32_t worker)
 {
-	return wwh_tally_allows_with(tally, worker, tally->pool->rule.reserve);
+	return wwh_pool_budget_allows_with_reserve(tally, worker,
+						   tally->pool->rule.reserve);
 }
 
-wwh_binding_t wwh_tally_allows_with(const wwh_tally_t *tally, int32_t worker,
-				    wwh_domain_t reserve)
+wwh_constraint_t
+wwh_pool_budget_allows_with_reserve(const wwh_pool_budget_t *tally,
+				    int32_t worker, wwh_domain_t reserve)
 {
 	const wwh_pool_t *rule = &tally->pool->rule;
 	domain_count_t *rack = rack_of(tally, worker);
@@ -87,45 +91,46 @@
 	if (tally->lost >= tally->limit)
 		return total_binding(tally);
 	if (rule->lose_per_rack > 0 && rack->lost >= rule->lose_per_rack)
-		return WWH_BINDING_RACK;
+		return WWH_CONSTRAINT_LOSE_PER_RACK;
 	if (rule->lose_per_zone > 0 && zone->lost >= rule->lose_per_zone)
-		return WWH_BINDING_ZONE;
+		return WWH_CONSTRAINT_LOSE_PER_ZONE;
 	/* The worker itself is out by then, and can't be lost again. */
 	rack->serving--;
 	zone->serving--;
-	worst = wwh_tally_worst(tally, reserve);
+	worst = wwh_pool_budget_largest_domain(tally, reserve);
 	rack->serving++;
 	zone->serving++;
 	if (reserve == WWH_DOMAIN_WORKER && tally->serving <= 1)
 		worst = 0;
 	if (tally->lost + 1 + worst > tally->limit)
-		return WWH_BINDING_RESERVE;
-	return WWH_BINDING_NONE;
+		return WWH_CONSTRAINT_RESERVE;
+	return WWH_CONSTRAINT_NONE;
 }
 
-void wwh_tally_take(wwh_tally_t *tally, int32_t worker)
+void wwh_pool_budget_mark_out(wwh_pool_budget_t *tally, int32_t worker)
 {
 	count(tally, worker, 1, -1);
 	assert(tally->serving >= 0);
 }
 
-void wwh_tally_give_back(wwh_tally_t *tally, int32_t worker)
+void wwh_pool_budget_mark_serving(wwh_pool_budget_t *tally, int32_t worker)
 {
 	count(tally, worker, -1, 1);
 	assert(tally->lost >= 0);
 }
 
-int32_t wwh_tally_lost(const wwh_tally_t *tally)
+int32_t wwh_pool_budget_lost(const wwh_pool_budget_t *tally)
 {
 	return tally->lost;
 }
 
-int32_t wwh_tally_limit(const wwh_tally_t *tally)
+int32_t wwh_pool_budget_limit(const wwh_pool_budget_t *tally)
 {
 	return tally->limit;
 }
 
-int32_t wwh_tally_worst(const wwh_tally_t *tally, wwh_domain_t domain)
+int32_t wwh_pool_budget_largest_domain(const wwh_pool_budget_t *tally,
+				       wwh_domain_t domain)
 {
 	int32_t zone_count = wwh_fleet_zone_count(tally->view);
 	int32_t worst = 0;
@@ -145,7 +150,7 @@
 	return worst;
 }
 
-bool wwh_tally_holds(const wwh_tally_t *tally)
+bool wwh_pool_budget_is_met(const wwh_pool_budget_t *tally)
 {
 	const wwh_pool_t *rule = &tally->pool->rule;
 	int32_t zone_count = wwh_fleet_zone_count(tally->view);
@@ -165,7 +170,7 @@
 	return true;
 }
 
-static domain_count_t *rack_of(const wwh_tally_t *tally, int32_t worker)
+static domain_count_t *rack_of(const wwh_pool_budget_t *tally, int32_t worker)
 {
 	int32_t rack = wwh_fleet_worker(tally->view, worker)->rack;
 	int32_t place = GPOINTER_TO_INT(g_hash_table_lookup(
@@ -175,12 +180,12 @@
 	return &g_array_index(tally->racks, domain_count_t, place - 1);
 }
 
-static domain_count_t *zone_of(const wwh_tally_t *tally, int32_t worker)
+static domain_count_t *zone_of(const wwh_pool_budget_t *tally, int32_t worker)
 {
 	return &tally->zones[wwh_fleet_worker(tally->view, worker)->zone];
 }
 
-static void add_rack(wwh_tally_t *tally, int32_t rack)
+static void add_rack(wwh_pool_budget_t *tally, int32_t rack)
 {
 	gpointer key = GINT_TO_POINTER(rack + 1);
 
@@ -191,7 +196,7 @@
 			    GINT_TO_POINTER((gint)tally->racks->len));
 }
 
-static void count(wwh_tally_t *tally, int32_t worker, int32_t lost,
+static void count(wwh_pool_budget_t *tally, int32_t worker, int32_t lost,
 		  int32_t serving)
 {
 	domain_count_t *rack = rack_of(tally, worker);
@@ -205,9 +210,9 @@
 	tally->serving += serving;
 }
 
-static wwh_binding_t total_binding(const wwh_tally_t *tally)
+static wwh_constraint_t total_binding(const wwh_pool_budget_t *tally)
 {
 	return tally->limit == tally->pool->rule.lose_count
-		       ? WWH_BINDING_COUNT
-		       : WWH_BINDING_PERCENT;
+		       ? WWH_CONSTRAINT_LOSE_COUNT
+		       : WWH_CONSTRAINT_LOSE_PERCENT;
 }
--- a/src/libwaxwinghollow/capacity_report.c
+++ b/src/libwaxwinghollow/capacity_report.c
@@ -30,7 +30,7 @@
 			capacity.serving, capacity.out, capacity.failed,
 			capacity.limit, capacity.held_back,
 			wwh_domain_names[capacity.reserve], capacity.room,
-			wwh_binding_names[capacity.binding],
+			wwh_constraint_names[capacity.binding],
 			capacity.survives ? ""
 			: capacity.holds  ? "  next failure breaks the budget"
 					  : "  over the budget");
@@ -91,7 +91,7 @@
 	add_string(builder, "held_back_for",
 		   wwh_domain_names[capacity.reserve]);
 	add_int(builder, "room", capacity.room);
-	add_string(builder, "limit", wwh_binding_names[capacity.binding]);
+	add_string(builder, "limit", wwh_constraint_names[capacity.binding]);
 	json_builder_set_member_name(builder, "holds");
 	json_builder_add_boolean_value(builder, capacity.holds);
 	json_builder_set_member_name(builder, "survives");
--- a/src/libwaxwinghollow/conductor_job.c
+++ b/src/libwaxwinghollow/conductor_job.c
@@ -68,9 +68,10 @@
 static bool avoid(const char *job, const char *worker, void *client_data);
 static gboolean is_gone(gpointer key, gpointer value, gpointer client_data);
 static void place(wwh_conductor_t *conductor);
-static void carry_out(wwh_conductor_t *conductor, const wwh_place_t *decision);
+static void carry_out(wwh_conductor_t *conductor,
+		      const wwh_placement_decision_t *decision);
 static void append_place(wwh_conductor_t *conductor,
-			 const wwh_place_t *decision);
+			 const wwh_placement_decision_t *decision);
 
 const wwh_chart_table_t *wwh_job_table(void)
 {
@@ -226,7 +227,7 @@
 	lapse.renewed_ms = run->renewed_ms;
 	lapse.idempotent = false;
 	if (run->machine.state == STATE_LAPSING &&
-	    conductor->now_ms >= wwh_placement_safe_ms(
+	    conductor->now_ms >= wwh_placement_earliest_rerun_ms(
 					 &lapse, &conductor->options.placement))
 		step(conductor, run, EVENT_LAPSED);
 	if (item->phase == WWH_JOB_PHASE_CANCELLED)
@@ -301,16 +302,17 @@
 	const wwh_fleet_view_t *view = conductor->view;
 	int32_t index = wwh_fleet_find_worker(view, worker);
 	char *key = g_strdup_printf("quarantine/%s", worker);
-	wwh_tally_t *tally = NULL;
+	wwh_pool_budget_t *tally = NULL;
 	wwh_record_t record;
 
 	if (index != WWH_FLEET_NONE &&
 	    wwh_fleet_worker(view, index)->pool != WWH_FLEET_NONE &&
 	    !wwh_fleet_is_lost(wwh_fleet_worker(view, index)) &&
 	    wwh_outcomes_worker_is_bad(conductor->outcomes, worker))
-		tally = wwh_tally_new(view,
-				      wwh_fleet_worker(view, index)->pool);
-	if (tally && wwh_tally_allows(tally, index) == WWH_BINDING_NONE) {
+		tally = wwh_pool_budget_new(
+			view, wwh_fleet_worker(view, index)->pool);
+	if (tally &&
+	    wwh_pool_budget_allows(tally, index) == WWH_CONSTRAINT_NONE) {
 		wwh_conductor_record(conductor, &record,
 				     WWH_RECORD_WORKER_QUARANTINE);
 		wwh_record_set(&record.body.worker.worker, worker);
@@ -320,7 +322,7 @@
 			wwh_conductor_tell(conductor, "worker %s: quarantined",
 					   worker);
 	}
-	wwh_tally_delete(tally);
+	wwh_pool_budget_delete(tally);
 	g_free(key);
 }
 
@@ -339,7 +341,8 @@
 {
 	const wwh_fleet_view_t *view = conductor->view;
 	wwh_placement_options_t options = conductor->options.placement;
-	GArray *decisions = g_array_new(FALSE, FALSE, sizeof(wwh_place_t));
+	GArray *decisions =
+		g_array_new(FALSE, FALSE, sizeof(wwh_placement_decision_t));
 	int32_t pool_count = wwh_fleet_pool_count(view);
 	wwh_placement_t *placement;
 
@@ -352,34 +355,37 @@
 			wwh_placement_pass(placement, i, decisions);
 	}
 	for (guint i = 0; i < decisions->len; i++)
-		carry_out(conductor, &g_array_index(decisions, wwh_place_t, i));
+		carry_out(
+			conductor,
+			&g_array_index(decisions, wwh_placement_decision_t, i));
 	wwh_placement_delete(placement);
 	g_array_free(decisions, TRUE);
 }
 
-static void carry_out(wwh_conductor_t *conductor, const wwh_place_t *decision)
+static void carry_out(wwh_conductor_t *conductor,
+		      const wwh_placement_decision_t *decision)
 {
 	const wwh_fleet_job_t *job =
 		wwh_fleet_job(conductor->view, decision->job);
 	wwh_job_run_t *run = g_hash_table_lookup(conductor->job_by_id, job->id);
 
 	switch (decision->kind) {
-	case WWH_PLACE_START:
+	case WWH_PLACEMENT_START:
 		append_place(conductor, decision);
 		break;
-	case WWH_PLACE_THROTTLE:
+	case WWH_PLACEMENT_THROTTLE:
 		if (!run)
 			break;
 		run->throttle_millicores = decision->cpu_millicores;
 		wwh_conductor_order(conductor, run, WWH_TASK_THROTTLE);
 		break;
-	case WWH_PLACE_CHECKPOINT:
+	case WWH_PLACEMENT_CHECKPOINT:
 		if (run)
 			wwh_conductor_order(conductor, run,
 					    WWH_TASK_CHECKPOINT);
 		break;
 	default:
-		if (decision->kind == WWH_PLACE_IMPOSSIBLE &&
+		if (decision->kind == WWH_PLACEMENT_IMPOSSIBLE &&
 		    wwh_conductor_job_reason(conductor, job->id) !=
 			    decision->reason)
 			wwh_conductor_tell(conductor,
@@ -392,7 +398,7 @@
 }
 
 static void append_place(wwh_conductor_t *conductor,
-			 const wwh_place_t *decision)
+			 const wwh_placement_decision_t *decision)
 {
 	const wwh_fleet_view_t *view = conductor->view;
 	const wwh_fleet_job_t *job = wwh_fleet_job(view, decision->job);
--- a/src/libwaxwinghollow/conductor_rehearsal.c
+++ b/src/libwaxwinghollow/conductor_rehearsal.c
@@ -267,8 +267,8 @@
 {
 	const wwh_fleet_view_t *view = conductor->view;
 	int32_t size = wwh_fleet_pool(view, pool)->size;
-	wwh_tally_t *tally = wwh_tally_new(view, pool);
-	bool result = wwh_tally_holds(tally);
+	wwh_pool_budget_t *tally = wwh_pool_budget_new(view, pool);
+	bool result = wwh_pool_budget_is_met(tally);
 
 	for (int32_t i = 0; i < size && result; i++) {
 		int32_t member = wwh_fleet_member(view, pool, i);
@@ -276,12 +276,12 @@
 		if (!is_in(conductor, rehearsal, member) ||
 		    wwh_fleet_is_lost(wwh_fleet_worker(view, member)))
 			continue;
-		result = wwh_tally_allows_with(tally, member,
-					       WWH_DOMAIN_WORKER) ==
-			 WWH_BINDING_NONE;
-		wwh_tally_take(tally, member);
+		result = wwh_pool_budget_allows_with_reserve(
+				 tally, member, WWH_DOMAIN_WORKER) ==
+			 WWH_CONSTRAINT_NONE;
+		wwh_pool_budget_mark_out(tally, member);
 	}
-	wwh_tally_delete(tally);
+	wwh_pool_budget_delete(tally);
 	return result;
 }
 
--- a/src/libwaxwinghollow/conductor_wave.c
+++ b/src/libwaxwinghollow/conductor_wave.c
@@ -54,8 +54,8 @@
 		     int32_t pool, wave_work_t *work);
 static void finish_wave(wwh_conductor_t *conductor, wwh_wave_run_t *run,
 			int32_t pool, const wave_work_t *work);
-static wwh_tally_t *tally_with_requests(const wwh_conductor_t *conductor,
-					int32_t pool);
+static wwh_pool_budget_t *tally_with_requests(const wwh_conductor_t *conductor,
+					      int32_t pool);
 
 const wwh_chart_table_t *wwh_wave_table(void)
 {
@@ -106,7 +106,7 @@
 
 	for (int32_t i = 0; i < worker_count; i++) {
 		const wwh_fleet_worker_t *worker = wwh_fleet_worker(view, i);
-		wwh_tally_t *tally;
+		wwh_pool_budget_t *tally;
 
 		if (worker->wanted_pool == worker->pool ||
 		    worker->wanted_pool == WWH_FLEET_NONE ||
@@ -117,10 +117,10 @@
 		    wwh_conductor_is_requested(conductor, i))
 			continue;
 		tally = tally_with_requests(conductor, worker->pool);
-		if (wwh_tally_allows(tally, i) == WWH_BINDING_NONE)
+		if (wwh_pool_budget_allows(tally, i) == WWH_CONSTRAINT_NONE)
 			wwh_conductor_request_grant(conductor, i,
 						    WWH_GRANT_MOVE, "");
-		wwh_tally_delete(tally);
+		wwh_pool_budget_delete(tally);
 	}
 }
 
@@ -354,7 +354,7 @@
 		     int32_t pool, wave_work_t *work)
 {
 	uint32_t takes_out = wwh_chart_tag(conductor->wave_chart, "takes-out");
-	wwh_tally_t *tally;
+	wwh_pool_budget_t *tally;
 
 	if (!wwh_chart_has_tag(&run->machine, takes_out))
 		return;
@@ -365,17 +365,19 @@
 		if (work->out + work->requested >= run->out_at_once)
 			break;
 		if (wwh_conductor_is_requested(conductor, worker) ||
-		    wwh_tally_allows(tally, worker) != WWH_BINDING_NONE)
+		    wwh_pool_budget_allows(tally, worker) !=
+			    WWH_CONSTRAINT_NONE)
 			continue;
 		if (!wwh_conductor_request_grant(conductor, worker,
 						 WWH_GRANT_WAVE, run->id))
 			continue;
-		wwh_tally_take(tally, worker);
+		wwh_pool_budget_mark_out(tally, worker);
 		/* Budget: what was asked for fits beside all that is out. */
-		assert(wwh_tally_lost(tally) <= wwh_tally_limit(tally));
+		assert(wwh_pool_budget_lost(tally) <=
+		       wwh_pool_budget_limit(tally));
 		work->requested++;
 	}
-	wwh_tally_delete(tally);
+	wwh_pool_budget_delete(tally);
 }
 
 static void finish_wave(wwh_conductor_t *conductor, wwh_wave_run_t *run,
@@ -408,12 +410,12 @@
 }
 
 /* Grants that were asked for count as out until the log says otherwise. */
-static wwh_tally_t *tally_with_requests(const wwh_conductor_t *conductor,
-					int32_t pool)
+static wwh_pool_budget_t *tally_with_requests(const wwh_conductor_t *conductor,
+					      int32_t pool)
 {
 	const wwh_fleet_view_t *view = conductor->view;
 	int32_t size = wwh_fleet_pool(view, pool)->size;
-	wwh_tally_t *tally = wwh_tally_new(view, pool);
+	wwh_pool_budget_t *tally = wwh_pool_budget_new(view, pool);
 
 	for (int32_t i = 0; i < size; i++) {
 		int32_t member = wwh_fleet_member(view, pool, i);
@@ -424,7 +426,7 @@
 			continue;
 		if (wwh_conductor_is_requested(conductor, member) ||
 		    worker->host_state == WWH_HOST_GONE)
-			wwh_tally_take(tally, member);
+			wwh_pool_budget_mark_out(tally, member);
 	}
 	return tally;
 }
--- a/src/libwaxwinghollow/entry_peers.c
+++ b/src/libwaxwinghollow/entry_peers.c
@@ -141,8 +141,8 @@
 	wwh_membership_list_host(peers->membership, host, now_ms);
 	if (host->kind == WWH_HOST_MINION) {
 		g_hash_table_add(peers->listed_next, g_strdup(host->id));
-		wwh_leaving_list(peers->leaving, host->id,
-				 host->state != WWH_HOST_LIVE, now_ms);
+		wwh_leaving_set_listed(peers->leaving, host->id,
+				       host->state != WWH_HOST_LIVE, now_ms);
 		if (host->state == WWH_HOST_GONE)
 			g_hash_table_add(peers->gone_next, g_strdup(host->id));
 	}
@@ -186,10 +186,10 @@
 {
 	g_mutex_lock(&peers->lock);
 	if (leaving) {
-		wwh_leaving_answer(peers->leaving, minion, wwh_now_ms());
+		wwh_leaving_record_answer(peers->leaving, minion, wwh_now_ms());
 		peers->next_leaving_ms = 0;
 	} else {
-		wwh_leaving_served(peers->leaving, minion, sent_ms);
+		wwh_leaving_record_served(peers->leaving, minion, sent_ms);
 	}
 	g_mutex_unlock(&peers->lock);
 	if (leaving)
@@ -405,7 +405,7 @@
 
 		if (g_hash_table_contains(peers->gone, id))
 			state = WWH_MINION_GONE;
-		else if (wwh_leaving_is(peers->leaving, id, now_ms) ||
+		else if (wwh_leaving_contains(peers->leaving, id, now_ms) ||
 			 wwh_entry_fleet_worker_out(peers->entry->fleet,
 						    minion->worker))
 			state = WWH_MINION_LEAVING;
--- a/src/libwaxwinghollow/include/private/plan_pool.h
+++ b/src/libwaxwinghollow/include/private/plan_pool.h
@@ -13,7 +13,7 @@
 	int32_t asked; /* out at once, at most */
 	int32_t peak; /* out at once, reached */
 	int64_t duration_ms;
-	wwh_binding_t binding; /* what stood against one more */
+	wwh_constraint_t binding; /* what stood against one more */
 	int32_t left; /* workers that could not be taken out */
 } wwh_plan_speed_t;
 
--- a/src/libwaxwinghollow/job_holder_upstreams.c
+++ b/src/libwaxwinghollow/job_holder_upstreams.c
@@ -56,8 +56,8 @@
 	if (value == NULL) {
 		g_hash_table_remove(holder->unnamed, key);
 		wwh_bad_records_gone(holder->bad_upstreams, key);
-		wwh_scheduler_upstream_left(holder->scheduler, key,
-					    holder->now_ms);
+		wwh_scheduler_upstream_withdrawn(holder->scheduler, key,
+						 holder->now_ms);
 		return;
 	}
 	if (!wire_operator_upstream(key, value, size, &info, &why)) {
@@ -129,8 +129,8 @@
 	g_hash_table_remove(holder->unnamed, info->id);
 	if (is_named(holder, info->pool)) {
 		wwh_bad_records_whole(holder->bad_upstreams, info->id);
-		wwh_scheduler_upstream_seen(holder->scheduler, info,
-					    holder->now_ms);
+		wwh_scheduler_upstream_announced(holder->scheduler, info,
+						 holder->now_ms);
 		return;
 	}
 	copy = g_new0(wwh_upstream_info_t, 1);
--- a/src/libwaxwinghollow/job_service_events.c
+++ b/src/libwaxwinghollow/job_service_events.c
@@ -52,7 +52,7 @@
 		.producer = PRODUCER,
 		.is_standby = service->settings.cpu_permille < HOLDER_PERMILLE,
 		.member_ttl_ms =
-			MAX(MEMBER_TTL_MS, service->settings.member_min_ms),
+			MAX(MEMBER_TTL_MS, service->settings.member_ttl_min_ms),
 		.bad_records = service->bad_claims,
 		.on_held = on_held,
 		.on_holder = on_holder,
@@ -112,7 +112,7 @@
 	g_hash_table_replace(service->waves, g_strdup(key),
 			     g_bytes_new(value, size));
 	if (service->holder != NULL)
-		wwh_job_holder_wave(service->holder, key, value, size);
+		wwh_job_holder_apply_wave(service->holder, key, value, size);
 }
 
 /*
@@ -249,6 +249,6 @@
 		gsize size;
 		const uint8_t *data = g_bytes_get_data(value, &size);
 
-		wwh_job_holder_wave(service->holder, key, data, size);
+		wwh_job_holder_apply_wave(service->holder, key, data, size);
 	}
 }
--- a/src/libwaxwinghollow/job_service_http.c
+++ b/src/libwaxwinghollow/job_service_http.c
@@ -68,8 +68,8 @@
 	path = wwh_http_path(http->target);
 	call.config = config;
 	call.path = path;
-	call.queue = wwh_job_config_find(config, host == NULL ? "" : host, path,
-					 &call.rest);
+	call.queue = wwh_job_config_find_queue(config, host == NULL ? "" : host,
+					       path, &call.rest);
 	if (call.queue == NULL) {
 		wwh_event_log_printf(service->log, "no-queue", path,
 				     "host=%s config=%" G_GINT64_FORMAT,
--- a/src/libwaxwinghollow/leaving.c
+++ b/src/libwaxwinghollow/leaving.c
@@ -49,8 +49,8 @@
 	g_free(leaving);
 }
 
-void wwh_leaving_list(wwh_leaving_t *leaving, const char *minion, bool leaves,
-		      int64_t now_ms)
+void wwh_leaving_set_listed(wwh_leaving_t *leaving, const char *minion,
+			    bool leaves, int64_t now_ms)
 {
 	guint index;
 	row_t *row = find(leaving, minion, &index);
@@ -61,8 +61,8 @@
 		row->listed = leaves;
 }
 
-void wwh_leaving_answer(wwh_leaving_t *leaving, const char *minion,
-			int64_t now_ms)
+void wwh_leaving_record_answer(wwh_leaving_t *leaving, const char *minion,
+			       int64_t now_ms)
 {
 	row_t *row = find_or_add(leaving, minion, now_ms);
 
@@ -70,8 +70,8 @@
 	row->touched_ms = now_ms;
 }
 
-void wwh_leaving_served(wwh_leaving_t *leaving, const char *minion,
-			int64_t sent_ms)
+void wwh_leaving_record_served(wwh_leaving_t *leaving, const char *minion,
+			       int64_t sent_ms)
 {
 	guint index;
 	row_t *row = find(leaving, minion, &index);
@@ -83,15 +83,16 @@
 			row->words[i].denied = true;
 }
 
-void wwh_leaving_word(wwh_leaving_t *leaving, const char *minion,
-		      const char *origin, int64_t age_ms, int64_t now_ms)
+void wwh_leaving_record_report(wwh_leaving_t *leaving, const char *minion,
+			       const char *origin, int64_t age_ms,
+			       int64_t now_ms)
 {
 	int64_t since_ms = now_ms - MAX(0, age_ms);
 	guint index;
 	row_t *row;
 	word_t *word;
 
-	if (now_ms - since_ms >= WWH_LEAVING_WORD_MS)
+	if (now_ms - since_ms >= WWH_LEAVING_REPORT_TTL_MS)
 		return;
 	if (find(leaving, minion, &index) == NULL &&
 	    leaving->rows->len >= WWH_LEAVING_MAX &&
@@ -106,15 +107,15 @@
 		word->origin = g_strdup(origin);
 		word->since_ms = since_ms;
 	} else if (now_ms - word->since_ms >=
-		   WWH_LEAVING_WORD_MS + WWH_LEAVING_DOUBT_MS) {
+		   WWH_LEAVING_REPORT_TTL_MS + WWH_LEAVING_REPORT_HOLDOFF_MS) {
 		word->since_ms = since_ms;
 		word->denied = false;
 	}
 	row->touched_ms = now_ms;
 }
 
-bool wwh_leaving_is(const wwh_leaving_t *leaving, const char *minion,
-		    int64_t now_ms)
+bool wwh_leaving_contains(const wwh_leaving_t *leaving, const char *minion,
+			  int64_t now_ms)
 {
 	guint index;
 	const row_t *row = find(leaving, minion, &index);
@@ -123,14 +124,14 @@
 	       (first_hand(row, now_ms) || by_words(row, now_ms));
 }
 
-void wwh_leaving_each_answer(const wwh_leaving_t *leaving, int64_t now_ms,
-			     wwh_leaving_visit_t visit, void *client_data)
+void wwh_leaving_foreach_answer(const wwh_leaving_t *leaving, int64_t now_ms,
+				wwh_leaving_visit_t visit, void *client_data)
 {
 	for (guint i = 0; i < leaving->rows->len; i++) {
 		const row_t *row = leaving->rows->pdata[i];
 		int64_t age_ms = now_ms - row->answer_ms;
 
-		if (row->answer_ms != 0 && age_ms < WWH_LEAVING_WORD_MS)
+		if (row->answer_ms != 0 && age_ms < WWH_LEAVING_REPORT_TTL_MS)
 			visit(row->minion, age_ms, client_data);
 	}
 }
@@ -210,8 +211,9 @@
 
 static bool first_hand(const row_t *row, int64_t now_ms)
 {
-	return row->listed || (row->answer_ms != 0 &&
-			       now_ms - row->answer_ms < WWH_LEAVING_ANSWER_MS);
+	return row->listed ||
+	       (row->answer_ms != 0 &&
+		now_ms - row->answer_ms < WWH_LEAVING_ANSWER_TTL_MS);
 }
 
 static bool by_words(const row_t *row, int64_t now_ms)
@@ -220,9 +222,11 @@
 	bool single = false;
 
 	for (int32_t i = 0; i < row->word_count; i++) {
-		if (word_fresh(&row->words[i], WWH_LEAVING_WORD_MS, now_ms))
+		if (word_fresh(&row->words[i], WWH_LEAVING_REPORT_TTL_MS,
+			       now_ms))
 			single = true;
-		if (word_fresh(&row->words[i], WWH_LEAVING_ANSWER_MS, now_ms))
+		if (word_fresh(&row->words[i], WWH_LEAVING_ANSWER_TTL_MS,
+			       now_ms))
 			together++;
 	}
 	return single || together >= 2;
--- a/src/libwaxwinghollow/membership_message.c
+++ b/src/libwaxwinghollow/membership_message.c
@@ -63,8 +63,8 @@
 		self->spread_fact--;
 	add_observations(&filler, address);
 	if (membership->options.leaving != NULL)
-		wwh_leaving_each_answer(membership->options.leaving, now_ms,
-					add_word, &filler);
+		wwh_leaving_foreach_answer(membership->options.leaving, now_ms,
+					   add_word, &filler);
 	if (everything) {
 		add_everything(&filler);
 	} else {
@@ -99,8 +99,9 @@
 		const wwh_word_t *word =
 			&g_array_index(message->words, wwh_word_t, i);
 
-		wwh_leaving_word(membership->options.leaving, word->minion,
-				 message->from, word->age_ms, now_ms);
+		wwh_leaving_record_report(membership->options.leaving,
+					  word->minion, message->from,
+					  word->age_ms, now_ms);
 	}
 	wwh_members_learn_newest(membership, message->newest_version,
 				 message->newest_address, now_ms);
@@ -142,8 +143,8 @@
 				return true;
 	}
 	if (membership->options.leaving != NULL)
-		wwh_leaving_each_answer(membership->options.leaving, now_ms,
-					count_word, &words);
+		wwh_leaving_foreach_answer(membership->options.leaving, now_ms,
+					   count_word, &words);
 	return words > 0;
 }
 
--- a/src/libwaxwinghollow/place_board.c
+++ b/src/libwaxwinghollow/place_board.c
@@ -1,4 +1,4 @@
-#include "private/place_board.h"
+#include "private/placement_state.h"
 
 #include <assert.h>
 #include <string.h>
@@ -171,8 +171,8 @@
 	for (int32_t i = 0; i < job_count; i++) {
 		int32_t job = wwh_fleet_worker_job(view, worker, i);
 		int64_t cores = counted_cores(board, job);
-		wwh_place_t decision = {
-			.kind = WWH_PLACE_THROTTLE,
+		wwh_placement_decision_t decision = {
+			.kind = WWH_PLACEMENT_THROTTLE,
 			.reason = WWH_REASON_URGENT,
 			.job = job,
 			.worker = worker,
@@ -207,10 +207,12 @@
 		const wwh_fleet_job_t *item = wwh_fleet_job(view, job);
 		wwh_load_t freed = wwh_placement_need(item, &board->options,
 						      board->now_ms);
-		wwh_place_t decision = { .kind = WWH_PLACE_CHECKPOINT,
-					 .reason = WWH_REASON_URGENT,
-					 .job = job,
-					 .worker = worker };
+		wwh_placement_decision_t decision = {
+			.kind = WWH_PLACEMENT_CHECKPOINT,
+			.reason = WWH_REASON_URGENT,
+			.job = job,
+			.worker = worker
+		};
 		bool helps = (need->memory_mb > room->memory_mb &&
 			      freed.memory_mb > 0) ||
 			     (need->gpus > room->gpus && freed.gpus > 0);
@@ -235,15 +237,15 @@
 	const wwh_fleet_view_t *view = board->view;
 	const wwh_fleet_worker_t *item = wwh_fleet_worker(view, worker);
 	wwh_load_t used = used_on(view, worker);
-	wwh_place_t decision = { .reason = WWH_REASON_OVERLOAD,
-				 .worker = worker };
+	wwh_placement_decision_t decision = { .reason = WWH_REASON_OVERLOAD,
+					      .worker = worker };
 
 	if (used.memory_mb > item->size.memory_mb) {
 		decision.job = largest_excess(board, worker, true);
-		decision.kind = WWH_PLACE_CHECKPOINT;
+		decision.kind = WWH_PLACEMENT_CHECKPOINT;
 	} else if (used.cpu_millicores > item->size.cpu_millicores) {
 		decision.job = largest_excess(board, worker, false);
-		decision.kind = WWH_PLACE_THROTTLE;
+		decision.kind = WWH_PLACEMENT_THROTTLE;
 	} else {
 		return;
 	}
@@ -251,9 +253,10 @@
 		return;
 	decision.cpu_millicores =
 		wwh_fleet_job(view, decision.job)->declared.cpu_millicores;
-	board->throttled[decision.job] = decision.kind == WWH_PLACE_CHECKPOINT
-						 ? 0
-						 : decision.cpu_millicores;
+	board->throttled[decision.job] =
+		decision.kind == WWH_PLACEMENT_CHECKPOINT
+			? 0
+			: decision.cpu_millicores;
 	g_array_append_val(decisions, decision);
 }
 
--- a/src/libwaxwinghollow/placement.c
+++ b/src/libwaxwinghollow/placement.c
@@ -3,14 +3,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "private/place_board.h"
+#include "private/placement_state.h"
 #include "private/scheduler_policy.h"
 
 /* Bulk waits for urgent work. */
 #define URGENT_PRIORITY 0
 #define BULK_PRIORITY 1
 
-const char *const wwh_place_kind_names[WWH_PLACE_KIND_COUNT] = {
+const char *const wwh_placement_kind_names[WWH_PLACEMENT_KIND_COUNT] = {
 	"start", "throttle", "checkpoint", "impossible", "wait",
 };
 
@@ -51,7 +51,7 @@
 static int32_t keep_worker(const wwh_placement_t *placement, int32_t job);
 static void start(wwh_placement_t *placement, int32_t job, int32_t worker,
 		  GArray *decisions);
-static void tell(wwh_place_kind_t kind, wwh_reason_t reason, int32_t job,
+static void tell(wwh_placement_kind_t kind, wwh_reason_t reason, int32_t job,
 		 GArray *decisions);
 
 void wwh_placement_options_defaults(wwh_placement_options_t *options)
@@ -149,8 +149,8 @@
 	return placement->room[worker];
 }
 
-int64_t wwh_placement_safe_ms(const wwh_fleet_job_t *job,
-			      const wwh_placement_options_t *options)
+int64_t wwh_placement_earliest_rerun_ms(const wwh_fleet_job_t *job,
+					const wwh_placement_options_t *options)
 {
 	if (job->idempotent || job->renewed_ms == 0)
 		return 0;
@@ -208,13 +208,13 @@
 static int64_t order_of(const wwh_placement_t *placement,
 			const wwh_fleet_job_t *job)
 {
-	wwh_order_figures_t figures = {
+	wwh_policy_order_input_t figures = {
 		.priority = job->urgent ? URGENT_PRIORITY : BULK_PRIORITY,
 		.waited_ms = placement->now_ms - job->queued_ms,
 		.objective_ms = WWH_POLICY_NO_OBJECTIVE_MS,
 	};
 
-	return wwh_policy_order(&figures);
+	return wwh_policy_order_key(&figures);
 }
 
 static int compare_waiting(gconstpointer a, gconstpointer b)
@@ -255,12 +255,12 @@
 	int32_t worker;
 
 	if (reason != WWH_REASON_NONE) {
-		tell(WWH_PLACE_IMPOSSIBLE, reason, job, decisions);
+		tell(WWH_PLACEMENT_IMPOSSIBLE, reason, job, decisions);
 		return;
 	}
 	reason = held_back(placement, job, *starts);
 	if (reason != WWH_REASON_NONE) {
-		tell(WWH_PLACE_WAIT, reason, job, decisions);
+		tell(WWH_PLACEMENT_WAIT, reason, job, decisions);
 		return;
 	}
 	worker = choose_worker(placement, job, *kept);
@@ -271,7 +271,7 @@
 		(*starts)++;
 		return;
 	}
-	tell(WWH_PLACE_WAIT, WWH_REASON_NO_ROOM, job, decisions);
+	tell(WWH_PLACEMENT_WAIT, WWH_REASON_NO_ROOM, job, decisions);
 	if (*kept == WWH_FLEET_NONE &&
 	    placement->now_ms - item->queued_ms >=
 		    placement->options.reserve_after_ms)
@@ -325,7 +325,7 @@
 	if (starts >= placement->options.starts_per_pass)
 		return WWH_REASON_PASS_LIMIT;
 	if (placement->now_ms <
-	    wwh_placement_safe_ms(item, &placement->options))
+	    wwh_placement_earliest_rerun_ms(item, &placement->options))
 		return WWH_REASON_LEASE;
 	if (team != WWH_FLEET_NONE) {
 		const wwh_team_t *quota = &placement->options.teams[team];
@@ -390,15 +390,15 @@
 {
 	const wwh_fleet_worker_t *item =
 		wwh_fleet_worker(placement->view, worker);
-	wwh_fit_figures_t figures = {
+	wwh_policy_fit_input_t figures = {
 		.free_millicores = placement->room[worker].cpu_millicores,
 		.need_millicores = need->cpu_millicores,
 		.capacity_millicores = item->size.cpu_millicores,
-		.before_upkeep = !item->maintained,
-		.group_in_zone = group_by_zone[item->zone],
+		.wave_pending = !item->maintained,
+		.group_tasks_in_zone = group_by_zone[item->zone],
 	};
 
-	return wwh_policy_fit(&figures);
+	return wwh_policy_fit_cost(&figures);
 }
 
 /* The worker that is large enough for the job and nearest to having room. */
@@ -429,9 +429,9 @@
 {
 	const wwh_fleet_job_t *item = wwh_fleet_job(placement->view, job);
 	int32_t team = team_index(placement, item->team);
-	wwh_place_t decision = { .kind = WWH_PLACE_START,
-				 .job = job,
-				 .worker = worker };
+	wwh_placement_decision_t decision = { .kind = WWH_PLACEMENT_START,
+					      .job = job,
+					      .worker = worker };
 
 	wwh_board_place(placement, job, worker);
 	if (team != WWH_FLEET_NONE)
@@ -439,13 +439,13 @@
 	g_array_append_val(decisions, decision);
 }
 
-static void tell(wwh_place_kind_t kind, wwh_reason_t reason, int32_t job,
+static void tell(wwh_placement_kind_t kind, wwh_reason_t reason, int32_t job,
 		 GArray *decisions)
 {
-	wwh_place_t decision = { .kind = kind,
-				 .reason = reason,
-				 .job = job,
-				 .worker = WWH_FLEET_NONE };
+	wwh_placement_decision_t decision = { .kind = kind,
+					      .reason = reason,
+					      .job = job,
+					      .worker = WWH_FLEET_NONE };
 
 	g_array_append_val(decisions, decision);
 }
--- a/src/libwaxwinghollow/plan_pool.c
+++ b/src/libwaxwinghollow/plan_pool.c
@@ -17,7 +17,7 @@
 
 typedef struct {
 	const wwh_plan_pool_work_t *work;
-	wwh_tally_t *tally;
+	wwh_pool_budget_t *tally;
 	int32_t *waiting; /* places in order */
 	int32_t waiting_count;
 	GArray *out; /* of turn_t */
@@ -70,11 +70,12 @@
 {
 	play_t play = {
 		.work = work,
-		.tally = wwh_tally_new(work->view, work->pool),
+		.tally = wwh_pool_budget_new(work->view, work->pool),
 		.waiting = g_new0(int32_t, work->order_count + 1),
 		.waiting_count = work->order_count,
 		.out = g_array_new(FALSE, FALSE, sizeof(turn_t)),
-		.speed = { .asked = asked, .binding = WWH_BINDING_WORKERS },
+		.speed = { .asked = asked,
+			   .binding = WWH_CONSTRAINT_NO_WORKERS },
 	};
 
 	for (int32_t i = 0; i < work->order_count; i++)
@@ -89,7 +90,7 @@
 	}
 	play.speed.duration_ms = play.now_ms;
 	play.speed.left = play.waiting_count;
-	wwh_tally_delete(play.tally);
+	wwh_pool_budget_delete(play.tally);
 	g_array_free(play.out, TRUE);
 	g_free(play.waiting);
 	return play.speed;
@@ -131,7 +132,7 @@
 	place = play->waiting[at];
 	turn.worker = work->order[place];
 	turn.end_ms = play->now_ms + work->turn_ms[place];
-	wwh_tally_take(play->tally, turn.worker);
+	wwh_pool_budget_mark_out(play->tally, turn.worker);
 	g_array_append_val(play->out, turn);
 	play->speed.peak = MAX(play->speed.peak, (int32_t)play->out->len);
 	if (steps)
@@ -149,12 +150,14 @@
 
 	for (int32_t i = 0; i < tries; i++) {
 		int32_t worker = play->work->order[play->waiting[i]];
-		wwh_binding_t binding = wwh_tally_allows(play->tally, worker);
+		wwh_constraint_t binding =
+			wwh_pool_budget_allows(play->tally, worker);
 
-		if (binding == WWH_BINDING_NONE)
+		if (binding == WWH_CONSTRAINT_NONE)
 			return i;
 		play->speed.binding = binding;
-		if (binding != WWH_BINDING_RACK && binding != WWH_BINDING_ZONE)
+		if (binding != WWH_CONSTRAINT_LOSE_PER_RACK &&
+		    binding != WWH_CONSTRAINT_LOSE_PER_ZONE)
 			return -1;
 	}
 	return -1;
@@ -172,7 +175,7 @@
 	}
 	turn = g_array_index(play->out, turn_t, first);
 	g_array_remove_index(play->out, first);
-	wwh_tally_give_back(play->tally, turn.worker);
+	wwh_pool_budget_mark_serving(play->tally, turn.worker);
 	play->now_ms = turn.end_ms;
 }
 
--- a/src/libwaxwinghollow/plan_report.c
+++ b/src/libwaxwinghollow/plan_report.c
@@ -36,7 +36,7 @@
 		totals->workers, totals->skipped,
 		totals->duration_ms / MINUTE_MS, totals->held_back,
 		totals->moves, totals->again, totals->stranded,
-		wwh_binding_names[totals->binding]);
+		wwh_constraint_names[totals->binding]);
 	g_string_append(text, "pool                 workers  at once  of most  "
 			      "limit           held back  moves  minutes\n");
 	for (int32_t i = 0; i < wwh_plan_pool_count(plan); i++) {
@@ -46,7 +46,7 @@
 			text, "%-20s %7d  %7d  %7d  %-14s %10d  %5d  %7lld%s\n",
 			wwh_fleet_pool(view, pool->pool)->id, pool->workers,
 			pool->out_at_once, pool->most_at_once,
-			wwh_binding_names[pool->binding], pool->held_back,
+			wwh_constraint_names[pool->binding], pool->held_back,
 			pool->moves, (long long)pool->duration_ms / MINUTE_MS,
 			pool->blocked ? "  blocked" : "");
 	}
@@ -83,7 +83,7 @@
 	add_int(builder, "moves_again", totals->again);
 	add_int(builder, "moves_without_room", totals->stranded);
 	add_int(builder, "batches", totals->batches);
-	add_string(builder, "limit", wwh_binding_names[totals->binding]);
+	add_string(builder, "limit", wwh_constraint_names[totals->binding]);
 	json_builder_set_member_name(builder, "pools");
 	json_builder_begin_array(builder);
 	for (int32_t i = 0; i < wwh_plan_pool_count(plan); i++)
@@ -137,7 +137,7 @@
 	add_int(builder, "skipped", pool->skipped);
 	add_int(builder, "out_at_once", pool->out_at_once);
 	add_int(builder, "most_at_once", pool->most_at_once);
-	add_string(builder, "limit", wwh_binding_names[pool->binding]);
+	add_string(builder, "limit", wwh_constraint_names[pool->binding]);
 	add_int(builder, "held_back", pool->held_back);
 	add_int(builder, "moves", pool->moves);
 	add_int(builder, "duration_ms", pool->duration_ms);
--- a/src/libwaxwinghollow/planner.c
+++ b/src/libwaxwinghollow/planner.c
@@ -170,11 +170,11 @@
 
 static int32_t reserve_of(const wwh_plan_pool_work_t *work)
 {
-	wwh_tally_t *tally = wwh_tally_new(work->view, work->pool);
-	int32_t reserve = wwh_tally_worst(
+	wwh_pool_budget_t *tally = wwh_pool_budget_new(work->view, work->pool);
+	int32_t reserve = wwh_pool_budget_largest_domain(
 		tally, wwh_fleet_pool(work->view, work->pool)->rule.reserve);
 
-	wwh_tally_delete(tally);
+	wwh_pool_budget_delete(tally);
 	return reserve;
 }
 
--- a/src/libwaxwinghollow/pool_sizing.c
+++ b/src/libwaxwinghollow/pool_sizing.c
@@ -47,7 +47,7 @@
 };
 
 static int32_t at_level(int32_t wanted, int32_t least, int32_t level);
-static int32_t hosts_for(const wwh_pool_figures_t *figures);
+static int32_t hosts_for(const wwh_pool_demand_t *figures);
 static int32_t hold(history_t *history, int32_t wanted, int64_t now_ms);
 
 wwh_pool_sizing_t *wwh_pool_sizing_new(void)
@@ -67,9 +67,10 @@
 	g_free(sizing);
 }
 
-int32_t wwh_pool_sizing_wanted(wwh_pool_sizing_t *sizing, const char *pool,
-			       const wwh_pool_figures_t *figures,
-			       int64_t now_ms)
+int32_t wwh_pool_sizing_desired_hosts(wwh_pool_sizing_t *sizing,
+				      const char *pool,
+				      const wwh_pool_demand_t *figures,
+				      int64_t now_ms)
 {
 	history_t *history = g_hash_table_lookup(sizing->pools, pool);
 
@@ -117,19 +118,20 @@
  * with lasting tasks are kept; the first jobs of a turn run beside those
  * while other hosts are on their way.
  */
-static int32_t hosts_for(const wwh_pool_figures_t *figures)
+static int32_t hosts_for(const wwh_pool_demand_t *figures)
 {
-	int64_t work = figures->work_left + FORECAST * figures->arrived_work;
-	int64_t usable =
-		figures->usable_now + FORECAST * figures->arrived_usable;
+	int64_t work =
+		figures->remaining_work + FORECAST * figures->recent_work;
+	int64_t usable = figures->usable_millicores +
+			 FORECAST * figures->recent_millicores;
 	int64_t cores = MIN(work / DRAIN_MS, usable);
 	int64_t host = figures->host_millicores * FILL_PERCENT / 100;
 	int64_t hosts;
 
 	if (host <= 0)
-		return MAX(figures->hosts_bound, LEAST_HOSTS);
+		return MAX(figures->min_hosts, LEAST_HOSTS);
 	hosts = (cores + figures->lasting + host - 1) / host;
-	return (int32_t)MAX(hosts, MAX(figures->hosts_bound, LEAST_HOSTS));
+	return (int32_t)MAX(hosts, MAX(figures->min_hosts, LEAST_HOSTS));
 }
 
 static int32_t hold(history_t *history, int32_t wanted, int64_t now_ms)
--- a/src/libwaxwinghollow/scheduler_cordon.c
+++ b/src/libwaxwinghollow/scheduler_cordon.c
@@ -15,15 +15,15 @@
 
 static void add_occurrence(const wwh_scheduler_t *scheduler,
 			   const sched_occurrence_t *occurrence,
-			   wwh_pool_figures_t *figures);
+			   wwh_pool_demand_t *figures);
 static int32_t hosts_for_homeless(wwh_scheduler_t *scheduler,
 				  const sched_pool_t *pool,
 				  int64_t host_millicores);
 static int32_t hosts_for_step(wwh_scheduler_t *scheduler, sched_step_t *step,
 			      int64_t host_millicores);
-static void add_lasting(const sched_step_t *step, wwh_pool_figures_t *figures);
+static void add_lasting(const sched_step_t *step, wwh_pool_demand_t *figures);
 static void add_step(const wwh_scheduler_t *scheduler, const sched_step_t *step,
-		     wwh_pool_figures_t *figures);
+		     wwh_pool_demand_t *figures);
 static void give_all_away(wwh_scheduler_t *scheduler,
 			  sched_upstream_t *upstream);
 static void give_away_one_by_one(wwh_scheduler_t *scheduler,
@@ -70,8 +70,8 @@
 	 * From here on its tasks count as away: two hosts that are taken down
 	 * in the same moment would each find the other's tasks at work.
 	 */
-	upstream->ending =
-		upstream->settled && sched_may_end(scheduler, upstream);
+	upstream->ending = upstream->settled &&
+			   sched_upstream_may_terminate(scheduler, upstream);
 	return upstream->ending;
 }
 
@@ -86,7 +86,7 @@
  */
 static bool holds_the_only_ends(const sched_upstream_t *upstream)
 {
-	return upstream->ends_needed > upstream->ends_acked;
+	return upstream->last_progress_end > upstream->ends_acked;
 }
 
 void wwh_scheduler_uncordon(wwh_scheduler_t *scheduler, const char *id)
@@ -123,11 +123,11 @@
 	return load;
 }
 
-wwh_pool_figures_t wwh_scheduler_pool_figures(wwh_scheduler_t *scheduler,
-					      const char *name)
+wwh_pool_demand_t wwh_scheduler_pool_demand(wwh_scheduler_t *scheduler,
+					    const char *name)
 {
 	sched_pool_t *pool = sched_pool_get(scheduler, name);
-	wwh_pool_figures_t figures = { 0 };
+	wwh_pool_demand_t figures = { 0 };
 	int32_t with_lasting = 0;
 	GHashTableIter iterator;
 	gpointer value;
@@ -162,8 +162,8 @@
 			}
 		}
 	}
-	figures.hosts_bound =
-		MAX(figures.hosts_bound,
+	figures.min_hosts =
+		MAX(figures.min_hosts,
 		    with_lasting + hosts_for_homeless(scheduler, pool,
 						      figures.host_millicores));
 	return figures;
@@ -230,8 +230,8 @@
  * away for another reason counts: two causes at once would take more tasks
  * from a step than its users bear.
  */
-bool sched_may_end(const wwh_scheduler_t *scheduler,
-		   const sched_upstream_t *upstream)
+bool sched_upstream_may_terminate(const wwh_scheduler_t *scheduler,
+				  const sched_upstream_t *upstream)
 {
 	for (guint i = 0; i < upstream->tasks->len; i++) {
 		const sched_task_t *task =
@@ -319,11 +319,11 @@
  */
 static void add_occurrence(const wwh_scheduler_t *scheduler,
 			   const sched_occurrence_t *occurrence,
-			   wwh_pool_figures_t *figures)
+			   wwh_pool_demand_t *figures)
 {
 	const sched_job_t *job = occurrence->job;
-	bool of_use = wwh_policy_of_use(scheduler->now_ms - occurrence->due_ms,
-					job->objective_ms);
+	bool of_use = wwh_policy_is_useful(
+		scheduler->now_ms - occurrence->due_ms, job->objective_ms);
 	int64_t most = figures->host_millicores > 0 ? figures->host_millicores
 						    : MOST_MILLICORES;
 
@@ -339,7 +339,7 @@
 	}
 }
 
-static void add_lasting(const sched_step_t *step, wwh_pool_figures_t *figures)
+static void add_lasting(const sched_step_t *step, wwh_pool_demand_t *figures)
 {
 	const wwh_job_step_t *spec = step->spec;
 	int32_t left = spec->task_count - step->done;
@@ -348,12 +348,12 @@
 	if (!spec->filler)
 		figures->lasting += left * spec->need.cpu_millicores;
 	if (spec->max_per_upstream > 0)
-		figures->hosts_bound =
-			MAX(figures->hosts_bound, (left + most - 1) / most);
+		figures->min_hosts =
+			MAX(figures->min_hosts, (left + most - 1) / most);
 }
 
 static void add_step(const wwh_scheduler_t *scheduler, const sched_step_t *step,
-		     wwh_pool_figures_t *figures)
+		     wwh_pool_demand_t *figures)
 {
 	const wwh_job_step_t *spec = step->spec;
 	int32_t left = spec->task_count - step->done;
@@ -363,14 +363,15 @@
 	bool ready = sched_step_is_ready(step);
 
 	if (scheduler->now_ms - step->occurrence->due_ms < ARRIVAL_WINDOW_MS) {
-		figures->arrived_work += spec->task_count * cpu * estimate_ms;
+		figures->recent_work += spec->task_count * cpu * estimate_ms;
 		if (ready)
-			figures->arrived_usable += spec->task_count * cpu;
+			figures->recent_millicores += spec->task_count * cpu;
 	}
 	/* of what runs about half is done */
-	figures->work_left += (2 * left - step->out) * cpu * estimate_ms / 2;
+	figures->remaining_work +=
+		(2 * left - step->outstanding) * cpu * estimate_ms / 2;
 	if (ready)
-		figures->usable_now += left * cpu;
+		figures->usable_millicores += left * cpu;
 }
 
 static int32_t away(const wwh_scheduler_t *scheduler, const sched_step_t *step)
@@ -417,7 +418,8 @@
 /* What wasn't heard of lately may be away. */
 static bool at_work(const wwh_scheduler_t *scheduler, const sched_task_t *task)
 {
-	return sched_task_state(task) == TASK_RUNNING && task->away_ms == 0 &&
+	return sched_task_state(task) == TASK_RUNNING &&
+	       task->unavailable_since_ms == 0 &&
 	       !may_be_stopping(scheduler, task) && !task->upstream->ending &&
 	       task->upstream->failed_polls == 0 &&
 	       scheduler->now_ms - task->upstream->answered_ms <
--- a/src/libwaxwinghollow/scheduler_lost.c
+++ b/src/libwaxwinghollow/scheduler_lost.c
@@ -4,7 +4,8 @@
  * A job's record and that of its progress are one: without either, which of its
  * tasks are done isn't known, and one that is would run a second time.
  */
-void sched_job_lose(wwh_scheduler_t *scheduler, const char *id, bool accepted)
+void sched_job_mark_lost(wwh_scheduler_t *scheduler, const char *id,
+			 bool accepted)
 {
 	sched_job_t *job = sched_job_find(scheduler, id);
 	sched_lost_job_t *lost;
@@ -23,7 +24,7 @@
 }
 
 /* Its progress says that it has ended: nothing else is needed of it. */
-void sched_job_found(wwh_scheduler_t *scheduler, const char *id)
+void sched_job_clear_lost(wwh_scheduler_t *scheduler, const char *id)
 {
 	g_hash_table_remove(scheduler->lost_jobs, id);
 }
@@ -45,7 +46,7 @@
 }
 
 /* Progress alone is that of a job that had ended, and is asked for no longer. */
-void sched_lost_jobs_forget(wwh_scheduler_t *scheduler)
+void sched_lost_jobs_expire(wwh_scheduler_t *scheduler)
 {
 	GHashTableIter iterator;
 	gpointer id;
@@ -55,12 +56,13 @@
 	while (g_hash_table_iter_next(&iterator, &id, &value)) {
 		const sched_lost_job_t *lost = value;
 
-		if (lost->accepted || scheduler->now_ms - lost->since_ms <
-					      scheduler->options.forget_ms)
+		if (lost->accepted ||
+		    scheduler->now_ms - lost->since_ms <
+			    scheduler->options.ended_job_retention_ms)
 			continue;
-		scheduler->newest_record =
-			scheduler->calls.keep(WWH_KEEP_PROGRESS, id, NULL,
-					      scheduler->calls.client_data);
+		scheduler->newest_record = scheduler->callbacks.write_record(
+			WWH_SCHEDULER_RECORD_PROGRESS, id, NULL,
+			scheduler->callbacks.client_data);
 		g_hash_table_iter_remove(&iterator);
 	}
 }
@@ -70,7 +72,7 @@
  * is or for whom. Passed over, its tasks would be started a second time; so
  * what it may run is waited for in every pool.
  */
-void sched_upstream_lose_record(wwh_scheduler_t *scheduler, const char *id)
+void sched_upstream_add_unlocated(wwh_scheduler_t *scheduler, const char *id)
 {
 	wwh_upstream_info_t info = {
 		.id = (char *)id,
@@ -83,9 +85,9 @@
 		return;
 	upstream = sched_upstream_add(scheduler, &info);
 	upstream->inherited = true;
-	upstream->kept_asked = true;
+	upstream->record_written = true;
 	/* what was asked of it can't be read either */
-	upstream->kept_lease_ms = scheduler->options.lease_max_ms;
+	upstream->recorded_lease_ms = scheduler->options.lease_max_ms;
 	upstream->pool->unsettled++;
 }
 
--- a/src/libwaxwinghollow/scheduler_pace.c
+++ b/src/libwaxwinghollow/scheduler_pace.c
@@ -19,7 +19,7 @@
  * one moment to the next. They are slowed as soon as a serving task comes
  * near its target, and let go again step by step.
  */
-void sched_pace(wwh_scheduler_t *scheduler, sched_upstream_t *upstream)
+void sched_pace_fillers(wwh_scheduler_t *scheduler, sched_upstream_t *upstream)
 {
 	int32_t tail_percent = worst_tail_percent(scheduler, upstream);
 	int32_t pace = pace_of(upstream);
@@ -101,6 +101,7 @@
 		task->pace_wanted = percent;
 		task->pace_sent_ms = scheduler->now_ms;
 		sched_task_name(task, order.task);
-		scheduler->calls.pace(&order, scheduler->calls.client_data);
+		scheduler->callbacks.pace(&order,
+					  scheduler->callbacks.client_data);
 	}
 }
--- a/src/libwaxwinghollow/scheduler_poll.c
+++ b/src/libwaxwinghollow/scheduler_poll.c
@@ -86,7 +86,7 @@
 		send_poll(scheduler, upstream);
 }
 
-void sched_poll_first(wwh_scheduler_t *scheduler)
+void sched_poll_unsettled(wwh_scheduler_t *scheduler)
 {
 	GPtrArray *due = g_ptr_array_new();
 	GHashTableIter iterator;
@@ -139,7 +139,8 @@
 			const sched_upstream_t *upstream)
 {
 	return sched_upstream_is_located(upstream) &&
-	       !upstream->poll_in_flight && upstream->gone_why == NULL &&
+	       !upstream->poll_in_flight &&
+	       upstream->termination_reason == NULL &&
 	       scheduler->now_ms >= upstream->next_poll_ms;
 }
 
@@ -166,9 +167,9 @@
 		order.lease_until_remote_ms = upstream->lease_until_remote_ms;
 	else if (busy || upstream->inherited)
 		order.lease_until_remote_ms =
-			sched_lease_until(scheduler, upstream);
+			sched_lease_extend(scheduler, upstream);
 	upstream->poll_in_flight = true;
-	scheduler->calls.poll(&order, scheduler->calls.client_data);
+	scheduler->callbacks.poll(&order, scheduler->callbacks.client_data);
 }
 
 static bool pool_waits_for(const sched_upstream_t *upstream)
--- a/src/libwaxwinghollow/scheduler_upstream.c
+++ b/src/libwaxwinghollow/scheduler_upstream.c
@@ -66,7 +66,7 @@
 	upstream->tasks = g_ptr_array_new();
 	upstream->orphan_stops =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	upstream->kept_lease_ms = sched_lease_asked_ms(scheduler);
+	upstream->recorded_lease_ms = sched_lease_requested_ms(scheduler);
 	upstream->pool = sched_pool_get(scheduler, info->pool);
 	g_ptr_array_add(upstream->pool->upstreams, upstream);
 	g_hash_table_insert(scheduler->upstreams, upstream->info.id, upstream);
@@ -89,12 +89,12 @@
 	sched_explain(scheduler, "upstream-gone", upstream->info.id,
 		      "why=%s endpoint=%s tasks=%u", why,
 		      upstream->info.endpoint, upstream->tasks->len);
-	sched_upstream_lose_all(scheduler, upstream, why);
+	sched_upstream_lose_tasks(scheduler, upstream, why);
 	if (upstream->inherited && !upstream->settled)
 		sched_pool_settle_one(scheduler, upstream->pool);
 	g_ptr_array_remove_fast(upstream->pool->upstreams, upstream);
 	upstream->pool->dirty = true;
-	if (upstream->kept_asked)
+	if (upstream->record_written)
 		drop_record(scheduler, upstream);
 	g_hash_table_remove(scheduler->upstreams, upstream->info.id);
 }
@@ -107,10 +107,10 @@
 static void drop_record(wwh_scheduler_t *scheduler,
 			const sched_upstream_t *upstream)
 {
-	sched_progress_keep(scheduler);
-	scheduler->newest_record =
-		scheduler->calls.keep(WWH_KEEP_UPSTREAM, upstream->info.id,
-				      NULL, scheduler->calls.client_data);
+	sched_progress_write(scheduler);
+	scheduler->newest_record = scheduler->callbacks.write_record(
+		WWH_SCHEDULER_RECORD_UPSTREAM, upstream->info.id, NULL,
+		scheduler->callbacks.client_data);
 }
 
 /*
@@ -125,13 +125,13 @@
 	gpointer value;
 
 	g_assert(scheduler->dirty->len == 0);
-	scheduler->ends_waiting = false;
+	scheduler->has_unflushed_ends = false;
 	g_hash_table_iter_init(&iterator, scheduler->upstreams);
 	while (g_hash_table_iter_next(&iterator, NULL, &value)) {
 		sched_upstream_t *upstream = value;
 
 		if (upstream->ends_flushed > upstream->ends_acked) {
-			scheduler->ends_waiting = true;
+			scheduler->has_unflushed_ends = true;
 			continue;
 		}
 		if (upstream->ends_seen == upstream->ends_acked)
@@ -161,15 +161,16 @@
 {
 	int64_t now_ms = scheduler->now_ms;
 
-	return upstream->gone_why == NULL && upstream->listed &&
+	return upstream->termination_reason == NULL && upstream->listed &&
 	       !upstream->unreadable && !upstream->info.leaving &&
 	       upstream->settled && !upstream->cordoned &&
 	       !upstream->pool->standby && upstream->orphans == 0 &&
 	       upstream->failed_polls == 0 &&
 	       now_ms - upstream->answered_ms <
 		       SILENT_AFTER_MS + upstream->idle_gap_ms &&
-	       now_ms >= upstream->backoff_until_ms && upstream->kept_asked &&
-	       upstream->kept <= scheduler->durable_record;
+	       now_ms >= upstream->backoff_until_ms &&
+	       upstream->record_written &&
+	       upstream->record_number <= scheduler->durable_record;
 }
 
 /*
@@ -223,9 +224,9 @@
 	}
 }
 
-void wwh_scheduler_upstream_seen(wwh_scheduler_t *scheduler,
-				 const wwh_upstream_info_t *info,
-				 int64_t now_ms)
+void wwh_scheduler_upstream_announced(wwh_scheduler_t *scheduler,
+				      const wwh_upstream_info_t *info,
+				      int64_t now_ms)
 {
 	sched_upstream_t *upstream = sched_upstream_find(scheduler, info->id);
 
@@ -278,8 +279,8 @@
 	return upstream != NULL && upstream->listed && !upstream->unreadable;
 }
 
-void wwh_scheduler_upstream_left(wwh_scheduler_t *scheduler, const char *id,
-				 int64_t now_ms)
+void wwh_scheduler_upstream_withdrawn(wwh_scheduler_t *scheduler,
+				      const char *id, int64_t now_ms)
 {
 	sched_upstream_t *upstream = sched_upstream_find(scheduler, id);
 
@@ -297,16 +298,17 @@
  * Its final report may be in transit or unread. If it lists the end of a task, the
  * task would be started again and run twice, so a pending poll is awaited first.
  */
-void wwh_scheduler_upstream_gone(wwh_scheduler_t *scheduler, const char *id,
-				 const char *why, int64_t now_ms)
+void wwh_scheduler_upstream_terminated(wwh_scheduler_t *scheduler,
+				       const char *id, const char *why,
+				       int64_t now_ms)
 {
 	sched_upstream_t *upstream = sched_upstream_find(scheduler, id);
 
 	scheduler->now_ms = MAX(scheduler->now_ms, now_ms);
-	if (upstream == NULL || upstream->gone_why != NULL)
+	if (upstream == NULL || upstream->termination_reason != NULL)
 		return;
-	upstream->gone_why = why;
-	upstream->gone_ms = scheduler->now_ms;
+	upstream->termination_reason = why;
+	upstream->terminated_ms = scheduler->now_ms;
 	upstream->ending = true;
 	if (!sched_upstream_awaits_final_report(scheduler, upstream))
 		sched_upstream_remove(scheduler, upstream, why);
@@ -319,7 +321,8 @@
 			     (upstream->inherited && !upstream->settled);
 
 	return upstream->poll_in_flight && may_tell_ends &&
-	       scheduler->now_ms - upstream->gone_ms < FINAL_REPORT_WAIT_MS;
+	       scheduler->now_ms - upstream->terminated_ms <
+		       FINAL_REPORT_WAIT_MS;
 }
 
 /*
@@ -328,7 +331,7 @@
  * no host ran. One that answers first after the list was asked for says nothing
  * of the list.
  */
-void wwh_scheduler_incarnations_asked(wwh_scheduler_t *scheduler)
+void wwh_scheduler_incarnations_requested(wwh_scheduler_t *scheduler)
 {
 	GHashTableIter iterator;
 	gpointer value;
@@ -337,7 +340,8 @@
 	while (g_hash_table_iter_next(&iterator, NULL, &value)) {
 		sched_upstream_t *upstream = value;
 
-		upstream->in_sight = upstream->listed && upstream->settled;
+		upstream->expected_in_host_list =
+			upstream->listed && upstream->settled;
 	}
 }
 
@@ -357,8 +361,9 @@
 	while (g_hash_table_iter_next(&iterator, NULL, &value)) {
 		const sched_upstream_t *upstream = value;
 
-		if (!upstream->in_sight || !upstream->listed ||
-		    upstream->failed_polls > 0 || upstream->gone_why != NULL)
+		if (!upstream->expected_in_host_list || !upstream->listed ||
+		    upstream->failed_polls > 0 ||
+		    upstream->termination_reason != NULL)
 			continue;
 		if (!g_hash_table_contains(incarnations, upstream->info.id))
 			return false;
@@ -400,15 +405,15 @@
 		if (g_hash_table_contains(incarnations, upstream->info.id))
 			upstream->without_host_ms = 0;
 		else if (has_no_host(scheduler, upstream))
-			wwh_scheduler_upstream_gone(scheduler,
-						    upstream->info.id,
-						    "no-host", now_ms);
+			wwh_scheduler_upstream_terminated(scheduler,
+							  upstream->info.id,
+							  "no-host", now_ms);
 	}
 	g_list_free(all);
 }
 
-void sched_upstream_lose_all(wwh_scheduler_t *scheduler,
-			     sched_upstream_t *upstream, const char *why)
+void sched_upstream_lose_tasks(wwh_scheduler_t *scheduler,
+			       sched_upstream_t *upstream, const char *why)
 {
 	while (upstream->tasks->len > 0) {
 		sched_task_t *task = g_ptr_array_index(upstream->tasks, 0);
--- a/src/libwaxwinghollow/scheduler_watch.c
+++ b/src/libwaxwinghollow/scheduler_watch.c
@@ -32,19 +32,20 @@
 
 static void settle(wwh_scheduler_t *scheduler, sched_upstream_t *upstream);
 static void take_ended(wwh_scheduler_t *scheduler, sched_upstream_t *upstream,
-		       const wwh_ended_t *row);
-static bool changes_progress(const sched_task_t *task, const wwh_ended_t *row);
+		       const wwh_ended_task_t *row);
+static bool changes_progress(const sched_task_t *task,
+			     const wwh_ended_task_t *row);
 static void take_end_of(wwh_scheduler_t *scheduler, sched_upstream_t *upstream,
-			sched_task_t *task, const wwh_ended_t *row);
+			sched_task_t *task, const wwh_ended_task_t *row);
 static bool blames_upstream(sched_task_t *task);
 static void take_gang_done(wwh_scheduler_t *scheduler, sched_task_t *task);
 static void take_done(wwh_scheduler_t *scheduler, sched_task_t *task);
 static void take_running(wwh_scheduler_t *scheduler, sched_upstream_t *upstream,
-			 const wwh_running_t *row);
+			 const wwh_running_task_t *row);
 static void take_orphan(wwh_scheduler_t *scheduler, sched_upstream_t *upstream,
-			const wwh_running_t *row);
+			const wwh_running_task_t *row);
 static void take_figures(wwh_scheduler_t *scheduler, sched_task_t *task,
-			 const wwh_running_t *row);
+			 const wwh_running_task_t *row);
 static void find_lost(wwh_scheduler_t *scheduler, sched_upstream_t *upstream,
 		      const wwh_poll_answer_t *answer, int64_t sent_ms);
 static bool lists(const wwh_poll_answer_t *answer, const sched_task_t *task);
@@ -58,9 +59,10 @@
 static void keep_upstream(wwh_scheduler_t *scheduler,
 			  sched_upstream_t *upstream);
 
-void wwh_scheduler_polled(wwh_scheduler_t *scheduler, const char *id,
-			  const wwh_poll_answer_t *answer, int64_t sent_ms,
-			  int64_t now_ms)
+void wwh_scheduler_handle_poll_answer(wwh_scheduler_t *scheduler,
+				      const char *id,
+				      const wwh_poll_answer_t *answer,
+				      int64_t sent_ms, int64_t now_ms)
 {
 	sched_upstream_t *upstream = sched_upstream_find(scheduler, id);
 
@@ -78,9 +80,10 @@
 	sched_lease_recompute(upstream);
 	for (int32_t i = 0; i < answer->ended_count; i++)
 		take_ended(scheduler, upstream, &answer->ended[i]);
-	if (upstream->gone_why != NULL) {
+	if (upstream->termination_reason != NULL) {
 		/* its ends count; of what it lists as running nothing is left */
-		sched_upstream_remove(scheduler, upstream, upstream->gone_why);
+		sched_upstream_remove(scheduler, upstream,
+				      upstream->termination_reason);
 		return;
 	}
 	upstream->orphans = 0;
@@ -88,10 +91,10 @@
 		take_running(scheduler, upstream, &answer->running[i]);
 	if (upstream->orphans == 0)
 		g_hash_table_remove_all(upstream->orphan_stops);
-	if (answer->ended_in_full)
+	if (answer->ended_complete)
 		find_lost(scheduler, upstream, answer, sent_ms);
 	stop_hanging(scheduler, upstream);
-	sched_pace(scheduler, upstream);
+	sched_pace_fillers(scheduler, upstream);
 	settle(scheduler, upstream);
 	upstream->idle_gap_ms = sched_poll_idle_gap_ms(scheduler, upstream);
 	upstream->next_poll_ms =
@@ -100,8 +103,9 @@
 	upstream->pool->dirty = true;
 }
 
-void wwh_scheduler_poll_failed(wwh_scheduler_t *scheduler, const char *id,
-			       bool refused, int64_t now_ms)
+void wwh_scheduler_handle_poll_failure(wwh_scheduler_t *scheduler,
+				       const char *id, bool refused,
+				       int64_t now_ms)
 {
 	sched_upstream_t *upstream = sched_upstream_find(scheduler, id);
 
@@ -109,8 +113,9 @@
 	if (upstream == NULL)
 		return;
 	upstream->poll_in_flight = false;
-	if (upstream->gone_why != NULL) {
-		sched_upstream_remove(scheduler, upstream, upstream->gone_why);
+	if (upstream->termination_reason != NULL) {
+		sched_upstream_remove(scheduler, upstream,
+				      upstream->termination_reason);
 		return;
 	}
 	upstream->failed_polls++;
@@ -128,14 +133,14 @@
 		sched_upstream_remove(scheduler, upstream, "refused");
 }
 
-void wwh_scheduler_poll_found_other(wwh_scheduler_t *scheduler, const char *id,
-				    int64_t now_ms)
+void wwh_scheduler_handle_poll_other_incarnation(wwh_scheduler_t *scheduler,
+						 const char *id, int64_t now_ms)
 {
 	sched_upstream_t *upstream = sched_upstream_find(scheduler, id);
 
 	if (upstream != NULL)
 		upstream->poll_in_flight = false;
-	wwh_scheduler_upstream_gone(scheduler, id, "restarted", now_ms);
+	wwh_scheduler_upstream_terminated(scheduler, id, "restarted", now_ms);
 }
 
 /* Removal while iterating: the ids of those to run are taken first. */
@@ -149,7 +154,7 @@
 		run_one(scheduler, at->data);
 	}
 	g_list_free(all);
-	sched_poll_first(scheduler);
+	sched_poll_unsettled(scheduler);
 }
 
 static void settle(wwh_scheduler_t *scheduler, sched_upstream_t *upstream)
@@ -165,23 +170,24 @@
 }
 
 static void take_ended(wwh_scheduler_t *scheduler, sched_upstream_t *upstream,
-		       const wwh_ended_t *row)
+		       const wwh_ended_task_t *row)
 {
 	sched_task_t *task;
 
 	if (row->number <= upstream->ends_seen)
 		return;
 	upstream->ends_seen = row->number;
-	scheduler->ends_waiting = true;
+	scheduler->has_unflushed_ends = true;
 	task = sched_job_task(scheduler, row->task);
 	if (task == NULL)
 		return;
 	if (changes_progress(task, row))
-		upstream->ends_needed = row->number;
+		upstream->last_progress_end = row->number;
 	take_end_of(scheduler, upstream, task, row);
 }
 
-static bool changes_progress(const sched_task_t *task, const wwh_ended_t *row)
+static bool changes_progress(const sched_task_t *task,
+			     const wwh_ended_task_t *row)
 {
 	return !task->step->spec->lasting &&
 	       sched_job_is_live(task->step->occurrence->job) &&
@@ -189,9 +195,9 @@
 }
 
 static void take_end_of(wwh_scheduler_t *scheduler, sched_upstream_t *upstream,
-			sched_task_t *task, const wwh_ended_t *row)
+			sched_task_t *task, const wwh_ended_task_t *row)
 {
-	bool is_out = sched_task_is_out(scheduler, task);
+	bool is_out = sched_task_is_outstanding(scheduler, task);
 	bool mine = task->upstream == upstream && task->run == row->run;
 
 	if (row->kind == WWH_END_FAILED) {
@@ -200,7 +206,7 @@
 			sched_step_task_failed(scheduler, task, row->run);
 		if (blames_upstream(task))
 			sched_upstream_failed(scheduler, upstream);
-		task->avoid = upstream;
+		task->avoided_upstream = upstream;
 	}
 	if (row->kind == WWH_END_DONE) {
 		upstream->fail_streak = 0;
@@ -235,8 +241,8 @@
 {
 	if (!task->step->spec->lasting)
 		return task->failures.count <= 1;
-	task->fails_in_a_row++;
-	return task->fails_in_a_row == 1;
+	task->consecutive_failures++;
+	return task->consecutive_failures == 1;
 }
 
 /* Members end together; the end of one stands for all of them. */
@@ -260,7 +266,7 @@
 }
 
 static void take_running(wwh_scheduler_t *scheduler, sched_upstream_t *upstream,
-			 const wwh_running_t *row)
+			 const wwh_running_task_t *row)
 {
 	sched_task_t *task = sched_job_task(scheduler, row->task);
 	bool live =
@@ -291,7 +297,7 @@
  * room it takes isn't in our books.
  */
 static void take_orphan(wwh_scheduler_t *scheduler, sched_upstream_t *upstream,
-			const wwh_running_t *row)
+			const wwh_running_task_t *row)
 {
 	int64_t *sent_ms =
 		g_hash_table_lookup(upstream->orphan_stops, row->task);
@@ -317,11 +323,11 @@
 		      "run=%" G_GINT64_FORMAT " upstream=%s", row->run,
 		      upstream->info.id);
 	g_strlcpy(order.task, row->task, sizeof(order.task));
-	scheduler->calls.stop(&order, scheduler->calls.client_data);
+	scheduler->callbacks.stop(&order, scheduler->callbacks.client_data);
 }
 
 static void take_figures(wwh_scheduler_t *scheduler, sched_task_t *task,
-			 const wwh_running_t *row)
+			 const wwh_running_task_t *row)
 {
 	const wwh_job_step_t *spec = task->step->spec;
 
@@ -335,11 +341,11 @@
 		return;
 	if (row->percent >= 100 &&
 	    scheduler->now_ms - task->percent_ms >= LASTING_SOUND_MS)
-		task->fails_in_a_row = 0;
+		task->consecutive_failures = 0;
 	if (row->percent >= 100)
-		task->away_ms = 0;
-	else if (task->away_ms == 0)
-		task->away_ms = scheduler->now_ms;
+		task->unavailable_since_ms = 0;
+	else if (task->unavailable_since_ms == 0)
+		task->unavailable_since_ms = scheduler->now_ms;
 }
 
 /*
@@ -410,7 +416,8 @@
 	for (guint i = 0; i < upstream->tasks->len; i++) {
 		sched_task_t *task = g_ptr_array_index(upstream->tasks, i);
 		bool lasting = task->step->spec->lasting;
-		int64_t since_ms = lasting ? task->away_ms : task->percent_ms;
+		int64_t since_ms =
+			lasting ? task->unavailable_since_ms : task->percent_ms;
 		int64_t limit_ms =
 			lasting ? LASTING_HANGS_AFTER_MS : HANGS_AFTER_MS;
 		char name[WWH_TASK_NAME_BYTES];
@@ -424,7 +431,7 @@
 		sched_explain(scheduler, "run-hangs", name,
 			      "run=%" G_GINT64_FORMAT " upstream=%s percent=%d",
 			      task->run, upstream->info.id, task->percent);
-		task->avoid = upstream;
+		task->avoided_upstream = upstream;
 		sched_task_order_stop(scheduler, task);
 		sched_upstream_back_off(scheduler, upstream, HANG_BACKOFF_MS);
 	}
@@ -447,21 +454,21 @@
 {
 	int64_t now_ms = scheduler->now_ms;
 
-	if (upstream->gone_why != NULL) {
+	if (upstream->termination_reason != NULL) {
 		if (!sched_upstream_awaits_final_report(scheduler, upstream))
 			sched_upstream_remove(scheduler, upstream,
-					      upstream->gone_why);
+					      upstream->termination_reason);
 		return;
 	}
 	if (upstream->inherited && !upstream->settled &&
-	    now_ms >= upstream->gone_without_answer_ms) {
+	    now_ms >= upstream->inherited_lease_end_ms) {
 		sched_upstream_remove(scheduler, upstream, "lease-lapsed");
 		return;
 	}
-	if (upstream->lapsed_ms != 0 && now_ms >= upstream->lapsed_ms &&
-	    !upstream->lapse_done) {
-		upstream->lapse_done = true;
-		sched_upstream_lose_all(scheduler, upstream, "lease-lapsed");
+	if (upstream->lease_end_ms != 0 && now_ms >= upstream->lease_end_ms &&
+	    !upstream->lease_end_handled) {
+		upstream->lease_end_handled = true;
+		sched_upstream_lose_tasks(scheduler, upstream, "lease-lapsed");
 		if (!upstream->listed) {
 			sched_upstream_remove(scheduler, upstream, "lapsed");
 			return;
@@ -475,7 +482,7 @@
 	repeat_orders(scheduler, upstream);
 	if (upstream->settled)
 		sched_poll_if_due(scheduler, upstream);
-	if (upstream->settled && upstream->listed && !upstream->kept_asked)
+	if (upstream->settled && upstream->listed && !upstream->record_written)
 		keep_upstream(scheduler, upstream);
 }
 
@@ -485,10 +492,10 @@
 {
 	GBytes *value = sched_upstream_encode(upstream);
 
-	upstream->kept_asked = true;
-	upstream->kept =
-		scheduler->calls.keep(WWH_KEEP_UPSTREAM, upstream->info.id,
-				      value, scheduler->calls.client_data);
-	scheduler->newest_record = upstream->kept;
+	upstream->record_written = true;
+	upstream->record_number = scheduler->callbacks.write_record(
+		WWH_SCHEDULER_RECORD_UPSTREAM, upstream->info.id, value,
+		scheduler->callbacks.client_data);
+	scheduler->newest_record = upstream->record_number;
 	g_bytes_unref(value);
 }
--- a/src/test_config/test_budget_check.c
+++ b/src/test_config/test_budget_check.c
@@ -43,7 +43,7 @@
 static bool a_wave_can_begin(const wwh_config_t *config)
 {
 	wwh_fleet_view_t *view = wwh_fleet_view_new();
-	wwh_tally_t *tally;
+	wwh_pool_budget_t *tally;
 	bool allowed = false;
 
 	(void)wwh_fleet_view_add_pool(view, wwh_config_pool_at(config, 0));
@@ -51,11 +51,11 @@
 		(void)wwh_fleet_view_add_worker(
 			view, wwh_config_worker_at(config, i));
 	wwh_fleet_view_seal(view);
-	tally = wwh_tally_new(view, 0);
+	tally = wwh_pool_budget_new(view, 0);
 	for (int32_t i = 0; i < wwh_fleet_worker_count(view); i++)
-		allowed = allowed ||
-			  wwh_tally_allows(tally, i) == WWH_BINDING_NONE;
-	wwh_tally_delete(tally);
+		allowed = allowed || wwh_pool_budget_allows(tally, i) ==
+					     WWH_CONSTRAINT_NONE;
+	wwh_pool_budget_delete(tally);
 	wwh_fleet_view_delete(view);
 	return allowed;
 }
--- a/src/test_leaving/test_leaving.c
+++ b/src/test_leaving/test_leaving.c
@@ -14,17 +14,17 @@
 	wwh_leaving_t *leaving = wwh_leaving_new();
 
 	(void)unused;
-	assert_false(wwh_leaving_is(leaving, "m", START_MS));
-	wwh_leaving_list(leaving, "list", true, START_MS);
-	wwh_leaving_answer(leaving, "own", START_MS);
-	wwh_leaving_word(leaving, "word", "p", 0, START_MS);
-	assert_true(wwh_leaving_is(leaving, "list", START_MS));
-	assert_true(wwh_leaving_is(leaving, "own", START_MS));
-	assert_true(wwh_leaving_is(leaving, "word", START_MS));
-	wwh_leaving_list(leaving, "list", false, START_MS);
-	assert_false(wwh_leaving_is(leaving, "list", START_MS));
-	assert_false(wwh_leaving_is(leaving, "own",
-				    START_MS + WWH_LEAVING_ANSWER_MS));
+	assert_false(wwh_leaving_contains(leaving, "m", START_MS));
+	wwh_leaving_set_listed(leaving, "list", true, START_MS);
+	wwh_leaving_record_answer(leaving, "own", START_MS);
+	wwh_leaving_record_report(leaving, "word", "p", 0, START_MS);
+	assert_true(wwh_leaving_contains(leaving, "list", START_MS));
+	assert_true(wwh_leaving_contains(leaving, "own", START_MS));
+	assert_true(wwh_leaving_contains(leaving, "word", START_MS));
+	wwh_leaving_set_listed(leaving, "list", false, START_MS);
+	assert_false(wwh_leaving_contains(leaving, "list", START_MS));
+	assert_false(wwh_leaving_contains(
+		leaving, "own", START_MS + WWH_LEAVING_ANSWER_TTL_MS));
 	wwh_leaving_delete(leaving);
 }
 
@@ -41,8 +41,8 @@
 	for (int32_t s = 0; s < 600; s++) {
 		int64_t now_ms = START_MS + s * 1000;
 
-		wwh_leaving_word(leaving, "m", "mistaken", 0, now_ms);
-		if (wwh_leaving_is(leaving, "m", now_ms))
+		wwh_leaving_record_report(leaving, "m", "mistaken", 0, now_ms);
+		if (wwh_leaving_contains(leaving, "m", now_ms))
 			out++;
 	}
 	print_message("out for %d of 600 s\n", (int)out);
@@ -53,13 +53,13 @@
 static void two_peers_confirm_each_other(void **unused)
 {
 	wwh_leaving_t *leaving = wwh_leaving_new();
-	int64_t later_ms = START_MS + WWH_LEAVING_WORD_MS + 1;
+	int64_t later_ms = START_MS + WWH_LEAVING_REPORT_TTL_MS + 1;
 
 	(void)unused;
-	wwh_leaving_word(leaving, "m", "a", 0, START_MS);
-	assert_false(wwh_leaving_is(leaving, "m", later_ms));
-	wwh_leaving_word(leaving, "m", "b", 0, START_MS + 2000);
-	assert_true(wwh_leaving_is(leaving, "m", later_ms + 2000));
+	wwh_leaving_record_report(leaving, "m", "a", 0, START_MS);
+	assert_false(wwh_leaving_contains(leaving, "m", later_ms));
+	wwh_leaving_record_report(leaving, "m", "b", 0, START_MS + 2000);
+	assert_true(wwh_leaving_contains(leaving, "m", later_ms + 2000));
 	wwh_leaving_delete(leaving);
 }
 
@@ -69,13 +69,13 @@
 	wwh_leaving_t *leaving = wwh_leaving_new();
 
 	(void)unused;
-	wwh_leaving_word(leaving, "m", "a", 0, START_MS);
-	wwh_leaving_served(leaving, "m", START_MS - 1);
-	assert_true(wwh_leaving_is(leaving, "m", START_MS + 2));
-	wwh_leaving_served(leaving, "m", START_MS + 1);
-	assert_false(wwh_leaving_is(leaving, "m", START_MS + 2));
-	wwh_leaving_word(leaving, "m", "a", 0, START_MS + 3);
-	assert_false(wwh_leaving_is(leaving, "m", START_MS + 4));
+	wwh_leaving_record_report(leaving, "m", "a", 0, START_MS);
+	wwh_leaving_record_served(leaving, "m", START_MS - 1);
+	assert_true(wwh_leaving_contains(leaving, "m", START_MS + 2));
+	wwh_leaving_record_served(leaving, "m", START_MS + 1);
+	assert_false(wwh_leaving_contains(leaving, "m", START_MS + 2));
+	wwh_leaving_record_report(leaving, "m", "a", 0, START_MS + 3);
+	assert_false(wwh_leaving_contains(leaving, "m", START_MS + 4));
 	wwh_leaving_delete(leaving);
 }
 
@@ -91,9 +91,9 @@
 	GString *text = g_string_new(NULL);
 
 	(void)unused;
-	wwh_leaving_word(leaving, "word", "a", 0, START_MS);
-	wwh_leaving_answer(leaving, "own", START_MS);
-	wwh_leaving_each_answer(leaving, START_MS + 5, visit, text);
+	wwh_leaving_record_report(leaving, "word", "a", 0, START_MS);
+	wwh_leaving_record_answer(leaving, "own", START_MS);
+	wwh_leaving_foreach_answer(leaving, START_MS + 5, visit, text);
 	assert_string_equal(text->str, "own:5;");
 	g_string_free(text, TRUE);
 	wwh_leaving_delete(leaving);
@@ -105,14 +105,14 @@
 	char id[16];
 
 	(void)unused;
-	wwh_leaving_answer(leaving, "own", START_MS);
+	wwh_leaving_record_answer(leaving, "own", START_MS);
 	for (int i = 0; i < 2 * WWH_LEAVING_MAX; i++) {
 		g_snprintf(id, sizeof(id), "w%d", i);
-		wwh_leaving_word(leaving, id, "a", 0, START_MS + i);
+		wwh_leaving_record_report(leaving, id, "a", 0, START_MS + i);
 	}
-	assert_true(wwh_leaving_is(leaving, "own", START_MS + 600));
-	assert_false(wwh_leaving_is(leaving, "w0", START_MS + 600));
-	assert_true(wwh_leaving_is(leaving, id, START_MS + 600));
+	assert_true(wwh_leaving_contains(leaving, "own", START_MS + 600));
+	assert_false(wwh_leaving_contains(leaving, "w0", START_MS + 600));
+	assert_true(wwh_leaving_contains(leaving, id, START_MS + 600));
 	wwh_leaving_delete(leaving);
 }
 
--- a/src/test_membership/test_membership.c
+++ b/src/test_membership/test_membership.c
@@ -372,7 +372,8 @@
 static bool knows_minion_leaves(const sim_node_t *node, int64_t unused)
 {
 	(void)unused;
-	return wwh_leaving_is(node->leaving, "minion-1", node->sim->now_ms);
+	return wwh_leaving_contains(node->leaving, "minion-1",
+				    node->sim->now_ms);
 }
 
 /* The first process that is refused tells the others before the list does. */
@@ -381,7 +382,8 @@
 	sim_t *sim = settled_sim(8, 1, 4);
 
 	(void)unused;
-	wwh_leaving_answer(sim->nodes[3].leaving, "minion-1", sim->now_ms);
+	wwh_leaving_record_answer(sim->nodes[3].leaving, "minion-1",
+				  sim->now_ms);
 	assert_true(sim_until(sim, knows_minion_leaves, 0, 5000) >= 0);
 	sim_delete(sim);
 }
--- a/src/test_placement/test_placement.c
+++ b/src/test_placement/test_placement.c
@@ -32,7 +32,8 @@
 	fixture.pools = 1;
 	bench->view = fleet_fixture_view(&fixture);
 	wwh_placement_options_defaults(&bench->options);
-	bench->decisions = g_array_new(FALSE, FALSE, sizeof(wwh_place_t));
+	bench->decisions =
+		g_array_new(FALSE, FALSE, sizeof(wwh_placement_decision_t));
 }
 
 static void bench_finish(bench_t *bench)
@@ -69,10 +70,12 @@
 	wwh_placement_pass(bench->placement, 0, bench->decisions);
 }
 
-static const wwh_place_t *decision(const bench_t *bench, guint index)
+static const wwh_placement_decision_t *decision(const bench_t *bench,
+						guint index)
 {
 	assert_true(index < bench->decisions->len);
-	return &g_array_index(bench->decisions, wwh_place_t, index);
+	return &g_array_index(bench->decisions, wwh_placement_decision_t,
+			      index);
 }
 
 /*
@@ -88,9 +91,9 @@
 	add_job(&bench, 64, WWH_FLEET_NONE);
 	add_job(&bench, 4, WWH_FLEET_NONE);
 	run_pass(&bench);
-	assert_int_equal(decision(&bench, 0)->kind, WWH_PLACE_IMPOSSIBLE);
+	assert_int_equal(decision(&bench, 0)->kind, WWH_PLACEMENT_IMPOSSIBLE);
 	assert_int_equal(decision(&bench, 0)->reason, WWH_REASON_CORES);
-	assert_int_equal(decision(&bench, 1)->kind, WWH_PLACE_START);
+	assert_int_equal(decision(&bench, 1)->kind, WWH_PLACEMENT_START);
 	assert_int_equal(decision(&bench, 1)->job, 1);
 	bench_finish(&bench);
 }
@@ -115,9 +118,9 @@
 	add_job(&bench, 27, WWH_FLEET_NONE);
 	add_job(&bench, 27, WWH_FLEET_NONE);
 	run_pass(&bench);
-	assert_int_equal(decision(&bench, 0)->kind, WWH_PLACE_START);
+	assert_int_equal(decision(&bench, 0)->kind, WWH_PLACEMENT_START);
 	assert_int_equal(decision(&bench, 0)->worker, 0);
-	assert_int_equal(decision(&bench, 1)->kind, WWH_PLACE_WAIT);
+	assert_int_equal(decision(&bench, 1)->kind, WWH_PLACEMENT_WAIT);
 	assert_int_equal(decision(&bench, 1)->reason, WWH_REASON_NO_ROOM);
 	bench_finish(&bench);
 }
@@ -137,9 +140,9 @@
 	add_job(&bench, 8, WWH_FLEET_NONE)->urgent = true;
 	run_pass(&bench);
 	assert_int_equal(bench.decisions->len, 2);
-	assert_int_equal(decision(&bench, 0)->kind, WWH_PLACE_THROTTLE);
+	assert_int_equal(decision(&bench, 0)->kind, WWH_PLACEMENT_THROTTLE);
 	assert_int_equal(decision(&bench, 0)->cpu_millicores, 4000);
-	assert_int_equal(decision(&bench, 1)->kind, WWH_PLACE_START);
+	assert_int_equal(decision(&bench, 1)->kind, WWH_PLACEMENT_START);
 	assert_int_equal(decision(&bench, 1)->worker,
 			 decision(&bench, 0)->worker);
 	bench_finish(&bench);
@@ -163,8 +166,8 @@
 	urgent->declared.memory_mb = 8 * 1024;
 	run_pass(&bench);
 	assert_int_equal(bench.decisions->len, 2);
-	assert_int_equal(decision(&bench, 0)->kind, WWH_PLACE_CHECKPOINT);
-	assert_int_equal(decision(&bench, 1)->kind, WWH_PLACE_START);
+	assert_int_equal(decision(&bench, 0)->kind, WWH_PLACEMENT_CHECKPOINT);
+	assert_int_equal(decision(&bench, 1)->kind, WWH_PLACEMENT_START);
 	bench_finish(&bench);
 }
 
@@ -181,7 +184,7 @@
 	job->used = (wwh_load_t){ 8000, 1024, 0 };
 	run_pass(&bench);
 	assert_int_equal(bench.decisions->len, 1);
-	assert_int_equal(decision(&bench, 0)->kind, WWH_PLACE_THROTTLE);
+	assert_int_equal(decision(&bench, 0)->kind, WWH_PLACEMENT_THROTTLE);
 	assert_int_equal(decision(&bench, 0)->job, 0);
 	assert_int_equal(decision(&bench, 0)->cpu_millicores, 8000);
 	bench_finish(&bench);
@@ -202,14 +205,15 @@
 	wwh_fleet_worker(bench.view, 0)->grant = 7;
 	run_pass(&bench);
 	for (guint i = 0; i < 2; i++) {
-		assert_int_equal(decision(&bench, i)->kind, WWH_PLACE_START);
+		assert_int_equal(decision(&bench, i)->kind,
+				 WWH_PLACEMENT_START);
 		assert_int_not_equal(decision(&bench, i)->worker, 0);
 	}
 	assert_int_not_equal(
 		wwh_fleet_worker(bench.view, decision(&bench, 0)->worker)->zone,
 		wwh_fleet_worker(bench.view, decision(&bench, 1)->worker)
 			->zone);
-	assert_int_equal(decision(&bench, 3)->kind, WWH_PLACE_WAIT);
+	assert_int_equal(decision(&bench, 3)->kind, WWH_PLACEMENT_WAIT);
 	bench_finish(&bench);
 }
 
@@ -233,7 +237,8 @@
 		add_job(&bench, 4, WWH_FLEET_NONE)->group = "replicas";
 	run_pass(&bench);
 	for (guint i = 0; i < 2; i++) {
-		assert_int_equal(decision(&bench, i)->kind, WWH_PLACE_START);
+		assert_int_equal(decision(&bench, i)->kind,
+				 WWH_PLACEMENT_START);
 		zones[i] = wwh_fleet_worker(bench.view,
 					    decision(&bench, i)->worker)
 				   ->zone;
@@ -255,7 +260,7 @@
 	}
 	add_job(&bench, 4, WWH_FLEET_NONE)->group = "replicas";
 	run_pass(&bench);
-	assert_int_equal(decision(&bench, 0)->kind, WWH_PLACE_START);
+	assert_int_equal(decision(&bench, 0)->kind, WWH_PLACEMENT_START);
 	assert_int_equal(
 		wwh_fleet_worker(bench.view, decision(&bench, 0)->worker)->zone,
 		1);
@@ -281,7 +286,7 @@
 	add_job(&bench, 4, WWH_FLEET_NONE)->group = "replicas";
 	wwh_fleet_worker(bench.view, 2)->maintained = true;
 	run_pass(&bench);
-	assert_int_equal(decision(&bench, 0)->kind, WWH_PLACE_START);
+	assert_int_equal(decision(&bench, 0)->kind, WWH_PLACEMENT_START);
 	assert_int_equal(decision(&bench, 0)->worker, 2);
 	bench_finish(&bench);
 }
@@ -299,11 +304,11 @@
 	add_job(&bench, 16, WWH_FLEET_NONE)->queued_ms = NOW_MS - 2000;
 	add_job(&bench, 16, WWH_FLEET_NONE)->urgent = true;
 	run_pass(&bench);
-	assert_int_equal(decision(&bench, 0)->kind, WWH_PLACE_START);
+	assert_int_equal(decision(&bench, 0)->kind, WWH_PLACEMENT_START);
 	assert_int_equal(decision(&bench, 0)->job, 6);
-	assert_int_equal(decision(&bench, 1)->kind, WWH_PLACE_START);
+	assert_int_equal(decision(&bench, 1)->kind, WWH_PLACEMENT_START);
 	assert_int_equal(decision(&bench, 1)->job, 5);
-	assert_int_equal(decision(&bench, 2)->kind, WWH_PLACE_WAIT);
+	assert_int_equal(decision(&bench, 2)->kind, WWH_PLACEMENT_WAIT);
 	assert_int_equal(decision(&bench, 2)->job, 4);
 	bench_finish(&bench);
 }
@@ -330,10 +335,10 @@
 	add_job(&bench, 4, WWH_FLEET_NONE)->team = "few";
 	run_pass(&bench);
 	for (guint i = 0; i < 40; i++)
-		starts += decision(&bench, i)->kind == WWH_PLACE_START;
+		starts += decision(&bench, i)->kind == WWH_PLACEMENT_START;
 	assert_int_equal(starts, 4);
 	assert_int_equal(decision(&bench, 39)->reason, WWH_REASON_QUOTA);
-	assert_int_equal(decision(&bench, 40)->kind, WWH_PLACE_START);
+	assert_int_equal(decision(&bench, 40)->kind, WWH_PLACEMENT_START);
 	bench_finish(&bench);
 }
 
@@ -355,7 +360,7 @@
 	bench.options.team_count = 1;
 	add_job(&bench, 4, WWH_FLEET_NONE);
 	run_pass(&bench);
-	assert_int_equal(decision(&bench, 0)->kind, WWH_PLACE_START);
+	assert_int_equal(decision(&bench, 0)->kind, WWH_PLACEMENT_START);
 	bench_finish(&bench);
 }
 
@@ -376,7 +381,7 @@
 		add_job(&bench, 8, WWH_FLEET_NONE);
 	run_pass(&bench);
 	for (guint i = 0; i < bench.decisions->len; i++)
-		starts += decision(&bench, i)->kind == WWH_PLACE_START;
+		starts += decision(&bench, i)->kind == WWH_PLACEMENT_START;
 	assert_int_equal(starts, 6); /* on three of the four workers */
 	bench_finish(&bench);
 }
@@ -390,12 +395,13 @@
 	bench_init(&bench);
 	job = add_job(&bench, 4, WWH_FLEET_NONE);
 	job->renewed_ms = NOW_MS - 10000;
-	assert_int_equal(wwh_placement_safe_ms(job, &bench.options),
+	assert_int_equal(wwh_placement_earliest_rerun_ms(job, &bench.options),
 			 NOW_MS - 10000 + 35000);
 	run_pass(&bench);
 	assert_int_equal(decision(&bench, 0)->reason, WWH_REASON_LEASE);
 	job->idempotent = true;
-	assert_int_equal(wwh_placement_safe_ms(job, &bench.options), 0);
+	assert_int_equal(wwh_placement_earliest_rerun_ms(job, &bench.options),
+			 0);
 	bench_finish(&bench);
 }
 
--- a/src/test_planner/test_planner.c
+++ b/src/test_planner/test_planner.c
@@ -21,7 +21,7 @@
 		int32_t pool =
 			wwh_fleet_worker(view, wwh_plan_step(plan, i)->worker)
 				->pool;
-		wwh_tally_t *tally = wwh_tally_new(view, pool);
+		wwh_pool_budget_t *tally = wwh_pool_budget_new(view, pool);
 
 		for (int32_t j = 0; j < wwh_plan_step_count(plan); j++) {
 			const wwh_plan_step_t *step = wwh_plan_step(plan, j);
@@ -29,13 +29,14 @@
 			if (wwh_fleet_worker(view, step->worker)->pool ==
 				    pool &&
 			    step->start_ms <= now_ms && step->end_ms > now_ms)
-				wwh_tally_take(tally, step->worker);
+				wwh_pool_budget_mark_out(tally, step->worker);
 		}
-		assert_true(wwh_tally_holds(tally));
-		assert_true(wwh_tally_lost(tally) +
-				    wwh_tally_worst(tally, WWH_DOMAIN_RACK) <=
-			    wwh_tally_limit(tally));
-		wwh_tally_delete(tally);
+		assert_true(wwh_pool_budget_is_met(tally));
+		assert_true(wwh_pool_budget_lost(tally) +
+				    wwh_pool_budget_largest_domain(
+					    tally, WWH_DOMAIN_RACK) <=
+			    wwh_pool_budget_limit(tally));
+		wwh_pool_budget_delete(tally);
 	}
 }
 
@@ -130,7 +131,7 @@
 	assert_int_equal(capacity.limit, 4);
 	assert_int_equal(capacity.reserve_workers, 1);
 	assert_int_equal(capacity.room, 3);
-	assert_int_equal(capacity.binding, WWH_BINDING_RESERVE);
+	assert_int_equal(capacity.binding, WWH_CONSTRAINT_RESERVE);
 	assert_true(capacity.survives);
 	for (int32_t i = 0; i < 3; i++)
 		wwh_fleet_worker(view, wwh_fleet_member(view, 0, i))->state =
@@ -186,7 +187,7 @@
 {
 	fleet_fixture_t fixture = fleet_fixture_bounce();
 	wwh_fleet_view_t *view;
-	wwh_tally_t *tally;
+	wwh_pool_budget_t *tally;
 
 	(void)unused;
 	fixture.racks_by_pool = true;
@@ -196,16 +197,18 @@
 	fixture.rule.lose_per_rack = 2;
 	view = fleet_fixture_view(&fixture);
 	wwh_fleet_view_seal(view);
-	tally = wwh_tally_new(view, 0);
-	wwh_tally_take(tally, wwh_fleet_member(view, 0, 0));
-	wwh_tally_take(tally, wwh_fleet_member(view, 0, 1));
-	assert_int_equal(wwh_tally_allows(tally, wwh_fleet_member(view, 0, 2)),
-			 WWH_BINDING_RACK);
-	assert_int_equal(wwh_tally_allows(tally, wwh_fleet_member(view, 0, 4)),
-			 WWH_BINDING_NONE);
-	wwh_tally_take(tally, wwh_fleet_member(view, 0, 2));
-	assert_false(wwh_tally_holds(tally));
-	wwh_tally_delete(tally);
+	tally = wwh_pool_budget_new(view, 0);
+	wwh_pool_budget_mark_out(tally, wwh_fleet_member(view, 0, 0));
+	wwh_pool_budget_mark_out(tally, wwh_fleet_member(view, 0, 1));
+	assert_int_equal(
+		wwh_pool_budget_allows(tally, wwh_fleet_member(view, 0, 2)),
+		WWH_CONSTRAINT_LOSE_PER_RACK);
+	assert_int_equal(
+		wwh_pool_budget_allows(tally, wwh_fleet_member(view, 0, 4)),
+		WWH_CONSTRAINT_NONE);
+	wwh_pool_budget_mark_out(tally, wwh_fleet_member(view, 0, 2));
+	assert_false(wwh_pool_budget_is_met(tally));
+	wwh_pool_budget_delete(tally);
 	wwh_fleet_view_delete(view);
 }
 
--- a/src/test_pool_sizing/test_pool_sizing.c
+++ b/src/test_pool_sizing/test_pool_sizing.c
@@ -14,11 +14,11 @@
 #define HOST 32000
 #define POOL "desk"
 
-static wwh_pool_figures_t figures_of(int64_t work_left, int64_t usable)
+static wwh_pool_demand_t figures_of(int64_t remaining_work, int64_t usable)
 {
-	wwh_pool_figures_t figures = {
-		.work_left = work_left,
-		.usable_now = usable,
+	wwh_pool_demand_t figures = {
+		.remaining_work = remaining_work,
+		.usable_millicores = usable,
 		.host_millicores = HOST,
 	};
 
@@ -29,19 +29,20 @@
 {
 	wwh_pool_sizing_t *sizing = wwh_pool_sizing_new();
 	/* 600 cores for two seconds, all of it ready */
-	wwh_pool_figures_t figures =
-		figures_of(INT64_C(1200000) * 1000, 600000);
-	int32_t wanted = wwh_pool_sizing_wanted(sizing, POOL, &figures, 10000);
+	wwh_pool_demand_t figures = figures_of(INT64_C(1200000) * 1000, 600000);
+	int32_t wanted =
+		wwh_pool_sizing_desired_hosts(sizing, POOL, &figures, 10000);
 
 	(void)state;
 	/* 600 cores at 95% of 32 each */
 	assert_int_equal(wanted, 20);
 	/* of long chains only what can run now draws hosts */
-	figures.usable_now = 60000;
+	figures.usable_millicores = 60000;
 	wwh_pool_sizing_delete(sizing);
 	sizing = wwh_pool_sizing_new();
-	assert_int_equal(wwh_pool_sizing_wanted(sizing, POOL, &figures, 10000),
-			 2);
+	assert_int_equal(
+		wwh_pool_sizing_desired_hosts(sizing, POOL, &figures, 10000),
+		2);
 	wwh_pool_sizing_delete(sizing);
 }
 
@@ -52,14 +53,15 @@
 static void the_first_jobs_of_a_turn_draw_hosts_for_the_next(void **state)
 {
 	wwh_pool_sizing_t *sizing = wwh_pool_sizing_new();
-	wwh_pool_figures_t figures = figures_of(INT64_C(160000) * 1000, 160000);
-	int32_t alone = wwh_pool_sizing_wanted(sizing, "a", &figures, 10000);
+	wwh_pool_demand_t figures = figures_of(INT64_C(160000) * 1000, 160000);
+	int32_t alone =
+		wwh_pool_sizing_desired_hosts(sizing, "a", &figures, 10000);
 	int32_t forecast;
 
 	(void)state;
-	figures.arrived_work = figures.work_left;
-	figures.arrived_usable = figures.usable_now;
-	forecast = wwh_pool_sizing_wanted(sizing, "b", &figures, 10000);
+	figures.recent_work = figures.remaining_work;
+	figures.recent_millicores = figures.usable_millicores;
+	forecast = wwh_pool_sizing_desired_hosts(sizing, "b", &figures, 10000);
 	assert_true(forecast >= 2 * alone);
 	wwh_pool_sizing_delete(sizing);
 }
@@ -68,28 +70,30 @@
 static void a_short_pause_changes_nothing(void **state)
 {
 	wwh_pool_sizing_t *sizing = wwh_pool_sizing_new();
-	wwh_pool_figures_t busy = figures_of(INT64_C(1200000) * 1000, 600000);
-	wwh_pool_figures_t idle = figures_of(0, 0);
+	wwh_pool_demand_t busy = figures_of(INT64_C(1200000) * 1000, 600000);
+	wwh_pool_demand_t idle = figures_of(0, 0);
 
 	(void)state;
-	assert_int_equal(wwh_pool_sizing_wanted(sizing, POOL, &busy, 10000),
-			 20);
-	assert_int_equal(wwh_pool_sizing_wanted(sizing, POOL, &idle, 10400),
-			 20);
-	assert_int_equal(wwh_pool_sizing_wanted(sizing, POOL, &idle, 10600), 1);
+	assert_int_equal(
+		wwh_pool_sizing_desired_hosts(sizing, POOL, &busy, 10000), 20);
+	assert_int_equal(
+		wwh_pool_sizing_desired_hosts(sizing, POOL, &idle, 10400), 20);
+	assert_int_equal(
+		wwh_pool_sizing_desired_hosts(sizing, POOL, &idle, 10600), 1);
 	wwh_pool_sizing_delete(sizing);
 }
 
 static void hosts_with_lasting_tasks_are_kept(void **state)
 {
 	wwh_pool_sizing_t *sizing = wwh_pool_sizing_new();
-	wwh_pool_figures_t figures = figures_of(0, 0);
+	wwh_pool_demand_t figures = figures_of(0, 0);
 
 	(void)state;
 	figures.lasting = 20000;
-	figures.hosts_bound = 7;
-	assert_int_equal(wwh_pool_sizing_wanted(sizing, POOL, &figures, 10000),
-			 7);
+	figures.min_hosts = 7;
+	assert_int_equal(
+		wwh_pool_sizing_desired_hosts(sizing, POOL, &figures, 10000),
+		7);
 	wwh_pool_sizing_delete(sizing);
 }
 
@@ -101,16 +105,16 @@
 static void a_pool_keeps_one_host_whatever_is_known(void **state)
 {
 	wwh_pool_sizing_t *sizing = wwh_pool_sizing_new();
-	wwh_pool_figures_t figures =
-		figures_of(INT64_C(1200000) * 1000, 600000);
+	wwh_pool_demand_t figures = figures_of(INT64_C(1200000) * 1000, 600000);
 
 	(void)state;
 	figures.host_millicores = 0;
-	assert_int_equal(wwh_pool_sizing_wanted(sizing, POOL, &figures, 10000),
-			 1);
+	assert_int_equal(
+		wwh_pool_sizing_desired_hosts(sizing, POOL, &figures, 10000),
+		1);
 	figures = figures_of(0, 0);
-	assert_int_equal(wwh_pool_sizing_wanted(sizing, "b", &figures, 10000),
-			 1);
+	assert_int_equal(
+		wwh_pool_sizing_desired_hosts(sizing, "b", &figures, 10000), 1);
 	wwh_pool_sizing_delete(sizing);
 }
 
--- a/src/test_scheduler/test_scheduler.h
+++ b/src/test_scheduler/test_scheduler.h
@@ -10,11 +10,11 @@
 
 #define JOB_A "00000000000000aa"
 #define JOB_B "00000000000000bb"
-#define AT_1 "10.0.0.1:1"
-#define AT_2 "10.0.0.2:1"
-#define AT_3 "10.0.0.3:1"
+#define ENDPOINT_1 "10.0.0.1:1"
+#define ENDPOINT_2 "10.0.0.2:1"
+#define ENDPOINT_3 "10.0.0.3:1"
 
-/* A test whose *state is a rig with so many upstreams, u1 and on. */
+/* A test whose *state is a fixture with so many upstreams, u1 and on. */
 #define RIG_TEST(name, upstreams)                                              \
 	cmocka_unit_test_setup_teardown(name, rig_with_##upstreams,            \
 					rig_tear_down)
@@ -26,7 +26,7 @@
 int rig_tear_down(void **state);
 
 /* Polls at silent get no answer, all others find nothing new. */
-void answer_all_but(rig_t *rig, const char *silent);
+void answer_all_but(sched_fixture_t *fixture, const char *silent);
 
 #define JOB_TESTS                                                              \
 	RIG_TEST(a_step_waits_for_all_tasks_of_those_before_it, 1),            \
@@ -63,17 +63,15 @@
 #define RUN_TESTS                                                                    \
 	RIG_TEST(an_unanswered_start_is_settled_before_the_next, 2),                 \
 		RIG_TEST(an_unanswered_start_that_is_listed_goes_on, 1),             \
-		RIG_TEST(an_end_that_is_read_after_its_hosts_counts, 2),             \
-		RIG_TEST(an_upstream_is_forgotten_after_its_ends_are_kept, 2),       \
-		RIG_TEST(a_first_answer_that_is_lost_is_asked_for_again_soon,        \
-			 2),                                                         \
-		RIG_TEST(an_inherited_end_that_is_read_after_its_hosts_counts,       \
-			 2),                                                         \
-		RIG_TEST(an_upstream_that_ended_is_heard_for_a_moment_only,          \
-			 2),                                                         \
+		RIG_TEST(an_end_read_after_the_host_list_counts, 2),                 \
 		RIG_TEST(                                                            \
-			an_upstream_that_ended_without_a_word_is_not_waited_for,     \
+			an_upstream_record_is_deleted_after_its_ends_are_written,    \
 			2),                                                          \
+		RIG_TEST(a_lost_first_answer_is_polled_for_again_soon, 2),           \
+		RIG_TEST(an_inherited_end_read_after_the_host_list_counts, 2),       \
+		RIG_TEST(a_final_report_is_awaited_for_a_limited_time, 2),           \
+		RIG_TEST(a_terminated_upstream_is_removed_when_its_poll_fails,       \
+			 2),                                                         \
 		RIG_TEST(                                                            \
 			a_silent_upstream_keeps_its_tasks_until_its_lease_is_over,   \
 			1),                                                          \
@@ -104,12 +102,12 @@
 
 void an_unanswered_start_is_settled_before_the_next(void **state);
 void an_unanswered_start_that_is_listed_goes_on(void **state);
-void an_end_that_is_read_after_its_hosts_counts(void **state);
-void a_first_answer_that_is_lost_is_asked_for_again_soon(void **state);
-void an_inherited_end_that_is_read_after_its_hosts_counts(void **state);
-void an_upstream_that_ended_is_heard_for_a_moment_only(void **state);
-void an_upstream_is_forgotten_after_its_ends_are_kept(void **state);
-void an_upstream_that_ended_without_a_word_is_not_waited_for(void **state);
+void an_end_read_after_the_host_list_counts(void **state);
+void a_lost_first_answer_is_polled_for_again_soon(void **state);
+void an_inherited_end_read_after_the_host_list_counts(void **state);
+void a_final_report_is_awaited_for_a_limited_time(void **state);
+void an_upstream_record_is_deleted_after_its_ends_are_written(void **state);
+void a_terminated_upstream_is_removed_when_its_poll_fails(void **state);
 void a_silent_upstream_keeps_its_tasks_until_its_lease_is_over(void **state);
 void a_new_holder_asks_each_upstream_before_it_starts(void **state);
 void a_new_holder_waits_for_the_longest_lease(void **state);
@@ -127,29 +125,27 @@
 void a_failing_lasting_task_keeps_no_other_away(void **state);
 void a_task_that_goes_on_slowly_is_left_alone(void **state);
 
-#define UPSTREAM_TESTS                                                            \
-	RIG_TEST(first_polls_are_sent_as_answers_come, 0),                        \
-		RIG_TEST(silent_upstreams_hold_back_no_first_poll, 0),            \
-		RIG_TEST(a_host_that_has_not_answered_is_not_taken_down, 1),      \
-		RIG_TEST(a_host_stays_until_its_ends_are_durable, 1),             \
-		RIG_TEST(hosts_taken_down_together_share_what_a_step_may_miss,    \
-			 3),                                                      \
-		RIG_TEST(                                                         \
-			a_cordoned_host_gives_its_lasting_tasks_away_one_by_one,  \
-			2),                                                       \
-		RIG_TEST(                                                         \
-			a_stop_of_the_holder_before_counts_until_it_must_be_over, \
-			2),                                                       \
-		RIG_TEST(a_serving_gang_is_not_taken_apart, 2),                   \
-		RIG_TEST(a_cordoned_host_keeps_tasks_that_fit_nowhere_else,       \
-			 1),                                                      \
-		RIG_TEST(fillers_give_way_to_serving_tasks, 1),                   \
-		RIG_TEST(advice_is_asked_before_a_start_and_renewed, 2),          \
-		RIG_TEST(a_ticket_that_was_refused_is_asked_for_again, 1),        \
-		RIG_TEST(nothing_new_goes_to_a_leaving_upstream, 1),              \
-		RIG_TEST(nothing_starts_while_starts_are_held, 1),                \
-		RIG_TEST(a_workspace_starts_no_more_than_its_limit, 1),           \
-		RIG_TEST(what_a_holder_before_started_counts_for_the_limit, 1)
+#define UPSTREAM_TESTS                                                         \
+	RIG_TEST(first_polls_are_sent_as_answers_come, 0),                     \
+		RIG_TEST(silent_upstreams_hold_back_no_first_poll, 0),         \
+		RIG_TEST(a_host_that_has_not_answered_is_not_taken_down, 1),   \
+		RIG_TEST(a_host_stays_until_its_ends_are_durable, 1),          \
+		RIG_TEST(hosts_taken_down_together_share_what_a_step_may_miss, \
+			 3),                                                   \
+		RIG_TEST(a_cordoned_host_relocates_lasting_tasks_one_by_one,   \
+			 2),                                                   \
+		RIG_TEST(a_stop_by_the_previous_holder_counts_until_its_limit, \
+			 2),                                                   \
+		RIG_TEST(a_serving_gang_is_not_split, 2),                      \
+		RIG_TEST(a_cordoned_host_keeps_tasks_that_fit_nowhere_else,    \
+			 1),                                                   \
+		RIG_TEST(fillers_are_slowed_for_serving_tasks, 1),             \
+		RIG_TEST(advice_is_requested_before_a_start_and_renewed, 2),   \
+		RIG_TEST(a_refused_ticket_is_requested_again, 1),              \
+		RIG_TEST(a_leaving_upstream_gets_no_new_tasks, 1),             \
+		RIG_TEST(nothing_starts_while_starts_are_held, 1),             \
+		RIG_TEST(a_workspace_starts_no_more_than_its_limit, 1),        \
+		RIG_TEST(tasks_of_the_previous_holder_count_for_the_limit, 1)
 
 #define DAMAGE_TESTS                                                           \
 	RIG_TEST(an_upstream_whose_record_is_lost_is_asked_first, 2),          \
@@ -167,17 +163,17 @@
 void a_host_that_has_not_answered_is_not_taken_down(void **state);
 void a_host_stays_until_its_ends_are_durable(void **state);
 void hosts_taken_down_together_share_what_a_step_may_miss(void **state);
-void a_cordoned_host_gives_its_lasting_tasks_away_one_by_one(void **state);
-void a_stop_of_the_holder_before_counts_until_it_must_be_over(void **state);
-void a_serving_gang_is_not_taken_apart(void **state);
+void a_cordoned_host_relocates_lasting_tasks_one_by_one(void **state);
+void a_stop_by_the_previous_holder_counts_until_its_limit(void **state);
+void a_serving_gang_is_not_split(void **state);
 void a_cordoned_host_keeps_tasks_that_fit_nowhere_else(void **state);
-void fillers_give_way_to_serving_tasks(void **state);
-void advice_is_asked_before_a_start_and_renewed(void **state);
-void a_ticket_that_was_refused_is_asked_for_again(void **state);
-void nothing_new_goes_to_a_leaving_upstream(void **state);
+void fillers_are_slowed_for_serving_tasks(void **state);
+void advice_is_requested_before_a_start_and_renewed(void **state);
+void a_refused_ticket_is_requested_again(void **state);
+void a_leaving_upstream_gets_no_new_tasks(void **state);
 void nothing_starts_while_starts_are_held(void **state);
 void a_workspace_starts_no_more_than_its_limit(void **state);
-void what_a_holder_before_started_counts_for_the_limit(void **state);
+void tasks_of_the_previous_holder_count_for_the_limit(void **state);
 
 #define BACKLOG_TESTS                                                          \
 	RIG_TEST(a_pass_starts_a_limited_number_of_tasks, 1),                  \
@@ -191,12 +187,12 @@
 void a_recovery_takes_as_long_as_its_upstreams_answer(void **state);
 
 #define IDLE_TESTS                                                             \
-	RIG_TEST(many_idle_upstreams_share_a_rate_of_polls, 0),                \
-		RIG_TEST(few_idle_upstreams_are_polled_all_the_time, 0),       \
+	RIG_TEST(polls_of_many_idle_upstreams_are_rate_limited, 0),            \
+		RIG_TEST(few_idle_upstreams_are_polled_continuously, 0),       \
 		RIG_TEST(an_idle_upstream_is_used_and_polled_at_once, 0)
 
-void many_idle_upstreams_share_a_rate_of_polls(void **state);
-void few_idle_upstreams_are_polled_all_the_time(void **state);
+void polls_of_many_idle_upstreams_are_rate_limited(void **state);
+void few_idle_upstreams_are_polled_continuously(void **state);
 void an_idle_upstream_is_used_and_polled_at_once(void **state);
 
 #endif
--- a/src/test_scheduler/test_upstreams.c
+++ b/src/test_scheduler/test_upstreams.c
@@ -9,38 +9,41 @@
 
 /* The tasks of a serving job, by the upstream that they run on: u1, u2. */
 typedef struct {
-	wwh_running_t rows[2][SERVING_MAX];
+	wwh_running_task_t rows[2][SERVING_MAX];
 	int32_t counts[2];
 } serving_t;
 
 /* Submits a job whose tasks last; each is started, and its start answered. */
-static serving_t serve(rig_t *rig, wwh_job_t *job, int32_t max_unavailable)
+static serving_t serve(sched_fixture_t *fixture, wwh_job_t *job,
+		       int32_t max_unavailable)
 {
 	guint count = (guint)job->steps[0].task_count;
 	serving_t serving = { .counts = { 0 } };
 
 	job->steps[0].lasting = true;
 	job->steps[0].max_unavailable = max_unavailable;
-	rig_submit(rig, job);
-	assert_int_equal(rig->starts->len, count);
+	sched_fixture_submit(fixture, job);
+	assert_int_equal(fixture->starts->len, count);
 	for (guint i = 0; i < count; i++) {
-		rig_order_t *order = rig_order(rig->starts, i);
+		sched_fixture_order_t *order =
+			sched_fixture_order(fixture->starts, i);
 		int32_t at = strcmp(order->upstream, "u2") == 0;
 
-		rig_start_ended(rig, order, WWH_ORDER_DONE);
+		sched_fixture_handle_start_result(fixture, order,
+						  WWH_ORDER_DONE);
 		serving.rows[at][serving.counts[at]++] =
-			rig_running(order, 100);
+			sched_fixture_running_row(order, 100);
 	}
 	return serving;
 }
 
 /* Both upstreams say that all of it is at work. */
-static void all_at_work(rig_t *rig, const serving_t *serving)
+static void all_at_work(sched_fixture_t *fixture, const serving_t *serving)
 {
-	rig_answer_poll(rig, "u1", serving->rows[0], serving->counts[0], NULL,
-			0);
-	rig_answer_poll(rig, "u2", serving->rows[1], serving->counts[1], NULL,
-			0);
+	sched_fixture_answer_poll(fixture, "u1", serving->rows[0],
+				  serving->counts[0], NULL, 0);
+	sched_fixture_answer_poll(fixture, "u2", serving->rows[1],
+				  serving->counts[1], NULL, 0);
 }
 
 /*
@@ -50,18 +53,18 @@
  */
 void a_host_that_has_not_answered_is_not_taken_down(void **state)
 {
-	rig_t *rig = *state;
-	wwh_job_t *job = rig_job(JOB_A, 2, 1000);
+	sched_fixture_t *fixture = *state;
+	wwh_job_t *job = sched_fixture_job(JOB_A, 2, 1000);
 
 	job->steps[0].lasting = true;
 	job->steps[0].max_unavailable = 1;
-	rig_submit(rig, job);
-	assert_int_equal(rig->starts->len, 2);
-	rig_take_over(rig);
-	rig_announce(rig, "u1", AT_1, false);
-	rig_run(rig, 100);
-	assert_false(
-		wwh_scheduler_cordon(rig->scheduler, "u1", true, rig->now_ms));
+	sched_fixture_submit(fixture, job);
+	assert_int_equal(fixture->starts->len, 2);
+	sched_fixture_take_over(fixture);
+	sched_fixture_announce(fixture, "u1", ENDPOINT_1, false);
+	sched_fixture_run(fixture, 100);
+	assert_false(wwh_scheduler_cordon(fixture->scheduler, "u1", true,
+					  fixture->now_ms));
 }
 
 /*
@@ -73,20 +76,21 @@
  */
 void a_host_stays_until_its_ends_are_durable(void **state)
 {
-	rig_t *rig = *state;
-	wwh_ended_t ended;
-
-	rig_submit(rig, rig_job(JOB_A, 1, 1000));
-	rig_run(rig, 500);
-	ended = rig_ended(rig_order(rig->starts, 0), 1, WWH_END_DONE);
-	rig_answer_poll(rig, "u1", NULL, 0, &ended, 1);
-	assert_false(
-		wwh_scheduler_cordon(rig->scheduler, "u1", false, rig->now_ms));
-	assert_false(
-		wwh_scheduler_cordon(rig->scheduler, "u1", true, rig->now_ms));
-	rig_durable(rig);
-	assert_true(
-		wwh_scheduler_cordon(rig->scheduler, "u1", false, rig->now_ms));
+	sched_fixture_t *fixture = *state;
+	wwh_ended_task_t ended;
+
+	sched_fixture_submit(fixture, sched_fixture_job(JOB_A, 1, 1000));
+	sched_fixture_run(fixture, 500);
+	ended = sched_fixture_ended_row(sched_fixture_order(fixture->starts, 0),
+					1, WWH_END_DONE);
+	sched_fixture_answer_poll(fixture, "u1", NULL, 0, &ended, 1);
+	assert_false(wwh_scheduler_cordon(fixture->scheduler, "u1", false,
+					  fixture->now_ms));
+	assert_false(wwh_scheduler_cordon(fixture->scheduler, "u1", true,
+					  fixture->now_ms));
+	sched_fixture_make_durable(fixture);
+	assert_true(wwh_scheduler_cordon(fixture->scheduler, "u1", false,
+					 fixture->now_ms));
 }
 
 /*
@@ -96,30 +100,33 @@
  */
 void hosts_taken_down_together_share_what_a_step_may_miss(void **state)
 {
-	rig_t *rig = *state;
-	wwh_job_t *job = rig_job(JOB_A, 3, 1000);
+	sched_fixture_t *fixture = *state;
+	wwh_job_t *job = sched_fixture_job(JOB_A, 3, 1000);
 	char upstreams[3][32];
 
 	job->steps[0].lasting = true;
 	job->steps[0].max_per_upstream = 1;
 	job->steps[0].max_unavailable = 1;
-	rig_submit(rig, job);
-	assert_int_equal(rig->starts->len, 3);
-	rig_run(rig, 500);
+	sched_fixture_submit(fixture, job);
+	assert_int_equal(fixture->starts->len, 3);
+	sched_fixture_run(fixture, 500);
 	for (guint i = 0; i < 3; i++) {
-		rig_order_t *order = rig_order(rig->starts, i);
-		wwh_running_t running = rig_running(order, 100);
+		sched_fixture_order_t *order =
+			sched_fixture_order(fixture->starts, i);
+		wwh_running_task_t running =
+			sched_fixture_running_row(order, 100);
 
 		g_strlcpy(upstreams[i], order->upstream, sizeof(upstreams[i]));
-		rig_answer_poll(rig, upstreams[i], &running, 1, NULL, 0);
+		sched_fixture_answer_poll(fixture, upstreams[i], &running, 1,
+					  NULL, 0);
 	}
-	assert_true(wwh_scheduler_cordon(rig->scheduler, upstreams[0], true,
-					 rig->now_ms));
-	assert_false(wwh_scheduler_cordon(rig->scheduler, upstreams[1], true,
-					  rig->now_ms));
-	wwh_scheduler_uncordon(rig->scheduler, upstreams[0]);
-	assert_true(wwh_scheduler_cordon(rig->scheduler, upstreams[1], true,
-					 rig->now_ms));
+	assert_true(wwh_scheduler_cordon(fixture->scheduler, upstreams[0], true,
+					 fixture->now_ms));
+	assert_false(wwh_scheduler_cordon(fixture->scheduler, upstreams[1],
+					  true, fixture->now_ms));
+	wwh_scheduler_uncordon(fixture->scheduler, upstreams[0]);
+	assert_true(wwh_scheduler_cordon(fixture->scheduler, upstreams[1], true,
+					 fixture->now_ms));
 }
 
 /*
@@ -127,40 +134,45 @@
  * be taken down, and the wave ended late with that host undone. Its tasks are
  * started elsewhere one after the other, until what is left may be missed.
  */
-void a_cordoned_host_gives_its_lasting_tasks_away_one_by_one(void **state)
+void a_cordoned_host_relocates_lasting_tasks_one_by_one(void **state)
 {
-	rig_t *rig = *state;
-	serving_t serving = serve(rig, rig_job(JOB_A, 4, 1000), 1);
-	rig_order_t *moved;
-	wwh_ended_t ended;
+	sched_fixture_t *fixture = *state;
+	serving_t serving =
+		serve(fixture, sched_fixture_job(JOB_A, 4, 1000), 1);
+	sched_fixture_order_t *moved;
+	wwh_ended_task_t ended;
 
 	assert_int_equal(serving.counts[0], 2);
-	rig_run(rig, 500);
-	all_at_work(rig, &serving);
-	assert_false(
-		wwh_scheduler_cordon(rig->scheduler, "u1", true, rig->now_ms));
-	rig_run(rig, 100);
+	sched_fixture_run(fixture, 500);
+	all_at_work(fixture, &serving);
+	assert_false(wwh_scheduler_cordon(fixture->scheduler, "u1", true,
+					  fixture->now_ms));
+	sched_fixture_run(fixture, 100);
 	/* one, as the step may miss one */
-	assert_int_equal(rig->stops->len, 1);
-	moved = rig_order(rig->stops, 0);
+	assert_int_equal(fixture->stops->len, 1);
+	moved = sched_fixture_order(fixture->stops, 0);
 	assert_string_equal(moved->upstream, "u1");
-	ended = rig_ended(moved, 1, WWH_END_STOPPED);
+	ended = sched_fixture_ended_row(moved, 1, WWH_END_STOPPED);
 	if (strcmp(serving.rows[0][0].task, moved->task) == 0)
 		serving.rows[0][0] = serving.rows[0][1];
-	rig_answer_poll(rig, "u1", serving.rows[0], 1, &ended, 1);
-	rig_run(rig, 100);
-	assert_int_equal(rig->starts->len, 5);
-	assert_string_equal(rig_order(rig->starts, 4)->upstream, "u2");
+	sched_fixture_answer_poll(fixture, "u1", serving.rows[0], 1, &ended, 1);
+	sched_fixture_run(fixture, 100);
+	assert_int_equal(fixture->starts->len, 5);
+	assert_string_equal(sched_fixture_order(fixture->starts, 4)->upstream,
+			    "u2");
 	/* it isn't at work yet: what is left on u1 can't be missed */
-	assert_false(
-		wwh_scheduler_cordon(rig->scheduler, "u1", true, rig->now_ms));
-	rig_start_ended(rig, rig_order(rig->starts, 4), WWH_ORDER_DONE);
-	serving.rows[1][2] = rig_running(rig_order(rig->starts, 4), 100);
-	rig_run(rig, 500);
-	rig_answer_poll(rig, "u2", serving.rows[1], 3, NULL, 0);
-	assert_true(
-		wwh_scheduler_cordon(rig->scheduler, "u1", true, rig->now_ms));
-	assert_int_equal(rig->stops->len, 1);
+	assert_false(wwh_scheduler_cordon(fixture->scheduler, "u1", true,
+					  fixture->now_ms));
+	sched_fixture_handle_start_result(
+		fixture, sched_fixture_order(fixture->starts, 4),
+		WWH_ORDER_DONE);
+	serving.rows[1][2] = sched_fixture_running_row(
+		sched_fixture_order(fixture->starts, 4), 100);
+	sched_fixture_run(fixture, 500);
+	sched_fixture_answer_poll(fixture, "u2", serving.rows[1], 3, NULL, 0);
+	assert_true(wwh_scheduler_cordon(fixture->scheduler, "u1", true,
+					 fixture->now_ms));
+	assert_int_equal(fixture->stops->len, 1);
 }
 
 /*
@@ -168,230 +180,246 @@
  * next one goes on with the wave, hears that all tasks are at work, as the stop
  * takes its time, and stopped a second one: the step missed two.
  */
-void a_stop_of_the_holder_before_counts_until_it_must_be_over(void **state)
+void a_stop_by_the_previous_holder_counts_until_its_limit(void **state)
 {
-	rig_t *rig = *state;
-	serving_t serving = serve(rig, rig_job(JOB_A, 4, 1000), 1);
-
-	rig_take_over(rig);
-	rig_announce(rig, "u1", AT_1, false);
-	rig_announce(rig, "u2", AT_2, false);
-	rig_run(rig, 1);
-	all_at_work(rig, &serving);
-	rig_run(rig, 1);
-	rig_durable(rig);
-	(void)wwh_scheduler_cordon(rig->scheduler, "u1", true, rig->now_ms);
-	rig_run(rig, 100);
-	assert_int_equal(rig->stops->len, 0);
+	sched_fixture_t *fixture = *state;
+	serving_t serving =
+		serve(fixture, sched_fixture_job(JOB_A, 4, 1000), 1);
+
+	sched_fixture_take_over(fixture);
+	sched_fixture_announce(fixture, "u1", ENDPOINT_1, false);
+	sched_fixture_announce(fixture, "u2", ENDPOINT_2, false);
+	sched_fixture_run(fixture, 1);
+	all_at_work(fixture, &serving);
+	sched_fixture_run(fixture, 1);
+	sched_fixture_make_durable(fixture);
+	(void)wwh_scheduler_cordon(fixture->scheduler, "u1", true,
+				   fixture->now_ms);
+	sched_fixture_run(fixture, 100);
+	assert_int_equal(fixture->stops->len, 0);
 	/* heard of again after the longest stop */
-	rig_run(rig, rig->options.stop_limit_ms);
-	all_at_work(rig, &serving);
-	rig_run(rig, 1);
-	assert_int_equal(rig->stops->len, 1);
+	sched_fixture_run(fixture, fixture->options.stop_limit_ms);
+	all_at_work(fixture, &serving);
+	sched_fixture_run(fixture, 1);
+	assert_int_equal(fixture->stops->len, 1);
 }
 
 /*
  * A gang that serves has one member on a host of a wave. Its step may miss one
  * task; but with that member all others end, so it is left where it is.
  */
-void a_serving_gang_is_not_taken_apart(void **state)
+void a_serving_gang_is_not_split(void **state)
 {
-	rig_t *rig = *state;
-	wwh_job_t *job = rig_job(JOB_A, SERVING_MAX, 1000);
+	sched_fixture_t *fixture = *state;
+	wwh_job_t *job = sched_fixture_job(JOB_A, SERVING_MAX, 1000);
 	serving_t serving;
 	const char *few;
 
 	job->steps[0].gang = true;
-	serving = serve(rig, job, SERVING_MAX / 2);
-	rig_run(rig, 500);
-	all_at_work(rig, &serving);
+	serving = serve(fixture, job, SERVING_MAX / 2);
+	sched_fixture_run(fixture, 500);
+	all_at_work(fixture, &serving);
 	few = serving.counts[0] < serving.counts[1] ? "u1" : "u2";
 	assert_true(MIN(serving.counts[0], serving.counts[1]) <=
 		    SERVING_MAX / 2);
-	assert_false(
-		wwh_scheduler_cordon(rig->scheduler, few, true, rig->now_ms));
-	rig_run(rig, 100);
-	assert_int_equal(rig->stops->len, 0);
+	assert_false(wwh_scheduler_cordon(fixture->scheduler, few, true,
+					  fixture->now_ms));
+	sched_fixture_run(fixture, 100);
+	assert_int_equal(fixture->stops->len, 0);
 }
 
 /* A stop would only take the task away: there is nowhere to start it. */
 void a_cordoned_host_keeps_tasks_that_fit_nowhere_else(void **state)
 {
-	rig_t *rig = *state;
-	wwh_job_t *job = rig_job(JOB_A, 2, 1000);
-	wwh_running_t rows[2];
+	sched_fixture_t *fixture = *state;
+	wwh_job_t *job = sched_fixture_job(JOB_A, 2, 1000);
+	wwh_running_task_t rows[2];
 
 	job->steps[0].lasting = true;
 	job->steps[0].max_unavailable = 1;
-	rig_submit(rig, job);
+	sched_fixture_submit(fixture, job);
 	for (guint i = 0; i < 2; i++) {
-		rig_start_ended(rig, rig_order(rig->starts, i), WWH_ORDER_DONE);
-		rows[i] = rig_running(rig_order(rig->starts, i), 100);
+		sched_fixture_handle_start_result(
+			fixture, sched_fixture_order(fixture->starts, i),
+			WWH_ORDER_DONE);
+		rows[i] = sched_fixture_running_row(
+			sched_fixture_order(fixture->starts, i), 100);
 	}
-	rig_run(rig, 500);
-	rig_answer_poll(rig, "u1", rows, 2, NULL, 0);
-	assert_false(
-		wwh_scheduler_cordon(rig->scheduler, "u1", true, rig->now_ms));
-	rig_run(rig, 100);
-	assert_int_equal(rig->stops->len, 0);
+	sched_fixture_run(fixture, 500);
+	sched_fixture_answer_poll(fixture, "u1", rows, 2, NULL, 0);
+	assert_false(wwh_scheduler_cordon(fixture->scheduler, "u1", true,
+					  fixture->now_ms));
+	sched_fixture_run(fixture, 100);
+	assert_int_equal(fixture->stops->len, 0);
 }
 
 /*
  * Users of a serving task wait too long because a filler runs beside it. The
  * filler is stopped in place at once, and let go by steps afterwards.
  */
-void fillers_give_way_to_serving_tasks(void **state)
+void fillers_are_slowed_for_serving_tasks(void **state)
 {
-	rig_t *rig = *state;
-	wwh_job_t *serving = rig_job(JOB_A, 1, 1000);
-	wwh_job_t *filler = rig_job(JOB_B, 1, 1000);
-	wwh_running_t rows[2];
+	sched_fixture_t *fixture = *state;
+	wwh_job_t *serving = sched_fixture_job(JOB_A, 1, 1000);
+	wwh_job_t *filler = sched_fixture_job(JOB_B, 1, 1000);
+	wwh_running_task_t rows[2];
 
 	serving->steps[0].lasting = true;
 	serving->steps[0].latency_target_ms = 200;
 	filler->steps[0].filler = true;
-	rig_submit(rig, serving);
-	rig_submit(rig, filler);
-	assert_int_equal(rig->starts->len, 2);
+	sched_fixture_submit(fixture, serving);
+	sched_fixture_submit(fixture, filler);
+	assert_int_equal(fixture->starts->len, 2);
 	for (guint i = 0; i < 2; i++) {
-		rows[i] = rig_running(rig_order(rig->starts, i), 100);
-		rig_start_ended(rig, rig_order(rig->starts, i), WWH_ORDER_DONE);
+		rows[i] = sched_fixture_running_row(
+			sched_fixture_order(fixture->starts, i), 100);
+		sched_fixture_handle_start_result(
+			fixture, sched_fixture_order(fixture->starts, i),
+			WWH_ORDER_DONE);
 	}
 	rows[0].tail_ms = 300;
-	rig_run(rig, 1000);
-	rig_answer_poll(rig, "u1", rows, 2, NULL, 0);
-	assert_int_equal(rig->paces, 1);
-	assert_int_equal(rig->last_pace, 0);
-	wwh_scheduler_pace_ended(rig->scheduler, "u1", rows[1].task, 1,
-				 WWH_ORDER_DONE, rig->now_ms);
+	sched_fixture_run(fixture, 1000);
+	sched_fixture_answer_poll(fixture, "u1", rows, 2, NULL, 0);
+	assert_int_equal(fixture->pace_count, 1);
+	assert_int_equal(fixture->last_pace, 0);
+	wwh_scheduler_handle_pace_result(fixture->scheduler, "u1", rows[1].task,
+					 1, WWH_ORDER_DONE, fixture->now_ms);
 	rows[0].tail_ms = 50;
 	for (int32_t pace = 25; pace <= 100; pace += 25) {
-		rig_run(rig, 1000);
+		sched_fixture_run(fixture, 1000);
 		rows[1].percent = pace;
-		rig_answer_poll(rig, "u1", rows, 2, NULL, 0);
-		assert_int_equal(rig->last_pace, pace);
-		wwh_scheduler_pace_ended(rig->scheduler, "u1", rows[1].task, 1,
-					 WWH_ORDER_DONE, rig->now_ms);
+		sched_fixture_answer_poll(fixture, "u1", rows, 2, NULL, 0);
+		assert_int_equal(fixture->last_pace, pace);
+		wwh_scheduler_handle_pace_result(
+			fixture->scheduler, "u1", rows[1].task, 1,
+			WWH_ORDER_DONE, fixture->now_ms);
 	}
-	rig_run(rig, 1000);
-	rig_answer_poll(rig, "u1", rows, 2, NULL, 0);
-	assert_int_equal(rig->paces, 5);
+	sched_fixture_run(fixture, 1000);
+	sched_fixture_answer_poll(fixture, "u1", rows, 2, NULL, 0);
+	assert_int_equal(fixture->pace_count, 5);
 }
 
 /* A queue's policy admits only some upstreams; their tickets expire. */
-void advice_is_asked_before_a_start_and_renewed(void **state)
+void advice_is_requested_before_a_start_and_renewed(void **state)
 {
-	rig_t *rig = *state;
-	wwh_job_t *job = rig_job(JOB_A, 12, 1000);
+	sched_fixture_t *fixture = *state;
+	wwh_job_t *job = sched_fixture_job(JOB_A, 12, 1000);
 	wwh_advice_ticket_t admitted = { .upstream = "u2", .ticket = "t" };
 
 	job->queue.advice_valid_ms = 3000;
-	rig_submit(rig, job);
-	assert_int_equal(rig->starts->len, 0);
-	assert_int_equal(rig->advices, 1);
-	assert_int_equal(rig->advised_upstreams, 2);
-	assert_string_equal(rig->advised_step, JOB_A ".0.0");
-	wwh_scheduler_advised(rig->scheduler, JOB_A ".0.0", &admitted, 1, 3000,
-			      rig->now_ms);
-	rig_run(rig, 1);
-	assert_int_equal(rig->starts->len, 8);
+	sched_fixture_submit(fixture, job);
+	assert_int_equal(fixture->starts->len, 0);
+	assert_int_equal(fixture->advice_count, 1);
+	assert_int_equal(fixture->advised_upstreams, 2);
+	assert_string_equal(fixture->advised_step, JOB_A ".0.0");
+	wwh_scheduler_handle_advice(fixture->scheduler, JOB_A ".0.0", &admitted,
+				    1, 3000, fixture->now_ms);
+	sched_fixture_run(fixture, 1);
+	assert_int_equal(fixture->starts->len, 8);
 	for (guint i = 0; i < 8; i++)
-		assert_string_equal(rig_order(rig->starts, i)->upstream, "u2");
+		assert_string_equal(
+			sched_fixture_order(fixture->starts, i)->upstream,
+			"u2");
 	/* the answer doesn't change: only the ticket is asked for anew */
-	rig_run(rig, 3500);
-	answer_all_but(rig, "");
-	rig_run(rig, 1000);
-	assert_int_equal(rig->advices, 2);
-	assert_int_equal(rig->advised_upstreams, 1);
+	sched_fixture_run(fixture, 3500);
+	answer_all_but(fixture, "");
+	sched_fixture_run(fixture, 1000);
+	assert_int_equal(fixture->advice_count, 2);
+	assert_int_equal(fixture->advised_upstreams, 1);
 }
 
-void nothing_new_goes_to_a_leaving_upstream(void **state)
+void a_leaving_upstream_gets_no_new_tasks(void **state)
 {
-	rig_t *rig = *state;
+	sched_fixture_t *fixture = *state;
 
-	rig_announce(rig, "u1", AT_1, true);
-	rig_submit(rig, rig_job(JOB_A, 1, 1000));
-	rig_run(rig, 500);
-	assert_int_equal(rig->starts->len, 0);
+	sched_fixture_announce(fixture, "u1", ENDPOINT_1, true);
+	sched_fixture_submit(fixture, sched_fixture_job(JOB_A, 1, 1000));
+	sched_fixture_run(fixture, 500);
+	assert_int_equal(fixture->starts->len, 0);
 }
 
 /* Guards against starts by announcements that are too old. */
 void nothing_starts_while_starts_are_held(void **state)
 {
-	rig_t *rig = *state;
-
-	wwh_scheduler_hold_starts(rig->scheduler, true);
-	rig_submit(rig, rig_job(JOB_A, 1, 1000));
-	rig_run(rig, 500);
-	assert_int_equal(rig->starts->len, 0);
-	wwh_scheduler_hold_starts(rig->scheduler, false);
-	rig_run(rig, 1);
-	assert_int_equal(rig->starts->len, 1);
+	sched_fixture_t *fixture = *state;
+
+	wwh_scheduler_hold_starts(fixture->scheduler, true);
+	sched_fixture_submit(fixture, sched_fixture_job(JOB_A, 1, 1000));
+	sched_fixture_run(fixture, 500);
+	assert_int_equal(fixture->starts->len, 0);
+	wwh_scheduler_hold_starts(fixture->scheduler, false);
+	sched_fixture_run(fixture, 1);
+	assert_int_equal(fixture->starts->len, 1);
 }
 
-static void limit_cpu(rig_t *rig, int64_t millicores)
+static void limit_cpu(sched_fixture_t *fixture, int64_t millicores)
 {
 	wwh_load_t limit = { .cpu_millicores = millicores };
 
-	wwh_scheduler_clear_limits(rig->scheduler);
-	wwh_scheduler_limit_workspace(rig->scheduler, "w", &limit);
+	wwh_scheduler_clear_limits(fixture->scheduler);
+	wwh_scheduler_limit_workspace(fixture->scheduler, "w", &limit);
 }
 
 /* Guards against a workspace that has more at work than its limit. */
 void a_workspace_starts_no_more_than_its_limit(void **state)
 {
-	rig_t *rig = *state;
-	wwh_job_t *job = rig_job(JOB_A, 5, 1000);
-	wwh_running_t running[2];
-	wwh_ended_t ended;
+	sched_fixture_t *fixture = *state;
+	wwh_job_t *job = sched_fixture_job(JOB_A, 5, 1000);
+	wwh_running_task_t running[2];
+	wwh_ended_task_t ended;
 
 	job->workspace = g_strdup("w");
-	limit_cpu(rig, 2000);
-	rig_submit(rig, job);
-	assert_int_equal(rig->starts->len, 2);
+	limit_cpu(fixture, 2000);
+	sched_fixture_submit(fixture, job);
+	assert_int_equal(fixture->starts->len, 2);
 	/* another workspace's job isn't held up behind it */
-	rig_submit(rig, rig_job(JOB_B, 1, 1000));
-	assert_int_equal(rig->starts->len, 3);
+	sched_fixture_submit(fixture, sched_fixture_job(JOB_B, 1, 1000));
+	assert_int_equal(fixture->starts->len, 3);
 	/* an end makes room for one more, and a lower limit for none */
 	for (guint i = 0; i < 3; i++)
-		rig_start_ended(rig, rig_order(rig->starts, i), WWH_ORDER_DONE);
-	ended = rig_ended(rig_order(rig->starts, 0), 1, WWH_END_DONE);
-	running[0] = rig_running(rig_order(rig->starts, 1), 50);
-	running[1] = rig_running(rig_order(rig->starts, 2), 50);
-	rig_run(rig, 300);
-	rig_answer_poll(rig, "u1", running, 2, &ended, 1);
-	rig_run(rig, 300);
-	assert_int_equal(rig->starts->len, 4);
-	limit_cpu(rig, 1000);
-	rig_run(rig, 300);
-	assert_int_equal(rig->starts->len, 4);
+		sched_fixture_handle_start_result(
+			fixture, sched_fixture_order(fixture->starts, i),
+			WWH_ORDER_DONE);
+	ended = sched_fixture_ended_row(sched_fixture_order(fixture->starts, 0),
+					1, WWH_END_DONE);
+	running[0] = sched_fixture_running_row(
+		sched_fixture_order(fixture->starts, 1), 50);
+	running[1] = sched_fixture_running_row(
+		sched_fixture_order(fixture->starts, 2), 50);
+	sched_fixture_run(fixture, 300);
+	sched_fixture_answer_poll(fixture, "u1", running, 2, &ended, 1);
+	sched_fixture_run(fixture, 300);
+	assert_int_equal(fixture->starts->len, 4);
+	limit_cpu(fixture, 1000);
+	sched_fixture_run(fixture, 300);
+	assert_int_equal(fixture->starts->len, 4);
 }
 
 /*
  * Guards against starts beside tasks of the holder before, which run where no
  * upstream has answered yet.
  */
-void what_a_holder_before_started_counts_for_the_limit(void **state)
+void tasks_of_the_previous_holder_count_for_the_limit(void **state)
 {
-	rig_t *rig = *state;
-	wwh_job_t *first = rig_job(JOB_A, 2, 1000);
-	wwh_job_t *next = rig_job(JOB_B, 2, 1000);
+	sched_fixture_t *fixture = *state;
+	wwh_job_t *first = sched_fixture_job(JOB_A, 2, 1000);
+	wwh_job_t *next = sched_fixture_job(JOB_B, 2, 1000);
 
 	first->workspace = g_strdup("w");
 	next->workspace = g_strdup("w");
-	limit_cpu(rig, 2000);
-	rig_submit(rig, first);
-	assert_int_equal(rig->starts->len, 2);
-	rig_take_over(rig);
-	limit_cpu(rig, 2000);
-	rig_add_upstream(rig, "u2", AT_2);
-	rig_submit(rig, next);
-	rig_run(rig, 100);
-	assert_int_equal(rig->starts->len, 2);
+	limit_cpu(fixture, 2000);
+	sched_fixture_submit(fixture, first);
+	assert_int_equal(fixture->starts->len, 2);
+	sched_fixture_take_over(fixture);
+	limit_cpu(fixture, 2000);
+	sched_fixture_add_upstream(fixture, "u2", ENDPOINT_2);
+	sched_fixture_submit(fixture, next);
+	sched_fixture_run(fixture, 100);
+	assert_int_equal(fixture->starts->len, 2);
 	/* nothing runs there: its own tasks start again, and no others */
-	rig_answer_poll(rig, "u1", NULL, 0, NULL, 0);
-	rig_run(rig, 300);
-	assert_int_equal(rig->starts->len, 4);
+	sched_fixture_answer_poll(fixture, "u1", NULL, 0, NULL, 0);
+	sched_fixture_run(fixture, 300);
+	assert_int_equal(fixture->starts->len, 4);
 }
 
 /*
@@ -400,27 +428,29 @@
  * it is taken as asked about and not admitted: the caller's lasting task is
  * never started there again, though the pool has room.
  */
-void a_ticket_that_was_refused_is_asked_for_again(void **state)
+void a_refused_ticket_is_requested_again(void **state)
 {
-	rig_t *rig = *state;
-	wwh_job_t *job = rig_job(JOB_A, 1, 1000);
+	sched_fixture_t *fixture = *state;
+	wwh_job_t *job = sched_fixture_job(JOB_A, 1, 1000);
 	wwh_advice_ticket_t admitted = { .upstream = "u1", .ticket = "t" };
 
 	job->steps[0].lasting = true;
 	job->queue.advice_valid_ms = 3000;
-	rig_submit(rig, job);
-	assert_int_equal(rig->advices, 1);
-	wwh_scheduler_advised(rig->scheduler, JOB_A ".0.0", &admitted, 1, 3000,
-			      rig->now_ms);
-	rig_run(rig, 1);
-	assert_int_equal(rig->starts->len, 1);
-	rig_start_ended(rig, rig_order(rig->starts, 0), WWH_ORDER_NO_TICKET);
+	sched_fixture_submit(fixture, job);
+	assert_int_equal(fixture->advice_count, 1);
+	wwh_scheduler_handle_advice(fixture->scheduler, JOB_A ".0.0", &admitted,
+				    1, 3000, fixture->now_ms);
+	sched_fixture_run(fixture, 1);
+	assert_int_equal(fixture->starts->len, 1);
+	sched_fixture_handle_start_result(
+		fixture, sched_fixture_order(fixture->starts, 0),
+		WWH_ORDER_NO_TICKET);
 	for (int32_t i = 0; i < 20; i++) {
-		rig_run(rig, 500);
-		answer_all_but(rig, "");
+		sched_fixture_run(fixture, 500);
+		answer_all_but(fixture, "");
 	}
-	assert_int_equal(rig->advices, 2);
-	assert_int_equal(rig->advised_upstreams, 1);
+	assert_int_equal(fixture->advice_count, 2);
+	assert_int_equal(fixture->advised_upstreams, 1);
 }
 
 /* Upstreams of a large pool, named "u1" and on. */
@@ -435,16 +465,16 @@
 }
 
 /* A pool of MANY upstreams that a new holder has just taken over. */
-static void take_over_many(rig_t *rig)
+static void take_over_many(sched_fixture_t *fixture)
 {
 	for (int32_t i = 1; i <= MANY; i++) {
 		char endpoint[32];
 
 		snprintf(endpoint, sizeof(endpoint), "10.1.0.1:%d", i);
-		rig_add_upstream(rig, name_of(i), endpoint);
+		sched_fixture_add_upstream(fixture, name_of(i), endpoint);
 	}
-	rig_take_over(rig);
-	rig_run(rig, 1);
+	sched_fixture_take_over(fixture);
+	sched_fixture_run(fixture, 1);
 }
 
 /*
@@ -453,17 +483,19 @@
  */
 void first_polls_are_sent_as_answers_come(void **state)
 {
-	rig_t *rig = *state;
+	sched_fixture_t *fixture = *state;
 	int32_t asked = 0;
 
-	take_over_many(rig);
-	while (rig->polls->len > 0) {
-		rig_poll_t poll = g_array_index(rig->polls, rig_poll_t, 0);
+	take_over_many(fixture);
+	while (fixture->polls->len > 0) {
+		sched_fixture_poll_t poll =
+			g_array_index(fixture->polls, sched_fixture_poll_t, 0);
 
-		assert_in_range(rig->polls->len, 1, MANY / 2);
-		rig_answer_poll(rig, poll.upstream, NULL, 0, NULL, 0);
+		assert_in_range(fixture->polls->len, 1, MANY / 2);
+		sched_fixture_answer_poll(fixture, poll.upstream, NULL, 0, NULL,
+					  0);
 		asked++;
-		rig_run(rig, 0);
+		sched_fixture_run(fixture, 0);
 	}
 	assert_int_equal(asked, MANY);
 }
@@ -474,26 +506,27 @@
  */
 void silent_upstreams_hold_back_no_first_poll(void **state)
 {
-	rig_t *rig = *state;
+	sched_fixture_t *fixture = *state;
 	GHashTable *asked =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 
-	take_over_many(rig);
+	take_over_many(fixture);
 	for (int32_t round = 0; round < 4 && g_hash_table_size(asked) < MANY;
 	     round++) {
-		while (rig->polls->len > 0) {
-			rig_poll_t poll =
-				g_array_index(rig->polls, rig_poll_t, 0);
+		while (fixture->polls->len > 0) {
+			sched_fixture_poll_t poll = g_array_index(
+				fixture->polls, sched_fixture_poll_t, 0);
 
 			assert_true(g_hash_table_add(asked,
 						     g_strdup(poll.upstream)));
-			(void)rig_take_poll(rig, poll.upstream);
-			wwh_scheduler_poll_failed(rig->scheduler, poll.upstream,
-						  false, rig->now_ms);
+			(void)sched_fixture_pop_poll(fixture, poll.upstream);
+			wwh_scheduler_handle_poll_failure(fixture->scheduler,
+							  poll.upstream, false,
+							  fixture->now_ms);
 			if (g_hash_table_size(asked) == MANY)
 				break;
 		}
-		rig_run(rig, 150);
+		sched_fixture_run(fixture, 150);
 	}
 	assert_int_equal(g_hash_table_size(asked), MANY);
 	g_hash_table_destroy(asked);
