--- a/src/libwaxwinghollow/job_holder.c
+++ b/src/libwaxwinghollow/job_holder.c
@@ -96,9 +96,9 @@
 		.endpoint = options->settings->store,
 		.topic = WIRE_TOPIC_UPSTREAMS,
 		.wait_ms = UPSTREAMS_WAIT_MS,
-		.gap_ms = UPSTREAMS_GAP_MS,
+		.read_interval_ms = UPSTREAMS_GAP_MS,
 		.on_record = job_holder_on_upstream,
-		.on_nameless = job_holder_on_keyless_upstream,
+		.on_unreadable_key = job_holder_on_keyless_upstream,
 		.on_reach = on_store_reachable,
 		.client_data = holder,
 	};
@@ -329,8 +329,8 @@
 	/* the first start at an upstream waits for this record */
 	bool urgent = holder->urgent ||
 		      (kind == WWH_SCHEDULER_RECORD_UPSTREAM && value != NULL);
-	int64_t number = wwh_shard_journal_keep(holder->journal, journal_key,
-						value, urgent, holder->now_ms);
+	int64_t number = wwh_shard_journal_append(
+		holder->journal, journal_key, value, urgent, holder->now_ms);
 
 	/* an unreadable record of this key is replaced now */
 	if (value == NULL)
@@ -359,8 +359,9 @@
 		.producer = holder->options.producer,
 		.epoch = holder->options.epoch,
 		.next_sequence = holder->options.next_sequence,
-		.call_bytes = holder->options.settings->store_call_max_bytes,
-		.group_ms = RECORD_GROUP_MS,
+		.max_call_bytes =
+			holder->options.settings->store_call_max_bytes,
+		.batch_delay_ms = RECORD_GROUP_MS,
 		.on_durable = on_durable,
 		.on_lost = on_journal_lost,
 		.client_data = holder,
@@ -541,8 +542,8 @@
 {
 	if (suspended && holder->unconfirmed_since_ms == 0) {
 		holder->unconfirmed_since_ms = holder->now_ms;
-		(void)wwh_shard_journal_keep(holder->journal, CONFIRM_KEY, NULL,
-					     true, holder->now_ms);
+		(void)wwh_shard_journal_append(holder->journal, CONFIRM_KEY,
+					       NULL, true, holder->now_ms);
 	}
 	return holder->unconfirmed_since_ms == 0;
 }
@@ -582,6 +583,6 @@
 	}
 	if (holder->now_ms - confirmed_ms >= CONFIRM_PERIOD_MS &&
 	    wwh_shard_journal_lag_ms(holder->journal, holder->now_ms) == 0)
-		(void)wwh_shard_journal_keep(holder->journal, CONFIRM_KEY, NULL,
-					     true, holder->now_ms);
+		(void)wwh_shard_journal_append(holder->journal, CONFIRM_KEY,
+					       NULL, true, holder->now_ms);
 }
--- a/src/libwaxwinghollow/job_service_events.c
+++ b/src/libwaxwinghollow/job_service_events.c
@@ -39,7 +39,7 @@
 static void apply_config(wwh_job_service_t *service, const char *key,
 			 const uint8_t *value, size_t size);
 static void on_store_reachability(bool reached, const char *why, void *data);
-static void on_shard_held(const wwh_held_t *held, void *data);
+static void on_shard_held(const wwh_shard_holding_t *held, void *data);
 static void on_shard_lost(const char *why, void *data);
 static void on_holder_changed(const char *address, int64_t epoch, void *data);
 static void log_claim_event(const char *event, const char *detail, void *data);
@@ -56,8 +56,8 @@
 		.group = GROUP,
 		.self = service->own_address,
 		.producer = PRODUCER,
-		.reluctant = service->settings.cpu_permille <
-			     HOLDER_MIN_CPU_PERMILLE,
+		.is_standby = service->settings.cpu_permille <
+			      HOLDER_MIN_CPU_PERMILLE,
 		.member_ttl_ms =
 			MAX(MEMBER_TTL_MS, service->settings.member_ttl_min_ms),
 		.bad_records = service->bad_claims,
@@ -72,7 +72,7 @@
 		.topic = WIRE_TOPIC_OPERATOR,
 		.wait_ms = OPERATOR_READ_WAIT_MS,
 		.on_record = on_operator_record,
-		.on_nameless = on_unkeyed_record,
+		.on_unreadable_key = on_unkeyed_record,
 		.on_reach = on_store_reachability,
 		.client_data = service,
 	};
@@ -172,7 +172,7 @@
 			     "operator", "result=%s", why);
 }
 
-static void on_shard_held(const wwh_held_t *held, void *data)
+static void on_shard_held(const wwh_shard_holding_t *held, void *data)
 {
 	wwh_job_service_t *service = data;
 	wwh_job_holder_options_t options = {
@@ -216,7 +216,8 @@
 	wwh_job_service_t *service = data;
 
 	if (job_service_detach_holder(service, why))
-		wwh_shard_claim_lost(service->claim, job_service_now_ms());
+		wwh_shard_claim_handle_loss(service->claim,
+					    job_service_now_ms());
 }
 
 bool job_service_detach_holder(wwh_job_service_t *service, const char *why)
--- a/src/libwaxwinghollow/job_service_http.c
+++ b/src/libwaxwinghollow/job_service_http.c
@@ -225,16 +225,17 @@
 static wwh_shard_answer_t current_shard_answer(const wwh_job_service_t *service)
 {
 	if (service->claims_shard && !service->stopping)
-		return WWH_SHARD_UNSURE;
+		return WWH_SHARD_UNCONFIRMED;
 	if (!service->holds_shard && service->handed_over)
-		return service->handed_over_early ? WWH_SHARD_HANDED_OVER_EARLY
-						  : WWH_SHARD_HANDED_OVER;
+		return service->handed_over_early
+			       ? WWH_SHARD_HANDED_OVER_ORDERS_PENDING
+			       : WWH_SHARD_HANDED_OVER;
 	if (!service->holds_shard ||
 	    (service->stopping && !service->host_orders_pending))
 		return WWH_SHARD_NOT_HELD;
 	if (service->yields_shard)
 		return WWH_SHARD_YIELDS;
-	return service->reaches_store ? WWH_SHARD_HELD : WWH_SHARD_UNSURE;
+	return service->reaches_store ? WWH_SHARD_HELD : WWH_SHARD_UNCONFIRMED;
 }
 
 static void answer_text(wwh_http_response_t *response, int32_t status,
