--- a/src/libwaxwinghollow/http_calls.c
+++ b/src/libwaxwinghollow/http_calls.c
@@ -16,17 +16,24 @@
 
 #include "private/http_pool.h"
 
-/* A host that is cut off shows at connecting within this time. */
-#define CONNECT_LIMIT_MS 700
+/*
+ * Connect timeout, which detects an unreachable host long before the timeout of
+ * the call does.
+ */
+#define CONNECT_TIMEOUT_MS 700
 
 /*
- * Unacknowledged bytes for this long end a connection: without it a call to
- * a host that lost power holds its connection for many minutes.
+ * TCP_USER_TIMEOUT: closes a connection whose sent bytes stay unacknowledged
+ * for this time. Without it a call to a host that lost power holds its
+ * connection for many minutes.
  */
-#define UNACKNOWLEDGED_LIMIT_MS 3000
+#define UNACKNOWLEDGED_TIMEOUT_MS 3000
 
-/* Longer than any call may take: the limits here are the ones that count. */
-#define LIBRARY_LIMIT_S 3600
+/*
+ * libevent's own timeout is longer than any call, so that only the timeouts of
+ * this module take effect.
+ */
+#define LIBEVENT_TIMEOUT_S 3600
 
 #define SECOND_MS 1000
 #define MILLISECOND_US 1000
@@ -36,9 +43,9 @@
 	http_pool_t *pool;
 	int wake_fd;
 	struct event wake;
-	struct event wait_over;
+	struct event wait_timer;
 	GHashTable *transfers; /* set of transfer_t, owned */
-	GQueue ended; /* transfer_t whose callback is to run */
+	GQueue ended; /* of transfer_t whose callback is still to run */
 	wwh_counter_t *sent;
 	wwh_counter_t *connections;
 	wwh_counter_t *unanswered;
@@ -46,13 +53,13 @@
 };
 
 /*
- * Of two priorities the library takes in all that waits under the first one, and
- * then once what waits under the other.
+ * In each pass of its loop libevent handles all pending events of the high
+ * priority before those of the normal one.
  */
 enum {
-	FIRST_PRIORITY = 0,
-	USUAL_PRIORITY,
-	PRIORITIES
+	HIGH_PRIORITY = 0,
+	NORMAL_PRIORITY,
+	PRIORITY_COUNT
 };
 
 typedef struct {
@@ -61,13 +68,13 @@
 	wwh_http_done_t done;
 	void *client_data;
 	http_endpoint_t *endpoint;
-	http_connection_t *connection; /* NULL: it waits for one */
-	struct evhttp_request *answered; /* NULL: no answer came */
-	struct event limit;
-	int64_t limit_us; /* when its time is over */
-	int64_t send_limit_us; /* the same for being sent */
-	bool sending; /* the request was handed to an open connection */
-	bool refused_at_once; /* as the socket says right after connecting */
+	http_connection_t *connection; /* NULL: the transfer waits for one */
+	struct evhttp_request *answered_request; /* NULL: no answer */
+	struct event timer;
+	int64_t deadline_us;
+	int64_t send_deadline_us; /* the request must be sent before */
+	bool sending; /* the request was written to an open connection */
+	bool refused_on_connect; /* connection refused before connect() returned */
 	bool has_ended;
 	wwh_call_outcome_t outcome;
 } transfer_t;
@@ -80,29 +87,30 @@
 };
 
 static void on_wake(evutil_socket_t fd, short what, void *data);
-static void on_wait_over(evutil_socket_t fd, short what, void *data);
-static void begin(transfer_t *transfer);
-static void send_on(transfer_t *transfer, http_connection_t *connection);
+static void on_wait_timeout(evutil_socket_t fd, short what, void *data);
+static void start_transfer(transfer_t *transfer);
+static void send_on_connection(transfer_t *transfer,
+			       http_connection_t *connection);
 static struct evhttp_request *make_request(transfer_t *transfer);
-static void put_headers(struct evkeyvalq *headers, const transfer_t *transfer);
-static enum evhttp_cmd_type method_of(const wwh_http_call_t *call);
+static void add_headers(struct evkeyvalq *headers, const transfer_t *transfer);
+static enum evhttp_cmd_type method_type(const wwh_http_call_t *call);
 static void set_socket_options(const http_connection_t *connection);
-static bool refused_at_once(const http_connection_t *connection);
+static bool refused_on_connect(const http_connection_t *connection);
 static void on_output(struct evbuffer *buffer,
 		      const struct evbuffer_cb_info *info, void *data);
 static void on_answer(struct evhttp_request *request, void *data);
-static void on_limit(evutil_socket_t fd, short what, void *data);
-static void set_limit(transfer_t *transfer, int64_t after_ms);
-static int64_t left_ms(const transfer_t *transfer);
-static int64_t left_to_send_ms(const transfer_t *transfer);
-static void end(transfer_t *transfer, wwh_call_outcome_t outcome);
-static bool finish_ended(wwh_http_calls_t *calls);
-static void finish(transfer_t *transfer);
+static void on_timer(evutil_socket_t fd, short what, void *data);
+static void arm_timer(transfer_t *transfer, int64_t after_ms);
+static int64_t remaining_ms(const transfer_t *transfer);
+static int64_t remaining_send_ms(const transfer_t *transfer);
+static void end_transfer(transfer_t *transfer, wwh_call_outcome_t outcome);
+static bool finish_ended_transfers(wwh_http_calls_t *calls);
+static void finish_transfer(transfer_t *transfer);
 static void release_connection(transfer_t *transfer);
-static void serve_next(http_endpoint_t *endpoint);
+static void start_waiting_transfers(http_endpoint_t *endpoint);
 static void fill_answer(const transfer_t *transfer, wwh_http_answer_t *answer);
-static void count(wwh_http_calls_t *calls, wwh_call_outcome_t outcome);
-static void give_up_all(wwh_http_calls_t *calls);
+static void count_outcome(wwh_http_calls_t *calls, wwh_call_outcome_t outcome);
+static void abort_all(wwh_http_calls_t *calls);
 static void transfer_delete(gpointer data);
 
 wwh_http_calls_t *wwh_http_calls_new(wwh_counters_t *counters)
@@ -110,19 +118,19 @@
 	wwh_http_calls_t *calls = g_new0(wwh_http_calls_t, 1);
 	struct event_config *config = event_config_new();
 
-	/* one thread calls; others only write to the wake descriptor */
+	/* one thread uses the base; others only write to wake_fd */
 	event_config_set_flag(config, EVENT_BASE_FLAG_NOLOCK);
 	calls->base = event_base_new_with_config(config);
 	event_config_free(config);
 	calls->wake_fd = eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK);
 	if (calls->base == NULL || calls->wake_fd < 0)
-		g_error("no way to wait for sockets: %s", g_strerror(errno));
-	if (event_base_priority_init(calls->base, PRIORITIES) != 0)
-		g_error("no priorities of events");
+		g_error("can't create the event loop: %s", g_strerror(errno));
+	if (event_base_priority_init(calls->base, PRIORITY_COUNT) != 0)
+		g_error("can't set the priorities of the event loop");
 	event_assign(&calls->wake, calls->base, calls->wake_fd,
 		     EV_READ | EV_PERSIST, on_wake, calls);
 	event_add(&calls->wake, NULL);
-	evtimer_assign(&calls->wait_over, calls->base, on_wait_over, calls);
+	evtimer_assign(&calls->wait_timer, calls->base, on_wait_timeout, calls);
 	calls->pool = http_pool_new(calls->base);
 	calls->transfers =
 		g_hash_table_new_full(NULL, NULL, transfer_delete, NULL);
@@ -138,29 +146,29 @@
 {
 	if (calls == NULL)
 		return;
-	give_up_all(calls);
+	abort_all(calls);
 	g_hash_table_destroy(calls->transfers);
 	http_pool_delete(calls->pool);
 	event_del(&calls->wake);
-	event_del(&calls->wait_over);
+	event_del(&calls->wait_timer);
 	event_base_free(calls->base);
 	close(calls->wake_fd);
 	g_free(calls);
 }
 
 wwh_http_call_t *wwh_http_call_new(const char *method, const char *endpoint,
-				   int64_t limit_ms)
+				   int64_t timeout_ms)
 {
 	wwh_http_call_t *call = g_new0(wwh_http_call_t, 1);
 
 	call->method = method;
 	call->endpoint = g_strdup(endpoint);
-	call->limit_ms = limit_ms;
+	call->timeout_ms = timeout_ms;
 	return call;
 }
 
-void wwh_http_call_header(wwh_http_call_t *call, const char *name,
-			  const char *value)
+void wwh_http_call_add_header(wwh_http_call_t *call, const char *name,
+			      const char *value)
 {
 	int32_t i = 0;
 
@@ -185,8 +193,8 @@
 }
 
 /*
- * The request goes out at once: an order that waited for the next turn of the
- * loop would be late by what the loop has to do before.
+ * The request is sent at once. If it waited for the next pass of the event
+ * loop, an order would be delayed by all that the loop does before.
  */
 void wwh_http_calls_send(wwh_http_calls_t *calls, wwh_http_call_t *call,
 			 wwh_http_done_t done, void *client_data)
@@ -197,25 +205,27 @@
 	transfer->call = call;
 	transfer->done = done;
 	transfer->client_data = client_data;
-	transfer->limit_us =
-		g_get_monotonic_time() + call->limit_ms * MILLISECOND_US;
-	transfer->send_limit_us = transfer->limit_us;
-	if (call->send_limit_ms > 0)
-		transfer->send_limit_us =
-			MIN(transfer->limit_us,
+	transfer->deadline_us =
+		g_get_monotonic_time() + call->timeout_ms * MILLISECOND_US;
+	transfer->send_deadline_us = transfer->deadline_us;
+	if (call->send_timeout_ms > 0)
+		transfer->send_deadline_us =
+			MIN(transfer->deadline_us,
 			    g_get_monotonic_time() +
-				    call->send_limit_ms * MILLISECOND_US);
-	evtimer_assign(&transfer->limit, calls->base, on_limit, transfer);
+				    call->send_timeout_ms * MILLISECOND_US);
+	evtimer_assign(&transfer->timer, calls->base, on_timer, transfer);
 	g_hash_table_add(calls->transfers, transfer);
 	wwh_counter_add(calls->sent, 1);
-	transfer->endpoint = http_pool_endpoint(calls->pool, call->endpoint);
+	transfer->endpoint =
+		http_pool_get_endpoint(calls->pool, call->endpoint);
 	if (transfer->endpoint == NULL) {
-		g_warning("no call to \"%s\": not an IP number and port",
+		g_warning("call to \"%s\" not sent: expected an IPv4 address "
+			  "and port",
 			  call->endpoint);
-		end(transfer, WWH_CALL_NOT_SENT);
+		end_transfer(transfer, WWH_CALL_NOT_SENT);
 		return;
 	}
-	begin(transfer);
+	start_transfer(transfer);
 }
 
 void wwh_http_calls_poll(wwh_http_calls_t *calls, int32_t wait_ms)
@@ -224,13 +234,13 @@
 				.tv_usec =
 					wait_ms % SECOND_MS * MILLISECOND_US };
 
-	if (finish_ended(calls) || wait_ms <= 0) {
+	if (finish_ended_transfers(calls) || wait_ms <= 0) {
 		event_base_loop(calls->base, EVLOOP_NONBLOCK);
 	} else {
-		event_add(&calls->wait_over, &wait);
+		event_add(&calls->wait_timer, &wait);
 		event_base_loop(calls->base, EVLOOP_ONCE);
 	}
-	(void)finish_ended(calls);
+	(void)finish_ended_transfers(calls);
 }
 
 int32_t wwh_http_calls_in_progress(const wwh_http_calls_t *calls)
@@ -242,9 +252,9 @@
 {
 	uint64_t one = 1;
 
-	/* fails only when the counter is full: a wake is pending then */
+	/* fails only if the counter is full: a wake-up is pending then */
 	if (write(calls->wake_fd, &one, sizeof(one)) < 0)
-		g_debug("a wake is pending already");
+		g_debug("a wake-up is already pending");
 }
 
 static void on_wake(evutil_socket_t fd, short what, void *data)
@@ -254,65 +264,66 @@
 	(void)what;
 	(void)data;
 	if (read(fd, &wakes, sizeof(wakes)) < 0)
-		g_debug("woken by nobody");
+		g_debug("woken without a pending wake-up");
 }
 
-/* That the loop returns is all that is asked of it. */
-static void on_wait_over(evutil_socket_t fd, short what, void *data)
+/* The timer only makes the event loop return. */
+static void on_wait_timeout(evutil_socket_t fd, short what, void *data)
 {
 	(void)fd;
 	(void)what;
 	(void)data;
 }
 
-static void begin(transfer_t *transfer)
+static void start_transfer(transfer_t *transfer)
 {
 	http_endpoint_t *endpoint = transfer->endpoint;
-	http_connection_t *connection = http_pool_take(endpoint, transfer);
+	http_connection_t *connection = http_pool_acquire(endpoint, transfer);
 
 	if (connection != NULL) {
-		send_on(transfer, connection);
+		send_on_connection(transfer, connection);
 		return;
 	}
 	g_queue_push_tail(&endpoint->waiting, transfer);
-	set_limit(transfer, left_to_send_ms(transfer));
+	arm_timer(transfer, remaining_send_ms(transfer));
 }
 
-static void send_on(transfer_t *transfer, http_connection_t *connection)
+static void send_on_connection(transfer_t *transfer,
+			       http_connection_t *connection)
 {
-	bool is_new = !connection->opened;
+	bool is_new = !connection->used;
 	struct bufferevent *buffer =
 		evhttp_connection_get_bufferevent(connection->evcon);
 	struct evhttp_request *request = make_request(transfer);
 
 	transfer->connection = connection;
-	connection->opened = true;
+	connection->used = true;
 	if (is_new) {
 		evbuffer_add_cb(bufferevent_get_output(buffer), on_output,
 				connection);
 		evhttp_connection_set_timeout(connection->evcon,
-					      LIBRARY_LIMIT_S);
+					      LIBEVENT_TIMEOUT_S);
 		wwh_counter_add(transfer->calls->connections, 1);
 	}
-	/* a request that fails here is reported by on_answer, as any other */
+	/* on_answer reports a request that fails here, like any other */
 	if (evhttp_make_request(connection->evcon, request,
-				method_of(transfer->call),
+				method_type(transfer->call),
 				transfer->call->path) != 0 &&
 	    !transfer->has_ended)
-		end(transfer, WWH_CALL_NOT_SENT);
+		end_transfer(transfer, WWH_CALL_NOT_SENT);
 	if (transfer->has_ended)
 		return;
-	/* connecting sets the usual priority */
-	(void)bufferevent_priority_set(buffer, transfer->call->taken_first
-						       ? FIRST_PRIORITY
-						       : USUAL_PRIORITY);
+	/* libevent sets the normal priority when it connects */
+	(void)bufferevent_priority_set(buffer, transfer->call->has_priority
+						       ? HIGH_PRIORITY
+						       : NORMAL_PRIORITY);
 	if (is_new) {
 		set_socket_options(connection);
-		transfer->refused_at_once = refused_at_once(connection);
-		set_limit(transfer,
-			  MIN(CONNECT_LIMIT_MS, left_to_send_ms(transfer)));
+		transfer->refused_on_connect = refused_on_connect(connection);
+		arm_timer(transfer,
+			  MIN(CONNECT_TIMEOUT_MS, remaining_send_ms(transfer)));
 	} else {
-		set_limit(transfer, left_ms(transfer));
+		arm_timer(transfer, remaining_ms(transfer));
 	}
 }
 
@@ -322,14 +333,14 @@
 	struct evhttp_request *request =
 		evhttp_request_new(on_answer, transfer);
 
-	put_headers(evhttp_request_get_output_headers(request), transfer);
+	add_headers(evhttp_request_get_output_headers(request), transfer);
 	if (call->body != NULL)
 		evbuffer_add(evhttp_request_get_output_buffer(request),
 			     call->body->data, call->body->len);
 	return request;
 }
 
-static void put_headers(struct evkeyvalq *headers, const transfer_t *transfer)
+static void add_headers(struct evkeyvalq *headers, const transfer_t *transfer)
 {
 	const wwh_http_call_t *call = transfer->call;
 
@@ -343,7 +354,7 @@
 	}
 }
 
-static enum evhttp_cmd_type method_of(const wwh_http_call_t *call)
+static enum evhttp_cmd_type method_type(const wwh_http_call_t *call)
 {
 	if (strcmp(call->method, "GET") == 0)
 		return EVHTTP_REQ_GET;
@@ -355,33 +366,37 @@
 
 static void set_socket_options(const http_connection_t *connection)
 {
-	int socket = http_pool_socket(connection);
-	unsigned int limit_ms = UNACKNOWLEDGED_LIMIT_MS;
+	int socket = http_pool_get_socket(connection);
+	unsigned int timeout_ms = UNACKNOWLEDGED_TIMEOUT_MS;
 	int on = 1;
 
 	if (socket < 0)
 		return;
-	if (setsockopt(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, &limit_ms,
-		       sizeof(limit_ms)) != 0)
-		g_debug("TCP_USER_TIMEOUT isn't taken; call limits remain");
+	if (setsockopt(socket, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout_ms,
+		       sizeof(timeout_ms)) != 0)
+		g_debug("can't set TCP_USER_TIMEOUT; only the timeouts of "
+			"calls apply");
 	if (setsockopt(socket, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on)) != 0)
-		g_debug("TCP_NODELAY isn't taken; small calls may be late");
+		g_debug("can't set TCP_NODELAY; small requests may be delayed");
 }
 
 /*
- * On the way to an own address a refusal is there when connecting returns. The
- * library reports it later, with another cause or none.
+ * A connection to an address of this host is refused before connect() returns.
+ * libevent reports the refusal later, with another errno or none.
  */
-static bool refused_at_once(const http_connection_t *connection)
+static bool refused_on_connect(const http_connection_t *connection)
 {
-	struct pollfd socket = { .fd = http_pool_socket(connection),
+	struct pollfd socket = { .fd = http_pool_get_socket(connection),
 				 .events = POLLOUT };
 
 	return socket.fd >= 0 && poll(&socket, 1, 0) > 0 &&
 	       (socket.revents & POLLHUP) != 0;
 }
 
-/* The library writes a request only once its connection is open. */
+/*
+ * libevent writes a request only after its connection has been established, so
+ * output means that the request is being sent.
+ */
 static void on_output(struct evbuffer *buffer,
 		      const struct evbuffer_cb_info *info, void *data)
 {
@@ -394,10 +409,10 @@
 }
 
 /*
- * request is NULL when the connection failed after the request was handed to
- * it, and has no status when nobody listens at the endpoint. Nothing is sent
- * again: an order must not be carried out twice on its own account, and the
- * caller of this module decides about repeats.
+ * request is NULL if the connection failed after the request was handed to it,
+ * and has no status if the connection was refused. The request is not repeated
+ * here: the receiver must not carry out an order twice, and the user of this
+ * module decides about repeats.
  */
 static void on_answer(struct evhttp_request *request, void *data)
 {
@@ -406,65 +421,65 @@
 
 	if (request != NULL && evhttp_request_get_response_code(request) != 0) {
 		evhttp_request_own(request);
-		transfer->answered = request;
-		end(transfer, WWH_CALL_ANSWERED);
+		transfer->answered_request = request;
+		end_transfer(transfer, WWH_CALL_ANSWERED);
 		return;
 	}
 	if (transfer->has_ended)
 		return;
 	if (transfer->sending)
-		end(transfer, WWH_CALL_NO_ANSWER);
-	else if (transfer->refused_at_once || os_error == ECONNREFUSED)
-		end(transfer, WWH_CALL_REFUSED);
+		end_transfer(transfer, WWH_CALL_NO_ANSWER);
+	else if (transfer->refused_on_connect || os_error == ECONNREFUSED)
+		end_transfer(transfer, WWH_CALL_REFUSED);
 	else
-		end(transfer, WWH_CALL_NOT_SENT);
+		end_transfer(transfer, WWH_CALL_NOT_SENT);
 }
 
-static void on_limit(evutil_socket_t fd, short what, void *data)
+static void on_timer(evutil_socket_t fd, short what, void *data)
 {
 	transfer_t *transfer = data;
 
 	(void)fd;
 	(void)what;
-	if (transfer->sending && left_ms(transfer) > 0)
-		set_limit(transfer, left_ms(transfer));
+	if (transfer->sending && remaining_ms(transfer) > 0)
+		arm_timer(transfer, remaining_ms(transfer));
 	else
-		end(transfer,
-		    transfer->sending ? WWH_CALL_NO_ANSWER : WWH_CALL_NOT_SENT);
+		end_transfer(transfer, transfer->sending ? WWH_CALL_NO_ANSWER
+							 : WWH_CALL_NOT_SENT);
 }
 
-static void set_limit(transfer_t *transfer, int64_t after_ms)
+static void arm_timer(transfer_t *transfer, int64_t after_ms)
 {
 	struct timeval after = { .tv_sec = after_ms / SECOND_MS,
 				 .tv_usec = after_ms % SECOND_MS *
 					    MILLISECOND_US };
 
-	event_add(&transfer->limit, &after);
+	event_add(&transfer->timer, &after);
 }
 
-static int64_t until_ms(int64_t end_us)
+static int64_t ms_until(int64_t end_us)
 {
-	int64_t left_us = end_us - g_get_monotonic_time();
+	int64_t remaining_us = end_us - g_get_monotonic_time();
 
-	return (MAX(left_us, 0) + MILLISECOND_US - 1) / MILLISECOND_US;
+	return (MAX(remaining_us, 0) + MILLISECOND_US - 1) / MILLISECOND_US;
 }
 
-static int64_t left_ms(const transfer_t *transfer)
+static int64_t remaining_ms(const transfer_t *transfer)
 {
-	return until_ms(transfer->limit_us);
+	return ms_until(transfer->deadline_us);
 }
 
-static int64_t left_to_send_ms(const transfer_t *transfer)
+static int64_t remaining_send_ms(const transfer_t *transfer)
 {
-	return until_ms(transfer->send_limit_us);
+	return ms_until(transfer->send_deadline_us);
 }
 
 /*
- * The callback runs from wwh_http_calls_poll, never from within the library. One
- * turn of the library's loop may run out a call's time and then read its answer:
- * the answer counts, as nothing else was reported yet.
+ * Callbacks run from wwh_http_calls_poll, never from within libevent. In one
+ * pass of its loop libevent may run a call's timer and then read its answer.
+ * The answer then counts, as no outcome has been reported yet.
  */
-static void end(transfer_t *transfer, wwh_call_outcome_t outcome)
+static void end_transfer(transfer_t *transfer, wwh_call_outcome_t outcome)
 {
 	if (transfer->has_ended) {
 		g_assert(outcome == WWH_CALL_ANSWERED);
@@ -473,21 +488,21 @@
 	}
 	transfer->has_ended = true;
 	transfer->outcome = outcome;
-	event_del(&transfer->limit);
+	event_del(&transfer->timer);
 	g_queue_push_tail(&transfer->calls->ended, transfer);
 }
 
-/* False: none has ended. */
-static bool finish_ended(wwh_http_calls_t *calls)
+/* Returns false if no transfer had ended. */
+static bool finish_ended_transfers(wwh_http_calls_t *calls)
 {
 	bool any = !g_queue_is_empty(&calls->ended);
 
 	while (!g_queue_is_empty(&calls->ended))
-		finish(g_queue_pop_head(&calls->ended));
+		finish_transfer(g_queue_pop_head(&calls->ended));
 	return any;
 }
 
-static void finish(transfer_t *transfer)
+static void finish_transfer(transfer_t *transfer)
 {
 	wwh_http_calls_t *calls = transfer->calls;
 	wwh_http_answer_t answer = { .retry_after_s = -1 };
@@ -495,12 +510,15 @@
 	g_hash_table_steal(calls->transfers, transfer);
 	release_connection(transfer);
 	fill_answer(transfer, &answer);
-	count(calls, answer.outcome);
+	count_outcome(calls, answer.outcome);
 	transfer->done(&answer, transfer->client_data);
 	transfer_delete(transfer);
 }
 
-/* A connection on which a call got no answer may be silent for good. */
+/*
+ * Closes a connection on which a call got no answer, as it may never deliver
+ * data again.
+ */
 static void release_connection(transfer_t *transfer)
 {
 	http_endpoint_t *endpoint = transfer->endpoint;
@@ -510,31 +528,31 @@
 	if (transfer->connection == NULL)
 		g_queue_remove(&endpoint->waiting, transfer);
 	else if (transfer->outcome == WWH_CALL_ANSWERED)
-		http_pool_keep(transfer->connection);
+		http_pool_release(transfer->connection);
 	else
 		http_pool_close(transfer->connection);
-	serve_next(endpoint);
-	http_pool_tidy(endpoint);
+	start_waiting_transfers(endpoint);
+	http_pool_remove_unused_endpoint(endpoint);
 }
 
-static void serve_next(http_endpoint_t *endpoint)
+static void start_waiting_transfers(http_endpoint_t *endpoint)
 {
 	while (!g_queue_is_empty(&endpoint->waiting)) {
 		transfer_t *next = g_queue_peek_head(&endpoint->waiting);
 		http_connection_t *connection;
 
-		/* its own end takes it from the queue */
+		/* release_connection removes it from the queue */
 		if (next->has_ended)
 			return;
-		if (left_to_send_ms(next) == 0) {
-			end(next, WWH_CALL_NOT_SENT);
+		if (remaining_send_ms(next) == 0) {
+			end_transfer(next, WWH_CALL_NOT_SENT);
 			return;
 		}
-		connection = http_pool_take(endpoint, next);
+		connection = http_pool_acquire(endpoint, next);
 		if (connection == NULL)
 			return;
 		g_queue_pop_head(&endpoint->waiting);
-		send_on(next, connection);
+		send_on_connection(next, connection);
 	}
 }
 
@@ -544,20 +562,21 @@
 	const char *retry_after;
 
 	answer->outcome = transfer->outcome;
-	if (transfer->answered == NULL)
+	if (transfer->answered_request == NULL)
 		return;
-	answer->status = evhttp_request_get_response_code(transfer->answered);
-	body = evhttp_request_get_input_buffer(transfer->answered);
+	answer->status =
+		evhttp_request_get_response_code(transfer->answered_request);
+	body = evhttp_request_get_input_buffer(transfer->answered_request);
 	answer->body_size = evbuffer_get_length(body);
 	answer->body = evbuffer_pullup(body, -1);
 	retry_after = evhttp_find_header(
-		evhttp_request_get_input_headers(transfer->answered),
+		evhttp_request_get_input_headers(transfer->answered_request),
 		"Retry-After");
 	if (retry_after != NULL && g_ascii_isdigit(retry_after[0]))
 		answer->retry_after_s = g_ascii_strtoll(retry_after, NULL, 10);
 }
 
-static void count(wwh_http_calls_t *calls, wwh_call_outcome_t outcome)
+static void count_outcome(wwh_http_calls_t *calls, wwh_call_outcome_t outcome)
 {
 	if (outcome == WWH_CALL_NO_ANSWER)
 		wwh_counter_add(calls->unanswered, 1);
@@ -565,8 +584,11 @@
 		wwh_counter_add(calls->not_sent, 1);
 }
 
-/* Whoever waits for an answer has something to release. */
-static void give_up_all(wwh_http_calls_t *calls)
+/*
+ * Runs the callbacks of all transfers, as their client data may have to be
+ * released.
+ */
+static void abort_all(wwh_http_calls_t *calls)
 {
 	const wwh_http_answer_t answer = { .outcome = WWH_CALL_NO_ANSWER,
 					   .retry_after_s = -1 };
@@ -577,7 +599,7 @@
 		transfer_t *transfer = at->data;
 
 		g_hash_table_steal(calls->transfers, transfer);
-		event_del(&transfer->limit);
+		event_del(&transfer->timer);
 		if (transfer->connection != NULL)
 			http_pool_close(transfer->connection);
 		transfer->done(&answer, transfer->client_data);
@@ -590,8 +612,8 @@
 {
 	transfer_t *transfer = data;
 
-	if (transfer->answered != NULL)
-		evhttp_request_free(transfer->answered);
+	if (transfer->answered_request != NULL)
+		evhttp_request_free(transfer->answered_request);
 	wwh_http_call_delete(transfer->call);
 	g_free(transfer);
 }
--- a/src/libwaxwinghollow/http_pool.c
+++ b/src/libwaxwinghollow/http_pool.c
@@ -6,27 +6,27 @@
 #include <string.h>
 
 /*
- * Connections that are kept in all: a long poll and a few orders to each of
- * 350 upstreams, with the store and the other hosts, within the 4,100
- * descriptors of a small host. With 400 of them a holder of that many upstreams
- * made 31,140 new connections on a day of 40,000 starts and 33,400 polls, 5,608
- * with 2,400 (one play each, counted by the upstreams).
+ * Limit of the idle connections to all endpoints: enough for a long poll and a
+ * few orders to each of 350 upstreams, with the store and the other hosts,
+ * within the 4,100 descriptors of a small host. With a limit of 400 a holder of
+ * 350 upstreams made 31,140 new connections on a day of 40,000 starts and
+ * 33,400 polls, with 2,400 it made 5,608 (one run each, counted by the upstreams).
  */
-#define KEPT_CONNECTIONS 2400
+#define MAX_IDLE_CONNECTIONS 2400
 
-/* To one endpoint at once: one for a long poll, the others for orders. */
-#define CONNECTIONS_AN_ENDPOINT 6
+/* One connection is for a long poll, the others for orders. */
+#define MAX_CONNECTIONS_PER_ENDPOINT 6
 
 struct http_pool {
 	struct event_base *base;
 	GHashTable *endpoints; /* name to http_endpoint_t, owned */
-	GQueue kept; /* http_connection_t, the one used last in front */
+	GQueue idle; /* of http_connection_t, most recently used first */
 };
 
 static void endpoint_delete(gpointer data);
 static http_connection_t *connection_new(http_endpoint_t *endpoint);
 static void on_closed(struct evhttp_connection *evcon, void *data);
-static void leave_kept(http_connection_t *connection);
+static void remove_from_idle(http_connection_t *connection);
 
 http_pool_t *http_pool_new(struct event_base *base)
 {
@@ -35,7 +35,7 @@
 	pool->base = base;
 	pool->endpoints = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 						endpoint_delete);
-	g_queue_init(&pool->kept);
+	g_queue_init(&pool->idle);
 	return pool;
 }
 
@@ -45,7 +45,7 @@
 	g_free(pool);
 }
 
-http_endpoint_t *http_pool_endpoint(http_pool_t *pool, const char *name)
+http_endpoint_t *http_pool_get_endpoint(http_pool_t *pool, const char *name)
 {
 	http_endpoint_t *endpoint = g_hash_table_lookup(pool->endpoints, name);
 	struct sockaddr_in at;
@@ -53,7 +53,7 @@
 
 	if (endpoint != NULL)
 		return endpoint;
-	/* a name would be looked up, and all calls wait for that */
+	/* a host name would need a DNS lookup, which blocks all calls */
 	if (evutil_parse_sockaddr_port(name, (struct sockaddr *)&at, &size) !=
 		    0 ||
 	    at.sin_family != AF_INET || at.sin_port == 0)
@@ -61,69 +61,70 @@
 	endpoint = g_new0(http_endpoint_t, 1);
 	endpoint->pool = pool;
 	endpoint->name = g_strdup(name);
-	g_queue_init(&endpoint->kept);
+	g_queue_init(&endpoint->idle);
 	g_queue_init(&endpoint->waiting);
 	g_hash_table_insert(pool->endpoints, endpoint->name, endpoint);
 	return endpoint;
 }
 
-http_connection_t *http_pool_take(http_endpoint_t *endpoint, void *user)
+http_connection_t *http_pool_acquire(http_endpoint_t *endpoint, void *user)
 {
 	http_connection_t *connection;
 
-	while (!g_queue_is_empty(&endpoint->kept)) {
-		connection = g_queue_peek_head(&endpoint->kept);
-		leave_kept(connection);
-		if (!connection->ended) {
+	while (!g_queue_is_empty(&endpoint->idle)) {
+		connection = g_queue_peek_head(&endpoint->idle);
+		remove_from_idle(connection);
+		if (!connection->closed_by_remote) {
 			connection->user = user;
 			return connection;
 		}
 		http_pool_close(connection);
 	}
-	if (endpoint->open >= CONNECTIONS_AN_ENDPOINT)
+	if (endpoint->open_connections >= MAX_CONNECTIONS_PER_ENDPOINT)
 		return NULL;
 	connection = connection_new(endpoint);
 	connection->user = user;
 	return connection;
 }
 
-void http_pool_keep(http_connection_t *connection)
+void http_pool_release(http_connection_t *connection)
 {
 	http_pool_t *pool = connection->endpoint->pool;
 
-	if (connection->ended) {
+	if (connection->closed_by_remote) {
 		http_pool_close(connection);
 		return;
 	}
 	connection->user = NULL;
-	g_queue_push_head(&connection->endpoint->kept, connection);
-	g_queue_push_head_link(&pool->kept, &connection->link);
-	if (g_queue_get_length(&pool->kept) > KEPT_CONNECTIONS) {
-		http_connection_t *oldest = g_queue_peek_tail(&pool->kept);
+	g_queue_push_head(&connection->endpoint->idle, connection);
+	g_queue_push_head_link(&pool->idle, &connection->idle_link);
+	if (g_queue_get_length(&pool->idle) > MAX_IDLE_CONNECTIONS) {
+		http_connection_t *oldest = g_queue_peek_tail(&pool->idle);
 		http_endpoint_t *endpoint = oldest->endpoint;
 
-		leave_kept(oldest);
+		remove_from_idle(oldest);
 		http_pool_close(oldest);
 		if (endpoint != connection->endpoint)
-			http_pool_tidy(endpoint);
+			http_pool_remove_unused_endpoint(endpoint);
 	}
 }
 
 void http_pool_close(http_connection_t *connection)
 {
-	connection->endpoint->open--;
+	connection->endpoint->open_connections--;
 	evhttp_connection_set_closecb(connection->evcon, NULL, NULL);
 	evhttp_connection_free(connection->evcon);
 	g_free(connection);
 }
 
-void http_pool_tidy(http_endpoint_t *endpoint)
+void http_pool_remove_unused_endpoint(http_endpoint_t *endpoint)
 {
-	if (endpoint->open == 0 && g_queue_is_empty(&endpoint->waiting))
+	if (endpoint->open_connections == 0 &&
+	    g_queue_is_empty(&endpoint->waiting))
 		g_hash_table_remove(endpoint->pool->endpoints, endpoint->name);
 }
 
-int http_pool_socket(const http_connection_t *connection)
+int http_pool_get_socket(const http_connection_t *connection)
 {
 	struct bufferevent *buffer =
 		evhttp_connection_get_bufferevent(connection->evcon);
@@ -135,11 +136,11 @@
 {
 	http_endpoint_t *endpoint = data;
 
-	while (!g_queue_is_empty(&endpoint->kept)) {
+	while (!g_queue_is_empty(&endpoint->idle)) {
 		http_connection_t *connection =
-			g_queue_peek_head(&endpoint->kept);
+			g_queue_peek_head(&endpoint->idle);
 
-		leave_kept(connection);
+		remove_from_idle(connection);
 		http_pool_close(connection);
 	}
 	g_queue_clear(&endpoint->waiting);
@@ -156,27 +157,31 @@
 	uint16_t port = (uint16_t)g_ascii_strtoull(colon + 1, NULL, 10);
 
 	connection->endpoint = endpoint;
-	connection->link.data = connection;
+	connection->idle_link.data = connection;
 	connection->evcon = evhttp_connection_base_new(endpoint->pool->base,
 						       NULL, address, port);
 	evhttp_connection_set_family(connection->evcon, AF_INET);
 	evhttp_connection_set_closecb(connection->evcon, on_closed, connection);
-	endpoint->open++;
+	endpoint->open_connections++;
 	g_free(address);
 	return connection;
 }
 
-/* It stays in the list until the next call passes it by. */
+/*
+ * The connection stays in the idle list until http_pool_acquire closes it or
+ * http_pool_release evicts it.
+ */
 static void on_closed(struct evhttp_connection *evcon, void *data)
 {
 	http_connection_t *connection = data;
 
 	(void)evcon;
-	connection->ended = true;
+	connection->closed_by_remote = true;
 }
 
-static void leave_kept(http_connection_t *connection)
+static void remove_from_idle(http_connection_t *connection)
 {
-	g_queue_remove(&connection->endpoint->kept, connection);
-	g_queue_unlink(&connection->endpoint->pool->kept, &connection->link);
+	g_queue_remove(&connection->endpoint->idle, connection);
+	g_queue_unlink(&connection->endpoint->pool->idle,
+		       &connection->idle_link);
 }
--- a/src/libwaxwinghollow/include/private/http_pool.h
+++ b/src/libwaxwinghollow/include/private/http_pool.h
@@ -3,16 +3,16 @@
 
 /*
  * NAME
- *	http_pool - the connections to each endpoint, and who gets which
+ *	http_pool - pool of persistent HTTP connections to each endpoint
  *
  * USE
- *	http_pool_take gives a connection to be used alone: one that is kept,
- *	or a new one, or none while the endpoint has all that it may have.
- *	http_pool_keep gives one back for the next call, http_pool_close ends
- *	it. Neither may be called from within a callback of libevent that
- *	stands on the connection.
+ *	http_pool_acquire returns a connection for exclusive use: an idle one,
+ *	or a new one, or none while all connections that the endpoint may have
+ *	are in use. http_pool_release makes it available to the next call,
+ *	http_pool_close closes it. Neither release nor close may be called from
+ *	within a libevent callback of that connection.
  *
- *	A kept connection that its other end closes is left out by itself.
+ *	An idle connection that the remote end has closed is never acquired.
  */
 
 #include <event2/event.h>
@@ -29,35 +29,38 @@
 typedef struct {
 	http_endpoint_t *endpoint;
 	struct evhttp_connection *evcon;
-	bool opened; /* its first call has begun */
-	bool ended; /* by the other end */
-	GList link; /* in the list of kept ones */
-	void *user; /* whose call it carries; NULL: it is kept */
+	bool used; /* a call has been started on it */
+	bool closed_by_remote;
+	GList idle_link; /* in the idle list of the pool */
+	void *user; /* the transfer that uses it; NULL: idle */
 } http_connection_t;
 
 struct http_endpoint {
 	http_pool_t *pool;
-	char *name; /* IP number and port */
-	int32_t open; /* its connections, kept ones too */
-	GQueue kept; /* http_connection_t, the one used last in front */
-	GQueue waiting; /* of the user: who gets the next free connection */
+	char *name; /* IPv4 address and port */
+	int32_t open_connections; /* both in use and idle */
+	GQueue idle; /* of http_connection_t, most recently used first */
+	GQueue waiting; /* filled by the user: transfers without a connection */
 };
 
 http_pool_t *http_pool_new(struct event_base *base);
 void http_pool_delete(http_pool_t *pool);
 
-/* NULL: it is no IP number and port. */
-http_endpoint_t *http_pool_endpoint(http_pool_t *pool, const char *name);
+/* Returns NULL if name isn't an IPv4 address and port. */
+http_endpoint_t *http_pool_get_endpoint(http_pool_t *pool, const char *name);
 
-/* NULL: it has as many connections as it may have, all in use. */
-http_connection_t *http_pool_take(http_endpoint_t *endpoint, void *user);
-void http_pool_keep(http_connection_t *connection);
+/* Returns NULL if all connections that the endpoint may have are in use. */
+http_connection_t *http_pool_acquire(http_endpoint_t *endpoint, void *user);
+void http_pool_release(http_connection_t *connection);
 void http_pool_close(http_connection_t *connection);
 
-/* After each of the three above: forgets an endpoint that is of no use now. */
-void http_pool_tidy(http_endpoint_t *endpoint);
+/*
+ * Deletes an endpoint without connections and waiting transfers. To be called
+ * after each of the three functions above.
+ */
+void http_pool_remove_unused_endpoint(http_endpoint_t *endpoint);
 
-/* The socket of a connection that is being made or open; -1: none. */
-int http_pool_socket(const http_connection_t *connection);
+/* Returns the socket of a connecting or open connection, or -1. */
+int http_pool_get_socket(const http_connection_t *connection);
 
 #endif
--- a/src/libwaxwinghollow/shard_journal.c
+++ b/src/libwaxwinghollow/shard_journal.c
@@ -243,7 +243,7 @@
 		journal->endpoint, journal->topic, journal->options.part,
 		&writer, g_byte_array_ref(journal->batch), limit_ms(journal));
 
-	call->taken_first = true;
+	call->has_priority = true;
 	journal->in_flight = true;
 	journal->sent_us = g_get_monotonic_time();
 	journal->sent_ms = now_ms;
--- a/src/libwaxwinghollow/store_follower.c
+++ b/src/libwaxwinghollow/store_follower.c
@@ -109,7 +109,7 @@
 		call = wire_store_newest(follower->endpoint, follower->topic,
 					 follower->options.part,
 					 follower->after, NEWEST_LIMIT_MS);
-		call->taken_first = true;
+		call->has_priority = true;
 		wwh_http_calls_send(follower->options.calls, call, on_all,
 				    follower);
 		return;
@@ -118,7 +118,7 @@
 			       follower->options.part, follower->next,
 			       follower->read_kb, follower->options.wait_ms,
 			       follower->options.wait_ms + ANSWER_LIMIT_MS);
-	call->taken_first = true;
+	call->has_priority = true;
 	wwh_http_calls_send(follower->options.calls, call, on_read, follower);
 }
 
--- a/src/test_http_calls/test_http_calls.c
+++ b/src/test_http_calls/test_http_calls.c
@@ -1,6 +1,6 @@
 /*
- * What the sender of a call may conclude from its outcome. The other ends are
- * sockets that answer by a script, refuse, keep silent or go away.
+ * Tests the outcomes of HTTP calls. The remote ends are sockets that answer by
+ * a script, refuse connections, never answer or close the connection.
  */
 
 #include <arpa/inet.h>
@@ -15,25 +15,27 @@
 #include "waxwinghollow/http_calls.h"
 
 #define OK "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"
-#define LAST "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-#define HALF "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhello" RAW_CLOSE
-#define BUSY                                                                   \
+#define OK_AND_CLOSE                                                           \
+	"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+#define TRUNCATED_ANSWER                                                       \
+	"HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\nhello" RAW_CLOSE
+#define UNAVAILABLE                                                            \
 	"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 7\r\n"               \
 	"Content-Length: 0\r\n\r\n"
 
-/* Several reads of the library, and fits into the sockets' buffers. */
+/* Takes libevent several reads and fits into the buffers of the sockets. */
 #define LARGE_BYTES (80 << 10)
 
-/* An answer of many reads, and how many are waited for at once. */
+/* Size of an answer that takes many reads, and the number of such calls. */
 #define HUGE_BYTES (1 << 20)
 #define ENDPOINTS 6
 
-#define LIMIT_MS 3000
-#define SHORT_LIMIT_MS 300
-/* Then a failed check says what is missing. */
-#define WAIT_MAX_MS 10000
-#define CONNECTIONS_AN_ENDPOINT 6
-#define MORE_THAN_AN_ENDPOINT_MAY_HAVE 9
+#define TIMEOUT_MS 3000
+#define SHORT_TIMEOUT_MS 300
+/* Ends a wait, so that a failed check reports what is missing. */
+#define TEST_TIMEOUT_MS 10000
+#define MAX_CONNECTIONS_PER_ENDPOINT 6
+#define MORE_CALLS_THAN_CONNECTIONS 9
 
 typedef struct {
 	wwh_counters_t *counters;
@@ -79,29 +81,30 @@
 			    (gssize)answer->body_size);
 }
 
-static void send_to(fixture_t *fixture, const char *endpoint, int64_t limit_ms)
+static void send_to(fixture_t *fixture, const char *endpoint,
+		    int64_t timeout_ms)
 {
-	wwh_http_call_t *call = wwh_http_call_new("POST", endpoint, limit_ms);
+	wwh_http_call_t *call = wwh_http_call_new("POST", endpoint, timeout_ms);
 
 	call->path = g_strdup("/order?x=1");
 	call->content_type = "application/json";
 	call->body = g_byte_array_new();
 	g_byte_array_append(call->body, (const guint8 *)"{}", 2);
-	wwh_http_call_header(call, "X-Life", "u1");
+	wwh_http_call_add_header(call, "X-Life", "u1");
 	wwh_http_calls_send(fixture->calls, call, on_done, fixture);
 }
 
-static void send_to_port(fixture_t *fixture, int32_t port, int64_t limit_ms)
+static void send_to_port(fixture_t *fixture, int32_t port, int64_t timeout_ms)
 {
 	char *endpoint = g_strdup_printf("127.0.0.1:%d", (int)port);
 
-	send_to(fixture, endpoint, limit_ms);
+	send_to(fixture, endpoint, timeout_ms);
 	g_free(endpoint);
 }
 
-static void wait_for(fixture_t *fixture, int32_t count)
+static void wait_for_callbacks(fixture_t *fixture, int32_t count)
 {
-	int64_t end_us = g_get_monotonic_time() + WAIT_MAX_MS * 1000;
+	int64_t end_us = g_get_monotonic_time() + TEST_TIMEOUT_MS * 1000;
 
 	while (fixture->ended < count && g_get_monotonic_time() < end_us)
 		wwh_http_calls_poll(fixture->calls, 20);
@@ -114,15 +117,15 @@
 		wwh_counters_get(fixture->counters, "calls.connections"));
 }
 
-static void answers_come_over_one_connection(void **state)
+static void sequential_calls_reuse_one_connection(void **state)
 {
-	static const char *const script[] = { OK, BUSY, OK };
+	static const char *const script[] = { OK, UNAVAILABLE, OK };
 	fixture_t *fixture = *state;
 	raw_server_t *server = raw_server_new(script, 3);
 
 	for (int32_t i = 0; i < 3; i++) {
-		send_to_port(fixture, raw_server_port(server), LIMIT_MS);
-		wait_for(fixture, i + 1);
+		send_to_port(fixture, raw_server_port(server), TIMEOUT_MS);
+		wait_for_callbacks(fixture, i + 1);
 		assert_int_equal(fixture->status, i == 1 ? 503 : 200);
 		assert_int_equal(fixture->retry_after_s, i == 1 ? 7 : -1);
 	}
@@ -134,16 +137,16 @@
 	assert_int_equal(raw_server_delete(server), 3);
 }
 
-static void after_a_last_answer_a_new_connection_is_made(void **state)
+static void connection_close_leads_to_a_new_connection(void **state)
 {
-	static const char *const script[] = { LAST RAW_CLOSE, OK };
+	static const char *const script[] = { OK_AND_CLOSE RAW_CLOSE, OK };
 	fixture_t *fixture = *state;
 	raw_server_t *server = raw_server_new(script, 2);
 
-	send_to_port(fixture, raw_server_port(server), LIMIT_MS);
-	wait_for(fixture, 1);
-	send_to_port(fixture, raw_server_port(server), LIMIT_MS);
-	wait_for(fixture, 2);
+	send_to_port(fixture, raw_server_port(server), TIMEOUT_MS);
+	wait_for_callbacks(fixture, 1);
+	send_to_port(fixture, raw_server_port(server), TIMEOUT_MS);
+	wait_for_callbacks(fixture, 2);
 	assert_int_equal(fixture->outcomes[WWH_CALL_ANSWERED], 2);
 	assert_int_equal(connections(fixture), 2);
 	wwh_http_calls_delete(fixture->calls);
@@ -151,76 +154,80 @@
 	assert_int_equal(raw_server_delete(server), 2);
 }
 
-/* Taken for silence, an upstream whose process has ended would be waited for. */
-static void nobody_listens(void **state)
+/*
+ * Guards against waiting for an upstream whose process has ended, as for one
+ * that doesn't answer.
+ */
+static void refused_connection_is_reported_as_refused(void **state)
 {
 	fixture_t *fixture = *state;
 
-	send_to_port(fixture, standin_free_port(), LIMIT_MS);
-	wait_for(fixture, 1);
+	send_to_port(fixture, standin_free_port(), TIMEOUT_MS);
+	wait_for_callbacks(fixture, 1);
 	assert_int_equal(fixture->outcomes[WWH_CALL_REFUSED], 1);
 }
 
-/* Looking a name up would hold back all other calls for seconds. */
-static void a_name_is_no_endpoint(void **state)
+/* A DNS lookup would block all other calls for seconds. */
+static void host_name_is_rejected_as_endpoint(void **state)
 {
 	fixture_t *fixture = *state;
 
-	send_to(fixture, "localhost:1", LIMIT_MS);
-	send_to(fixture, "e", LIMIT_MS);
+	send_to(fixture, "localhost:1", TIMEOUT_MS);
+	send_to(fixture, "e", TIMEOUT_MS);
 	assert_int_equal(fixture->ended, 0);
-	wait_for(fixture, 2);
+	wait_for_callbacks(fixture, 2);
 	assert_int_equal(fixture->outcomes[WWH_CALL_NOT_SENT], 2);
 }
 
 /*
- * A kept connection ends as the next request is on its way: the other end may
- * have carried it out. Sent again by the library, an order would be carried out
- * twice; told as not sent, its task would be started elsewhere as well.
+ * A persistent connection closes while the next request is on its way, so the
+ * remote end may have carried it out. If the library sent it again, an order
+ * would be carried out twice; if it was reported as not sent, the task would be
+ * started elsewhere as well.
  */
-static void a_connection_that_ends_after_the_request(void **state)
+static void connection_closed_after_request_is_no_answer(void **state)
 {
 	static const char *const script[] = { OK, RAW_CLOSE, OK };
 	fixture_t *fixture = *state;
 	raw_server_t *server = raw_server_new(script, 3);
 
-	send_to_port(fixture, raw_server_port(server), LIMIT_MS);
-	wait_for(fixture, 1);
-	send_to_port(fixture, raw_server_port(server), LIMIT_MS);
-	wait_for(fixture, 2);
+	send_to_port(fixture, raw_server_port(server), TIMEOUT_MS);
+	wait_for_callbacks(fixture, 1);
+	send_to_port(fixture, raw_server_port(server), TIMEOUT_MS);
+	wait_for_callbacks(fixture, 2);
 	assert_int_equal(fixture->outcomes[WWH_CALL_NO_ANSWER], 1);
 	wwh_http_calls_delete(fixture->calls);
 	fixture->calls = wwh_http_calls_new(fixture->counters);
 	assert_int_equal(raw_server_delete(server), 2);
 }
 
-static void an_answer_that_breaks_off(void **state)
+static void truncated_answer_is_no_answer(void **state)
 {
-	static const char *const script[] = { HALF };
+	static const char *const script[] = { TRUNCATED_ANSWER };
 	fixture_t *fixture = *state;
 	raw_server_t *server = raw_server_new(script, 1);
 
-	send_to_port(fixture, raw_server_port(server), LIMIT_MS);
-	wait_for(fixture, 1);
+	send_to_port(fixture, raw_server_port(server), TIMEOUT_MS);
+	wait_for_callbacks(fixture, 1);
 	assert_int_equal(fixture->outcomes[WWH_CALL_NO_ANSWER], 1);
 	assert_int_equal(raw_server_delete(server), 1);
 }
 
 /*
- * A connection goes silent for good while new ones work. Used again, it would
- * cost each later call its whole time.
+ * A connection stops delivering data for good while new ones work. If it was
+ * reused, each later call on it would time out.
  */
-static void a_silent_connection_is_not_used_again(void **state)
+static void silent_connection_is_not_reused(void **state)
 {
 	static const char *const script[] = { RAW_SILENT, OK };
 	fixture_t *fixture = *state;
 	raw_server_t *server = raw_server_new(script, 2);
 
-	send_to_port(fixture, raw_server_port(server), SHORT_LIMIT_MS);
-	wait_for(fixture, 1);
+	send_to_port(fixture, raw_server_port(server), SHORT_TIMEOUT_MS);
+	wait_for_callbacks(fixture, 1);
 	assert_int_equal(fixture->outcomes[WWH_CALL_NO_ANSWER], 1);
-	send_to_port(fixture, raw_server_port(server), LIMIT_MS);
-	wait_for(fixture, 2);
+	send_to_port(fixture, raw_server_port(server), TIMEOUT_MS);
+	wait_for_callbacks(fixture, 2);
 	assert_int_equal(fixture->outcomes[WWH_CALL_ANSWERED], 1);
 	assert_int_equal(connections(fixture), 2);
 	wwh_http_calls_delete(fixture->calls);
@@ -229,10 +236,10 @@
 }
 
 /*
- * Guards against a process that aborts when an answer is read right after its
- * call has run out of time, in one turn of a busy loop.
+ * Guards against an abort of the process when an answer is read in the pass of
+ * a busy event loop in which its call has timed out.
  */
-static void an_answer_is_read_right_after_its_limit(void **state)
+static void answer_read_after_timeout_counts(void **state)
 {
 	fixture_t *fixture = *state;
 	char *body = g_strnfill(LARGE_BYTES, 'x');
@@ -242,13 +249,13 @@
 	const char *const script[] = { answer };
 	raw_server_t *server = raw_server_new(script, 1);
 
-	send_to_port(fixture, raw_server_port(server), SHORT_LIMIT_MS);
+	send_to_port(fixture, raw_server_port(server), SHORT_TIMEOUT_MS);
 	wwh_http_calls_poll(fixture->calls, 20);
 	wwh_http_calls_poll(fixture->calls, 20);
-	/* all of the answer is there by then, and takes several reads */
-	g_usleep(2 * SHORT_LIMIT_MS * 1000);
+	/* by then the whole answer has arrived; it takes several reads */
+	g_usleep(2 * SHORT_TIMEOUT_MS * 1000);
 	wwh_http_calls_poll(fixture->calls, 0);
-	wait_for(fixture, 1);
+	wait_for_callbacks(fixture, 1);
 	assert_int_equal(fixture->outcomes[WWH_CALL_ANSWERED], 1);
 	assert_int_equal(fixture->body->len, LARGE_BYTES);
 	wwh_http_calls_delete(fixture->calls);
@@ -258,8 +265,8 @@
 	g_free(body);
 }
 
-/* A socket that listens and whose queue of new connections is full. */
-static int full_listener(int fillers[2], int32_t *port)
+/* Returns a listening socket whose backlog is full. */
+static int listen_with_full_backlog(int backlog_fds[2], int32_t *port)
 {
 	struct sockaddr_in at = { .sin_family = AF_INET };
 	socklen_t size = sizeof(at);
@@ -270,45 +277,47 @@
 	assert_int_equal(listen(fd, 0), 0);
 	assert_int_equal(getsockname(fd, (struct sockaddr *)&at, &size), 0);
 	for (int32_t i = 0; i < 2; i++) {
-		fillers[i] = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
-		(void)connect(fillers[i], (struct sockaddr *)&at, size);
+		backlog_fds[i] =
+			socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
+		(void)connect(backlog_fds[i], (struct sockaddr *)&at, size);
 	}
 	*port = ntohs(at.sin_port);
 	return fd;
 }
 
-/* Nothing was sent to a host that is cut off, and that shows soon. */
-static void a_connection_that_is_never_made(void **state)
+/* A call to an unreachable host ends soon, as not sent. */
+static void call_without_connection_is_not_sent(void **state)
 {
 	fixture_t *fixture = *state;
 	int64_t began_us = g_get_monotonic_time();
-	int fillers[2];
+	int backlog_fds[2];
 	int32_t port;
-	int listener = full_listener(fillers, &port);
+	int listener = listen_with_full_backlog(backlog_fds, &port);
 
-	send_to_port(fixture, port, LIMIT_MS);
-	wait_for(fixture, 1);
+	send_to_port(fixture, port, TIMEOUT_MS);
+	wait_for_callbacks(fixture, 1);
 	assert_int_equal(fixture->outcomes[WWH_CALL_NOT_SENT], 1);
-	assert_true(g_get_monotonic_time() - began_us < LIMIT_MS * 1000);
-	close(fillers[0]);
-	close(fillers[1]);
+	assert_true(g_get_monotonic_time() - began_us < TIMEOUT_MS * 1000);
+	close(backlog_fds[0]);
+	close(backlog_fds[1]);
 	close(listener);
 }
 
-/* More calls than an endpoint may have connections wait for the next free one. */
-static void calls_wait_for_a_connection(void **state)
+/* Calls above the endpoint's limit of connections wait for a free one. */
+static void calls_wait_for_a_free_connection(void **state)
 {
 	static const char *const script[] = {
 		OK, OK, OK, OK, OK, OK, OK, OK, OK
 	};
 	fixture_t *fixture = *state;
 	raw_server_t *server =
-		raw_server_new(script, MORE_THAN_AN_ENDPOINT_MAY_HAVE);
+		raw_server_new(script, MORE_CALLS_THAN_CONNECTIONS);
 
-	/* it serves one connection at a time, until that one is closed */
-	for (int32_t i = 0; i < MORE_THAN_AN_ENDPOINT_MAY_HAVE; i++)
-		send_to_port(fixture, raw_server_port(server), SHORT_LIMIT_MS);
-	wait_for(fixture, MORE_THAN_AN_ENDPOINT_MAY_HAVE);
+	/* the server serves one connection at a time, until it is closed */
+	for (int32_t i = 0; i < MORE_CALLS_THAN_CONNECTIONS; i++)
+		send_to_port(fixture, raw_server_port(server),
+			     SHORT_TIMEOUT_MS);
+	wait_for_callbacks(fixture, MORE_CALLS_THAN_CONNECTIONS);
 	assert_true(fixture->outcomes[WWH_CALL_ANSWERED] >= 4);
 	assert_true(connections(fixture) <= 6);
 	wwh_http_calls_delete(fixture->calls);
@@ -317,47 +326,47 @@
 }
 
 /*
- * Guards against an order that waits for a connection and is sent when what it was
- * decided by is too old.
+ * Guards against an order that waits for a connection and is sent when the
+ * state that it was decided on is too old.
  */
-static void a_call_is_sent_in_time_or_not_at_all(void **state)
+static void call_is_not_sent_after_send_timeout(void **state)
 {
 	static const char *const script[] = { RAW_SILENT };
 	fixture_t *fixture = *state;
 	raw_server_t *server = raw_server_new(script, 1);
 	char *endpoint =
 		g_strdup_printf("127.0.0.1:%d", (int)raw_server_port(server));
-	wwh_http_call_t *call = wwh_http_call_new("POST", endpoint, LIMIT_MS);
+	wwh_http_call_t *call = wwh_http_call_new("POST", endpoint, TIMEOUT_MS);
 	int64_t began_us = g_get_monotonic_time();
 
-	for (int32_t i = 0; i < CONNECTIONS_AN_ENDPOINT; i++)
-		send_to(fixture, endpoint, LIMIT_MS);
+	for (int32_t i = 0; i < MAX_CONNECTIONS_PER_ENDPOINT; i++)
+		send_to(fixture, endpoint, TIMEOUT_MS);
 	call->path = g_strdup("/order");
-	call->send_limit_ms = SHORT_LIMIT_MS;
+	call->send_timeout_ms = SHORT_TIMEOUT_MS;
 	wwh_http_calls_send(fixture->calls, call, on_done, fixture);
-	wait_for(fixture, 1);
+	wait_for_callbacks(fixture, 1);
 	assert_int_equal(fixture->outcomes[WWH_CALL_NOT_SENT], 1);
-	assert_true(g_get_monotonic_time() - began_us < LIMIT_MS * 1000 / 2);
+	assert_true(g_get_monotonic_time() - began_us < TIMEOUT_MS * 1000 / 2);
 	wwh_http_calls_delete(fixture->calls);
 	fixture->calls = wwh_http_calls_new(fixture->counters);
 	(void)raw_server_delete(server);
 	g_free(endpoint);
 }
 
-static void what_is_left_is_told_at_the_end(void **state)
+static void delete_reports_calls_in_progress(void **state)
 {
 	static const char *const script[] = { RAW_SILENT };
 	fixture_t *fixture = *state;
 	raw_server_t *server = raw_server_new(script, 1);
 
-	for (int32_t i = 0; i < MORE_THAN_AN_ENDPOINT_MAY_HAVE; i++)
-		send_to_port(fixture, raw_server_port(server), LIMIT_MS);
+	for (int32_t i = 0; i < MORE_CALLS_THAN_CONNECTIONS; i++)
+		send_to_port(fixture, raw_server_port(server), TIMEOUT_MS);
 	wwh_http_calls_poll(fixture->calls, 20);
 	assert_int_equal(wwh_http_calls_in_progress(fixture->calls),
-			 MORE_THAN_AN_ENDPOINT_MAY_HAVE);
+			 MORE_CALLS_THAN_CONNECTIONS);
 	wwh_http_calls_delete(fixture->calls);
 	assert_int_equal(fixture->outcomes[WWH_CALL_NO_ANSWER],
-			 MORE_THAN_AN_ENDPOINT_MAY_HAVE);
+			 MORE_CALLS_THAN_CONNECTIONS);
 	fixture->calls = wwh_http_calls_new(fixture->counters);
 	(void)raw_server_delete(server);
 }
@@ -369,28 +378,28 @@
 	return NULL;
 }
 
-static void a_wake_ends_a_wait(void **state)
+static void wake_ends_poll(void **state)
 {
 	fixture_t *fixture = *state;
 	int64_t began_us = g_get_monotonic_time();
 	GThread *thread = g_thread_new("wake", wake_later, fixture->calls);
 
-	wwh_http_calls_poll(fixture->calls, WAIT_MAX_MS);
-	assert_true(g_get_monotonic_time() - began_us < WAIT_MAX_MS * 500);
+	wwh_http_calls_poll(fixture->calls, TEST_TIMEOUT_MS);
+	assert_true(g_get_monotonic_time() - began_us < TEST_TIMEOUT_MS * 500);
 	g_thread_join(thread);
 }
 
-static void on_counted(const wwh_http_answer_t *answer, void *data)
+static void count_callback(const wwh_http_answer_t *answer, void *data)
 {
 	(void)answer;
 	++*(int32_t *)data;
 }
 
 /*
- * Guards against a large answer of the store that comes too late, as it is read in
- * small parts between those of all other calls.
+ * Guards against a large answer of the store that arrives too late because it
+ * is read in small parts between the answers of all other calls.
  */
-static void an_answer_is_taken_in_before_others(void **state)
+static void priority_answer_is_read_before_others(void **state)
 {
 	fixture_t *fixture = *state;
 	char *body = g_strnfill(HUGE_BYTES, 'x');
@@ -409,11 +418,11 @@
 		servers[i] = raw_server_new(script, 1);
 		endpoint = g_strdup_printf("127.0.0.1:%d",
 					   (int)raw_server_port(servers[i]));
-		call = wwh_http_call_new("GET", endpoint, WAIT_MAX_MS);
+		call = wwh_http_call_new("GET", endpoint, TEST_TIMEOUT_MS);
 		call->path = g_strdup("/");
-		call->taken_first = last;
+		call->has_priority = last;
 		wwh_http_calls_send(fixture->calls, call,
-				    last ? on_done : on_counted,
+				    last ? on_done : count_callback,
 				    last ? (void *)fixture : &others);
 		g_free(endpoint);
 	}
@@ -435,20 +444,20 @@
 {
 #define TEST(name) cmocka_unit_test_setup_teardown(name, set_up, tear_down)
 	const struct CMUnitTest tests[] = {
-		TEST(answers_come_over_one_connection),
-		TEST(after_a_last_answer_a_new_connection_is_made),
-		TEST(nobody_listens),
-		TEST(an_answer_is_taken_in_before_others),
-		TEST(a_name_is_no_endpoint),
-		TEST(a_connection_that_ends_after_the_request),
-		TEST(an_answer_that_breaks_off),
-		TEST(a_silent_connection_is_not_used_again),
-		TEST(an_answer_is_read_right_after_its_limit),
-		TEST(a_connection_that_is_never_made),
-		TEST(calls_wait_for_a_connection),
-		TEST(a_call_is_sent_in_time_or_not_at_all),
-		TEST(what_is_left_is_told_at_the_end),
-		TEST(a_wake_ends_a_wait),
+		TEST(sequential_calls_reuse_one_connection),
+		TEST(connection_close_leads_to_a_new_connection),
+		TEST(refused_connection_is_reported_as_refused),
+		TEST(priority_answer_is_read_before_others),
+		TEST(host_name_is_rejected_as_endpoint),
+		TEST(connection_closed_after_request_is_no_answer),
+		TEST(truncated_answer_is_no_answer),
+		TEST(silent_connection_is_not_reused),
+		TEST(answer_read_after_timeout_counts),
+		TEST(call_without_connection_is_not_sent),
+		TEST(calls_wait_for_a_free_connection),
+		TEST(call_is_not_sent_after_send_timeout),
+		TEST(delete_reports_calls_in_progress),
+		TEST(wake_ends_poll),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
