--- a/include/waxwinghollow/api_keys.h
+++ b/include/waxwinghollow/api_keys.h
@@ -3,15 +3,15 @@
 
 /*
  * NAME
- *	api_keys - which workspace an API key belongs to
+ *	api_keys - maps API keys to workspaces
  *
  * USE
- *	Pure. Keys are kept as keyed hashes, under a secret of this process: a
- *	look-up takes as long for a key that is almost right as for any other,
- *	and a dump of memory shows none.
+ *	Pure. Keys are stored as keyed hashes under a secret of this process.
+ *	A lookup therefore takes as long for a nearly correct key as for any
+ *	other, and a memory dump shows no keys.
  *
  * ORDER OF CALLS
- *	wwh_api_keys_new; wwh_api_keys_add for each key; look-ups, from any
+ *	wwh_api_keys_new; wwh_api_keys_add for each key; lookups, from any
  *	thread; wwh_api_keys_delete.
  */
 
@@ -20,10 +20,10 @@
 
 typedef struct wwh_api_keys wwh_api_keys_t;
 
-/* Whether a request has a key in force. */
+/* Result of checking the key of a request. */
 typedef enum {
 	WWH_ACCESS_GRANTED = 0,
-	WWH_ACCESS_NO_KEY, /* none, or not one that can be read */
+	WWH_ACCESS_NO_KEY, /* no key, or not a readable one */
 	WWH_ACCESS_UNKNOWN_KEY,
 	WWH_ACCESS_COUNT
 } wwh_access_t;
@@ -34,11 +34,14 @@
 wwh_api_keys_t *wwh_api_keys_new(void);
 void wwh_api_keys_delete(wwh_api_keys_t *keys);
 
-/* False: another workspace has this key. */
+/* Returns false if key belongs to another workspace. */
 bool wwh_api_keys_add(wwh_api_keys_t *keys, const char *workspace,
 		      const char *key);
 
-/* key NULL: there is none. *workspace is its owner, where access is granted. */
+/*
+ * key is NULL if the request has none. *workspace is set to the owner of the
+ * key if access is granted, otherwise to NULL.
+ */
 wwh_access_t wwh_api_keys_check(const wwh_api_keys_t *keys, const char *key,
 				const char **workspace);
 
--- a/include/waxwinghollow/http_message.h
+++ b/include/waxwinghollow/http_message.h
@@ -6,9 +6,9 @@
  *	http_message - requests and responses as they were sent
  *
  * USE
- *	A request is passed on byte for byte but for its hop-by-hop headers,
- *	so headers are kept as a list: repeated ones stay repeated, in their
- *	order, and values are bytes that need not be UTF-8.
+ *	A request is forwarded byte for byte except for its hop-by-hop headers.
+ *	Headers are therefore stored as a list that preserves their order and
+ *	repeated headers, and values are bytes that need not be UTF-8.
  *
  * ORDER OF CALLS
  *	wwh_headers_new, wwh_headers_add, lookups, wwh_headers_delete. A
@@ -34,39 +34,39 @@
 int32_t wwh_headers_count(const wwh_headers_t *headers);
 const wwh_header_t *wwh_headers_at(const wwh_headers_t *headers, int32_t index);
 
-/* The first value of that name, whatever its case; NULL: none. */
+/* Returns the first value of the header, ignoring case in names, or NULL. */
 const char *wwh_headers_get(const wwh_headers_t *headers, const char *name);
 
 /*
- * Whether a header belongs to one connection and is not passed on: those of
- * RFC 9110 section 7.6.1 and those that the Connection header names.
+ * Whether a header applies to a single connection and is not forwarded: the
+ * headers of RFC 9110 section 7.6.1 and those that the Connection header lists.
  */
-bool wwh_headers_hop_by_hop(const wwh_headers_t *headers, const char *name);
+bool wwh_headers_is_hop_by_hop(const wwh_headers_t *headers, const char *name);
 
-/* A whole request. All pointers live as long as the handler runs. */
+/* A complete request. All pointers are valid while the handler runs. */
 typedef struct {
 	const char *method;
 	const char *target; /* path and query as sent */
 	const wwh_headers_t *headers;
 	const uint8_t *body;
 	size_t body_size;
-	int caller_fd; /* to learn that the caller has gone; -1: unknown */
+	int caller_fd; /* socket, to detect a disconnect; -1: unknown */
 } wwh_http_request_t;
 
 typedef struct {
 	int32_t status;
 	wwh_headers_t *headers;
 	GByteArray *body;
-	int64_t head_length; /* Content-Length of an answer to HEAD; -1 */
+	int64_t head_content_length; /* answer to HEAD; -1: none */
 } wwh_http_response_t;
 
 void wwh_http_response_init(wwh_http_response_t *response);
 void wwh_http_response_clear(wwh_http_response_t *response);
 
-/* The part of target before the query. */
-char *wwh_http_path(const char *target);
+/* Returns a copy of the part of target before the query. */
+char *wwh_http_target_path(const char *target);
 
-/* The decoded value of a query parameter of target, or NULL. */
-char *wwh_http_query(const char *target, const char *name);
+/* Returns the decoded value of a query parameter of target, or NULL. */
+char *wwh_http_query_value(const char *target, const char *name);
 
 #endif
--- a/src/libwaxwinghollow/api_keys.c
+++ b/src/libwaxwinghollow/api_keys.c
@@ -25,7 +25,7 @@
 	wwh_api_keys_t *keys = g_new0(wwh_api_keys_t, 1);
 
 	if (getentropy(keys->secret, SECRET_BYTES) != 0)
-		g_error("no random bytes: %s", g_strerror(errno));
+		g_error("getentropy failed: %s", g_strerror(errno));
 	keys->workspaces =
 		g_hash_table_new_full(g_bytes_hash, g_bytes_equal,
 				      (GDestroyNotify)g_bytes_unref, g_free);
--- a/src/libwaxwinghollow/http_message.c
+++ b/src/libwaxwinghollow/http_message.c
@@ -13,7 +13,7 @@
 };
 
 static void clear_header(gpointer data);
-static bool list_names(const char *list, const char *name);
+static bool list_contains(const char *list, const char *name);
 
 wwh_headers_t *wwh_headers_new(void)
 {
@@ -64,7 +64,7 @@
 	return NULL;
 }
 
-bool wwh_headers_hop_by_hop(const wwh_headers_t *headers, const char *name)
+bool wwh_headers_is_hop_by_hop(const wwh_headers_t *headers, const char *name)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(hop_by_hop_names); i++) {
 		if (g_ascii_strcasecmp(hop_by_hop_names[i], name) == 0)
@@ -74,7 +74,7 @@
 		const wwh_header_t *header = wwh_headers_at(headers, (int)i);
 
 		if (g_ascii_strcasecmp(header->name, "Connection") == 0 &&
-		    list_names(header->value, name))
+		    list_contains(header->value, name))
 			return true;
 	}
 	return false;
@@ -85,7 +85,7 @@
 	response->status = 200;
 	response->headers = wwh_headers_new();
 	response->body = g_byte_array_new();
-	response->head_length = -1;
+	response->head_content_length = -1;
 }
 
 void wwh_http_response_clear(wwh_http_response_t *response)
@@ -97,12 +97,12 @@
 	response->body = NULL;
 }
 
-char *wwh_http_path(const char *target)
+char *wwh_http_target_path(const char *target)
 {
 	return g_strndup(target, strcspn(target, "?"));
 }
 
-char *wwh_http_query(const char *target, const char *name)
+char *wwh_http_query_value(const char *target, const char *name)
 {
 	const char *query = strchr(target, '?');
 	char **pairs;
@@ -130,7 +130,7 @@
 	g_free(header->value);
 }
 
-static bool list_names(const char *list, const char *name)
+static bool list_contains(const char *list, const char *name)
 {
 	char **parts = g_strsplit(list, ",", -1);
 	bool found = false;
--- a/src/libwaxwinghollow/job_service_http.c
+++ b/src/libwaxwinghollow/job_service_http.c
@@ -55,17 +55,16 @@
 	char *path;
 
 	if (config == NULL) {
-		wwh_listener_answer_error(response, WWH_ERROR_NO_CONFIGURATION,
-					  SECOND_MS);
+		wwh_listener_set_error(response, WWH_ERROR_NO_CONFIGURATION,
+				       SECOND_MS);
 		return;
 	}
 	if ((int64_t)http->body_size > config->max_body_bytes) {
-		wwh_listener_answer_error(response, WWH_ERROR_BODY_TOO_LARGE,
-					  0);
+		wwh_listener_set_error(response, WWH_ERROR_BODY_TOO_LARGE, 0);
 		wwh_job_config_unref(config);
 		return;
 	}
-	path = wwh_http_path(http->target);
+	path = wwh_http_target_path(http->target);
 	call.config = config;
 	call.path = path;
 	call.queue = wwh_job_config_find(config, host == NULL ? "" : host, path,
@@ -75,8 +74,7 @@
 				     "host=%s config=%" G_GINT64_FORMAT,
 				     host == NULL ? "-" : host,
 				     config->version);
-		wwh_listener_answer_error(response, WWH_ERROR_NO_SUCH_SERVICE,
-					  0);
+		wwh_listener_set_error(response, WWH_ERROR_NO_SUCH_SERVICE, 0);
 	} else if (job_service_authenticate(&call, response)) {
 		answer_caller(&call, response);
 	}
@@ -97,7 +95,7 @@
 		wwh_event_log_printf(service->log, "bad-request", call->path,
 				     "method=%s why=%s", call->http->method,
 				     message.text);
-		wwh_listener_answer_error(response, WWH_ERROR_BAD_REQUEST, 0);
+		wwh_listener_set_error(response, WWH_ERROR_BAD_REQUEST, 0);
 		return;
 	}
 	request->limit_ms = wire_caller_patience_ms(
@@ -154,7 +152,7 @@
 				     http->target,
 				     "method=%s bytes=%" G_GSIZE_FORMAT,
 				     http->method, http->body_size);
-		wwh_listener_answer_error(response, WWH_ERROR_BAD_REQUEST, 0);
+		wwh_listener_set_error(response, WWH_ERROR_BAD_REQUEST, 0);
 		return;
 	}
 	request->limit_ms = PEER_PATIENCE_MS;
@@ -318,8 +316,8 @@
 		kind = WWH_ERROR_NO_SUCH_JOB;
 	else if (answer->kind == WWH_JOB_ANSWER_UNKNOWN && changes)
 		kind = WWH_ERROR_DEADLINE_UNKNOWN;
-	wwh_listener_answer_error(response, kind,
-				  MAX(answer->retry_after_s, 1) * SECOND_MS);
+	wwh_listener_set_error(response, kind,
+			       MAX(answer->retry_after_s, 1) * SECOND_MS);
 }
 
 static wwh_job_config_t *config_of(wwh_job_service_t *service)
--- a/src/libwaxwinghollow/listener.c
+++ b/src/libwaxwinghollow/listener.c
@@ -6,11 +6,11 @@
 #include <sys/socket.h>
 #include <ulfius.h>
 
-#define DRAIN_CHECK_US (5 * 1000)
+#define DRAIN_POLL_US (5 * 1000)
 #define MILLISECOND_US 1000
 #define LISTEN_BACKLOG 1024
 
-/* A caller's connection. A request is in progress while phase isn't IDLE. */
+/* Phase of a connection. A request is in progress in all phases except IDLE. */
 typedef enum {
 	PHASE_IDLE = 0,
 	PHASE_READING,
@@ -21,7 +21,7 @@
 typedef struct {
 	int fd;
 	phase_t phase;
-	bool read_closed; /* by the drain */
+	bool read_shut_down; /* by wwh_listener_drain */
 } connection_t;
 
 struct wwh_listener {
@@ -31,11 +31,11 @@
 	bool started;
 	GMutex lock;
 	GHashTable *connections; /* set of connection_t *, owned */
-	int32_t busy;
+	int32_t in_progress;
 	bool draining;
 	wwh_counter_t *requests;
 	wwh_counter_t *refused;
-	wwh_counter_t *open;
+	wwh_counter_t *open_connections;
 };
 
 /*
@@ -57,15 +57,18 @@
 		      phase_t phase);
 static enum MHD_Result add_header(void *data, enum MHD_ValueKind kind,
 				  const char *name, const char *value);
-static void serve(wwh_listener_t *listener, const struct _u_request *request,
-		  const wwh_headers_t *headers, int fd,
-		  wwh_http_response_t *answer);
-static void write_answer(wwh_listener_t *listener, const char *method,
-			 wwh_http_response_t *answer,
-			 struct _u_response *response);
-static void put_header(struct _u_map *map, const char *name, const char *value);
-static ssize_t no_bytes(void *data, uint64_t offset, char *out, size_t max);
-static int32_t close_idle_reads(wwh_listener_t *listener);
+static void handle_request(wwh_listener_t *listener,
+			   const struct _u_request *request,
+			   const wwh_headers_t *headers, int fd,
+			   wwh_http_response_t *answer);
+static void fill_response(wwh_listener_t *listener, const char *method,
+			  wwh_http_response_t *answer,
+			  struct _u_response *response);
+static void add_response_header(struct _u_map *map, const char *name,
+				const char *value);
+static ssize_t stream_no_bytes(void *data, uint64_t offset, char *out,
+			       size_t max);
+static int32_t shut_down_idle_connections(wwh_listener_t *listener);
 
 wwh_listener_options_t wwh_listener_options_defaults(void)
 {
@@ -75,7 +78,7 @@
 		.max_requests = 1024,
 		.max_connections = 2048,
 		.thread_stack_kb = 256,
-		.idle_limit_s = 60,
+		.idle_timeout_s = 60,
 		.max_header_bytes = 32 * 1024,
 		.max_body_bytes = 4 * 1024 * 1024,
 	};
@@ -100,7 +103,7 @@
 	listener->refused = wwh_counters_get(counters, name);
 	g_free(name);
 	name = g_strconcat(options->name, ".connections", NULL);
-	listener->open = wwh_counters_get(counters, name);
+	listener->open_connections = wwh_counters_get(counters, name);
 	g_free(name);
 	return listener;
 }
@@ -120,7 +123,8 @@
 		  listener },
 		{ MHD_OPTION_SOCK_ADDR, 0, &address },
 		{ MHD_OPTION_CONNECTION_LIMIT, options->max_connections, NULL },
-		{ MHD_OPTION_CONNECTION_TIMEOUT, options->idle_limit_s, NULL },
+		{ MHD_OPTION_CONNECTION_TIMEOUT, options->idle_timeout_s,
+		  NULL },
 		{ MHD_OPTION_THREAD_STACK_SIZE,
 		  (intptr_t)options->thread_stack_kb * 1024, NULL },
 		{ MHD_OPTION_CONNECTION_MEMORY_LIMIT,
@@ -134,15 +138,15 @@
 			     MHD_USE_ITC;
 
 	if (inet_pton(AF_INET, listener->address, &address.sin_addr) != 1) {
-		wwh_message_set(message, "%s: not an IPv4 number",
+		wwh_message_set(message, "%s: expected an IPv4 address",
 				listener->address);
 		return WWH_STATUS_BAD_ARGUMENT;
 	}
-	/* ulfius refuses port 0, which only its own parameter has to avoid */
+	/* ulfius rejects port 0; address has the port to listen on */
 	if (ulfius_init_instance(&listener->instance,
 				 options->port > 0 ? options->port : 1,
 				 &address, NULL) != U_OK) {
-		wwh_message_set(message, "the listener can't be set up");
+		wwh_message_set(message, "can't initialize the HTTP listener");
 		return WWH_STATUS_IO;
 	}
 	listener->instance.check_utf8 = 0;
@@ -174,28 +178,30 @@
 	return ntohs(address.sin_port);
 }
 
-int32_t wwh_listener_busy(wwh_listener_t *listener)
+int32_t wwh_listener_requests_in_progress(wwh_listener_t *listener)
 {
-	int32_t busy;
+	int32_t in_progress;
 
 	g_mutex_lock(&listener->lock);
-	busy = listener->busy;
+	in_progress = listener->in_progress;
 	g_mutex_unlock(&listener->lock);
-	return busy;
+	return in_progress;
 }
 
 /*
- * ulfius_stop_framework resets every open connection: a caller whose request
- * is in progress gets an empty answer though its request ran. So it is called
- * only when no request is in progress: new connections are refused first,
- * answers ask their callers to close, and idle connections are ended in the
- * reading direction, where a request that has already arrived is still read.
+ * ulfius_stop_framework resets every open connection, so that a caller whose
+ * request is in progress would get an empty response although the request ran.
+ * It is therefore called only after all connections have ended or the timeout
+ * has passed. Before that, new connections are refused, responses ask their
+ * callers to close the connection, and idle connections are shut down for
+ * reading; a request that has already arrived is still read.
  */
-int32_t wwh_listener_drain(wwh_listener_t *listener, int64_t limit_ms)
+int32_t wwh_listener_drain(wwh_listener_t *listener, int64_t timeout_ms)
 {
-	int64_t end_us = g_get_monotonic_time() + limit_ms * MILLISECOND_US;
+	int64_t deadline_us =
+		g_get_monotonic_time() + timeout_ms * MILLISECOND_US;
 	MHD_socket fd;
-	int32_t busy;
+	int32_t in_progress;
 
 	if (!listener->started)
 		return 0;
@@ -205,13 +211,13 @@
 	fd = MHD_quiesce_daemon(listener->instance.mhd_daemon);
 	if (fd != MHD_INVALID_SOCKET)
 		close(fd);
-	while (close_idle_reads(listener) > 0 &&
-	       g_get_monotonic_time() < end_us)
-		g_usleep(DRAIN_CHECK_US);
-	busy = wwh_listener_busy(listener);
+	while (shut_down_idle_connections(listener) > 0 &&
+	       g_get_monotonic_time() < deadline_us)
+		g_usleep(DRAIN_POLL_US);
+	in_progress = wwh_listener_requests_in_progress(listener);
 	ulfius_stop_framework(&listener->instance);
 	listener->started = false;
-	return busy;
+	return in_progress;
 }
 
 void wwh_listener_delete(wwh_listener_t *listener)
@@ -227,8 +233,8 @@
 	g_free(listener);
 }
 
-void wwh_listener_answer_error(wwh_http_response_t *response,
-			       wwh_error_kind_t kind, int64_t retry_after_ms)
+void wwh_listener_set_error(wwh_http_response_t *response,
+			    wwh_error_kind_t kind, int64_t retry_after_ms)
 {
 	const wwh_answer_t *row = wwh_answer_for(kind);
 	int64_t retry_s = row->retry_after_s;
@@ -271,14 +277,14 @@
 		connection->fd = info != NULL ? info->connect_fd : -1;
 		*socket_context = connection;
 		g_hash_table_add(listener->connections, connection);
-		wwh_counter_add(listener->open, 1);
+		wwh_counter_add(listener->open_connections, 1);
 	} else {
 		connection = *socket_context;
 		if (connection->phase != PHASE_IDLE)
-			listener->busy--;
+			listener->in_progress--;
 		g_hash_table_remove(listener->connections, connection);
 		*socket_context = NULL;
-		wwh_counter_add(listener->open, -1);
+		wwh_counter_add(listener->open_connections, -1);
 	}
 	g_mutex_unlock(&listener->lock);
 }
@@ -292,7 +298,7 @@
 	return ulfius_uri_logger(NULL, uri);
 }
 
-/* libmicrohttpd calls this when the whole answer has been written. */
+/* libmicrohttpd calls this when the whole response has been written. */
 static void on_completed(void *data, struct MHD_Connection *mhd, void **context,
 			 enum MHD_RequestTerminationCode code)
 {
@@ -315,8 +321,8 @@
 	wwh_counter_add(listener->requests, 1);
 	MHD_get_connection_values(mhd, MHD_HEADER_KIND, add_header, headers);
 	wwh_http_response_init(&answer);
-	serve(listener, request, headers, connection->fd, &answer);
-	write_answer(listener, request->http_verb, &answer, response);
+	handle_request(listener, request, headers, connection->fd, &answer);
+	fill_response(listener, request->http_verb, &answer, response);
 	wwh_http_response_clear(&answer);
 	wwh_headers_delete(headers);
 	set_phase(listener, connection, PHASE_WRITING);
@@ -337,7 +343,7 @@
 	if (connection == NULL)
 		return;
 	g_mutex_lock(&listener->lock);
-	listener->busy +=
+	listener->in_progress +=
 		(phase != PHASE_IDLE) - (connection->phase != PHASE_IDLE);
 	connection->phase = phase;
 	g_mutex_unlock(&listener->lock);
@@ -351,9 +357,10 @@
 	return MHD_YES;
 }
 
-static void serve(wwh_listener_t *listener, const struct _u_request *request,
-		  const wwh_headers_t *headers, int fd,
-		  wwh_http_response_t *answer)
+static void handle_request(wwh_listener_t *listener,
+			   const struct _u_request *request,
+			   const wwh_headers_t *headers, int fd,
+			   wwh_http_response_t *answer)
 {
 	wwh_http_request_t http = {
 		.method = request->http_verb,
@@ -365,29 +372,29 @@
 	};
 	const char *declared = wwh_headers_get(headers, "Content-Length");
 
-	if (wwh_listener_busy(listener) > listener->options.max_requests) {
+	if (wwh_listener_requests_in_progress(listener) >
+	    listener->options.max_requests) {
 		wwh_counter_add(listener->refused, 1);
-		wwh_listener_answer_error(answer, WWH_ERROR_TOO_MANY_REQUESTS,
-					  0);
+		wwh_listener_set_error(answer, WWH_ERROR_TOO_MANY_REQUESTS, 0);
 		return;
 	}
 	if ((int64_t)http.body_size > listener->options.max_body_bytes) {
 		wwh_counter_add(listener->refused, 1);
-		wwh_listener_answer_error(answer, WWH_ERROR_BODY_TOO_LARGE, 0);
+		wwh_listener_set_error(answer, WWH_ERROR_BODY_TOO_LARGE, 0);
 		return;
 	}
 	if (declared != NULL &&
 	    g_ascii_strtoull(declared, NULL, 10) != http.body_size) {
 		wwh_counter_add(listener->refused, 1);
-		wwh_listener_answer_error(answer, WWH_ERROR_BAD_REQUEST, 0);
+		wwh_listener_set_error(answer, WWH_ERROR_BAD_REQUEST, 0);
 		return;
 	}
 	listener->options.handler(&http, answer, listener->options.client_data);
 }
 
-static void write_answer(wwh_listener_t *listener, const char *method,
-			 wwh_http_response_t *answer,
-			 struct _u_response *response)
+static void fill_response(wwh_listener_t *listener, const char *method,
+			  wwh_http_response_t *answer,
+			  struct _u_response *response)
 {
 	bool closing;
 
@@ -397,19 +404,20 @@
 	for (int32_t i = 0; i < wwh_headers_count(answer->headers); i++) {
 		const wwh_header_t *header = wwh_headers_at(answer->headers, i);
 
-		if (wwh_headers_hop_by_hop(answer->headers, header->name) ||
+		if (wwh_headers_is_hop_by_hop(answer->headers, header->name) ||
 		    g_ascii_strcasecmp(header->name, "Content-Length") == 0)
 			continue;
-		put_header(response->map_header, header->name, header->value);
+		add_response_header(response->map_header, header->name,
+				    header->value);
 	}
 	if (closing)
 		u_map_put(response->map_header, "Connection", "close");
 	response->status = answer->status;
-	if (strcmp(method, "HEAD") == 0 && answer->head_length >= 0) {
-		/* libmicrohttpd writes the length and asks for no byte */
+	if (strcmp(method, "HEAD") == 0 && answer->head_content_length >= 0) {
+		/* libmicrohttpd writes Content-Length and requests no bytes */
 		ulfius_set_stream_response(
-			response, (uint)answer->status, no_bytes, NULL,
-			(uint64_t)answer->head_length, 1, NULL);
+			response, (uint)answer->status, stream_no_bytes, NULL,
+			(uint64_t)answer->head_content_length, 1, NULL);
 		return;
 	}
 	response->binary_body_length = answer->body->len;
@@ -420,11 +428,13 @@
 }
 
 /*
- * ulfius keeps one value a name, so the second Set-Cookie of an answer would
- * replace the first. Its names are told apart by case, HTTP's are not: each
- * repeat gets a spelling of its own.
+ * ulfius stores one value for each name, so that the second Set-Cookie of a
+ * response would replace the first. It compares names with regard to case,
+ * while HTTP ignores case, so each repeated header gets a different mix of
+ * upper and lower case.
  */
-static void put_header(struct _u_map *map, const char *name, const char *value)
+static void add_response_header(struct _u_map *map, const char *name,
+				const char *value)
 {
 	char *spelling = g_strdup(name);
 
@@ -445,7 +455,8 @@
 	g_free(spelling);
 }
 
-static ssize_t no_bytes(void *data, uint64_t offset, char *out, size_t max)
+static ssize_t stream_no_bytes(void *data, uint64_t offset, char *out,
+			       size_t max)
 {
 	(void)data;
 	(void)offset;
@@ -454,27 +465,31 @@
 	return U_STREAM_END;
 }
 
-/* Returns the number of connections that are still open. */
-static int32_t close_idle_reads(wwh_listener_t *listener)
+/*
+ * Shuts down idle connections for reading. Returns the number of connections
+ * that are still open.
+ */
+static int32_t shut_down_idle_connections(wwh_listener_t *listener)
 {
 	GHashTableIter iter;
 	gpointer key;
-	int32_t open;
+	int32_t open_connections;
 
 	g_mutex_lock(&listener->lock);
-	open = (int32_t)g_hash_table_size(listener->connections);
+	open_connections = (int32_t)g_hash_table_size(listener->connections);
 	g_hash_table_iter_init(&iter, listener->connections);
 	while (g_hash_table_iter_next(&iter, &key, NULL)) {
 		connection_t *connection = key;
 		int unread = 0;
 
-		if (connection->phase != PHASE_IDLE || connection->read_closed)
+		if (connection->phase != PHASE_IDLE ||
+		    connection->read_shut_down)
 			continue;
 		if (ioctl(connection->fd, FIONREAD, &unread) == 0 && unread > 0)
 			continue;
-		connection->read_closed = true;
+		connection->read_shut_down = true;
 		(void)shutdown(connection->fd, SHUT_RD);
 	}
 	g_mutex_unlock(&listener->lock);
-	return open;
+	return open_connections;
 }
--- a/src/test_api_keys/test_api_keys.c
+++ b/src/test_api_keys/test_api_keys.c
@@ -1,4 +1,4 @@
-/* Which workspace a key belongs to, and who may use which queue. */
+/* Tests the mapping of API keys to workspaces. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -36,37 +36,40 @@
 	assert_string_equal(workspace, owner);
 }
 
-static void assert_refused(const wwh_api_keys_t *keys, const char *key,
-			   wwh_access_t why)
+static void assert_rejected(const wwh_api_keys_t *keys, const char *key,
+			    wwh_access_t expected)
 {
 	const char *workspace = "stale";
 
-	assert_int_equal(wwh_api_keys_check(keys, key, &workspace), why);
+	assert_int_equal(wwh_api_keys_check(keys, key, &workspace), expected);
 	assert_null(workspace);
 }
 
-static void each_key_leads_to_its_workspace(void **state)
+static void each_key_maps_to_its_workspace(void **state)
 {
 	assert_owner(*state, "key-1", "parks");
 	assert_owner(*state, "key-2", "parks");
 	assert_owner(*state, "key-3", "schools");
 }
 
-/* Guards against keys that pass for another by a part of it or its case. */
-static void a_key_that_is_almost_right_is_unknown(void **state)
+/*
+ * Guards against accepting a key that matches another one only in part, or only
+ * without regard to case or blanks.
+ */
+static void similar_keys_are_unknown(void **state)
 {
 	static const char *const wrong[] = {
 		"key-", "key-11", "KEY-1", " key-1", "key-1 ", "key-4",
 	};
 
 	for (size_t i = 0; i < G_N_ELEMENTS(wrong); i++)
-		assert_refused(*state, wrong[i], WWH_ACCESS_UNKNOWN_KEY);
-	assert_refused(*state, NULL, WWH_ACCESS_NO_KEY);
-	assert_refused(*state, "", WWH_ACCESS_NO_KEY);
+		assert_rejected(*state, wrong[i], WWH_ACCESS_UNKNOWN_KEY);
+	assert_rejected(*state, NULL, WWH_ACCESS_NO_KEY);
+	assert_rejected(*state, "", WWH_ACCESS_NO_KEY);
 }
 
-/* Guards against a key that would speak for two workspaces. */
-static void a_key_has_one_workspace(void **state)
+/* Guards against a key that grants access to two workspaces. */
+static void key_belongs_to_one_workspace(void **state)
 {
 	wwh_api_keys_t *keys = *state;
 
@@ -78,13 +81,12 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test_setup_teardown(each_key_leads_to_its_workspace,
+		cmocka_unit_test_setup_teardown(each_key_maps_to_its_workspace,
+						set_up, tear_down),
+		cmocka_unit_test_setup_teardown(similar_keys_are_unknown,
+						set_up, tear_down),
+		cmocka_unit_test_setup_teardown(key_belongs_to_one_workspace,
 						set_up, tear_down),
-		cmocka_unit_test_setup_teardown(
-			a_key_that_is_almost_right_is_unknown, set_up,
-			tear_down),
-		cmocka_unit_test_setup_teardown(a_key_has_one_workspace, set_up,
-						tear_down),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/src/test_listener/test_listener.c
+++ b/src/test_listener/test_listener.c
@@ -20,7 +20,7 @@
 	_Atomic int32_t handled;
 } fixture_t;
 
-/* Answers with what it saw: target, headers and body as they came. */
+/* Responds with the target, headers and body that it received. */
 static void echo(const wwh_http_request_t *request,
 		 wwh_http_response_t *response, void *client_data)
 {
@@ -42,7 +42,7 @@
 	wwh_headers_add(response->headers, "Set-Cookie", "a=1");
 	wwh_headers_add(response->headers, "Set-Cookie", "b=2");
 	wwh_headers_add(response->headers, "Set-Cookie", "c=3");
-	response->head_length = 12345;
+	response->head_content_length = 12345;
 	g_byte_array_append(response->body, (const guint8 *)text->str,
 			    (guint)text->len);
 	g_string_free(text, TRUE);
@@ -113,10 +113,10 @@
 }
 
 /*
- * The minion gets what the caller sent. ulfius's own maps would decode the
- * path, fold repeated headers and drop the value that isn't UTF-8.
+ * The minion must receive what the caller sent. ulfius's own maps would decode
+ * the path, fold repeated headers and drop the value that isn't UTF-8.
  */
-static void the_handler_sees_the_request_as_it_was_sent(void **state)
+static void handler_receives_request_unchanged(void **state)
 {
 	char *text = exchange(*state, "POST /a%26b?x=%20 HTTP/1.1\r\n"
 				      "Host: h\r\nX-Twice: 1\r\nX-Twice: 2\r\n"
@@ -133,7 +133,7 @@
 	g_free(text);
 }
 
-static void repeated_answer_headers_stay_repeated(void **state)
+static void repeated_response_headers_are_kept(void **state)
 {
 	char *text = exchange(*state, "GET / HTTP/1.1\r\nHost: h\r\n"
 				      "Connection: close\r\n\r\n");
@@ -146,7 +146,7 @@
 	g_free(text);
 }
 
-static void an_answer_to_head_keeps_its_length(void **state)
+static void head_response_keeps_content_length(void **state)
 {
 	char *text = exchange(*state, "HEAD / HTTP/1.1\r\nHost: h\r\n"
 				      "Connection: close\r\n\r\n");
@@ -157,10 +157,10 @@
 }
 
 /*
- * The caller sends more than the limit and is told 413 and "not-run". ulfius
- * alone would cut the body at its limit and hand the rest on as a whole one.
+ * A body above the limit is answered with 413 and "not-run". ulfius alone would
+ * truncate the body at its limit and pass it on as complete.
  */
-static void a_body_above_the_limit_is_refused_whole(void **state)
+static void oversized_body_is_rejected(void **state)
 {
 	fixture_t *fixture = *state;
 	GString *request = g_string_new(NULL);
@@ -185,18 +185,18 @@
 	return exchange(data, "GET /slow HTTP/1.1\r\nHost: h\r\n\r\n");
 }
 
-static void wait_until_busy(fixture_t *fixture, int32_t count)
+static void wait_for_requests_in_progress(fixture_t *fixture, int32_t count)
 {
-	while (wwh_listener_busy(fixture->listener) < count)
+	while (wwh_listener_requests_in_progress(fixture->listener) < count)
 		g_usleep(1000);
 }
 
 /*
- * A host is shut down while a request is in progress. Its caller gets the
- * whole answer: ulfius_stop_framework alone would reset the connection and
- * the caller would see an empty answer to a request that ran.
+ * A host shuts down while a request is in progress. The caller must get the
+ * complete response: ulfius_stop_framework alone would reset the connection,
+ * and the caller would get an empty response to a request that ran.
  */
-static void a_drain_cuts_off_no_request_in_progress(void **state)
+static void drain_completes_requests_in_progress(void **state)
 {
 	fixture_t *fixture = *state;
 	GThread *thread;
@@ -205,7 +205,7 @@
 
 	fixture->handler_ms = 300;
 	thread = g_thread_new("caller", exchange_in_thread, fixture);
-	wait_until_busy(fixture, 1);
+	wait_for_requests_in_progress(fixture, 1);
 	assert_int_equal(wwh_listener_drain(fixture->listener, 5000), 0);
 	text = g_thread_join(thread);
 	assert_true(g_str_has_prefix(text, "HTTP/1.1 200"));
@@ -214,8 +214,8 @@
 	close(idle);
 }
 
-/* Above the bound a caller is told at once, and nothing waits unseen. */
-static void requests_above_the_bound_are_refused_at_once(void **state)
+/* Above max_requests a caller gets a response at once; no request is queued. */
+static void requests_above_the_limit_are_rejected_at_once(void **state)
 {
 	fixture_t *fixture = *state;
 	GThread *threads[2];
@@ -225,7 +225,7 @@
 	for (int i = 0; i < 2; i++)
 		threads[i] =
 			g_thread_new("caller", exchange_in_thread, fixture);
-	wait_until_busy(fixture, 2);
+	wait_for_requests_in_progress(fixture, 2);
 	text = exchange(fixture, "GET / HTTP/1.1\r\nHost: h\r\n"
 				 "Connection: close\r\n\r\n");
 	assert_true(g_str_has_prefix(text, "HTTP/1.1 503"));
@@ -243,21 +243,18 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test_setup_teardown(
-			the_handler_sees_the_request_as_it_was_sent, set_up,
-			tear_down),
-		cmocka_unit_test_setup_teardown(
-			repeated_answer_headers_stay_repeated, set_up,
-			tear_down),
+			handler_receives_request_unchanged, set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
-			an_answer_to_head_keeps_its_length, set_up, tear_down),
+			repeated_response_headers_are_kept, set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
-			a_body_above_the_limit_is_refused_whole, set_up,
-			tear_down),
+			head_response_keeps_content_length, set_up, tear_down),
+		cmocka_unit_test_setup_teardown(oversized_body_is_rejected,
+						set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
-			a_drain_cuts_off_no_request_in_progress, set_up,
+			drain_completes_requests_in_progress, set_up,
 			tear_down),
 		cmocka_unit_test_setup_teardown(
-			requests_above_the_bound_are_refused_at_once, set_up,
+			requests_above_the_limit_are_rejected_at_once, set_up,
 			tear_down),
 	};
 
