--- a/include/waxwinghollow/platform.h
+++ b/include/waxwinghollow/platform.h
@@ -3,19 +3,19 @@
 
 /*
  * NAME
- *	platform - what the system asks of the platform, as callbacks
+ *	platform - interface to the platform, as callbacks
  *
  * USE
- *	The rest of the library sees the platform only through a
- *	wwh_platform_t: callbacks with a context pointer. platform_http.h fills
- *	one in for the HTTP protocol of docs/PLATFORM.md; tests fill one in
- *	with a fake in memory; an operator's adaptor fills in a third.
+ *	The rest of the library accesses the platform only through a
+ *	wwh_platform_t: callbacks with a context pointer. platform_http.h
+ *	provides one for the HTTP protocol of docs/PLATFORM.md, tests provide
+ *	one with a fake in memory, and an operator's adapter provides another.
  *
  *	Every callback blocks for at most timeout_ms and may be called from
  *	several threads at once.
  *
  * ORDER OF CALLS
- *	Any, while the context lives.
+ *	Any, while the context is valid.
  */
 
 #include <stdbool.h>
@@ -30,7 +30,7 @@
 	uint8_t bytes[WWH_APPEND_ID_BYTES];
 } wwh_append_id_t;
 
-/* One record of a stream. data lives only during the visit. */
+/* One record of a stream. data is valid only during the visit. */
 typedef struct {
 	int64_t offset;
 	wwh_append_id_t append_id;
@@ -53,7 +53,7 @@
 extern const char *const wwh_host_state_names[WWH_HOST_STATE_COUNT];
 
 typedef enum {
-	WWH_HOST_ENTRY = 0, /* a host of the system's own */
+	WWH_HOST_ENTRY = 0, /* one of the system's own hosts */
 	WWH_HOST_WORKER,
 	WWH_HOST_MINION,
 	WWH_HOST_KIND_COUNT
@@ -62,20 +62,23 @@
 /* Names of wwh_host_kind_t, in the same order. */
 extern const char *const wwh_host_kind_names[WWH_HOST_KIND_COUNT];
 
-/* One line of the lagging list. Strings live only during the visit. */
+/*
+ * One row of the platform's list of hosts, which lags behind their actual
+ * state. Strings are valid only during the visit.
+ */
 typedef struct {
 	const char *id;
 	wwh_host_kind_t kind;
 	wwh_host_state_t state;
-	const char *address; /* entry: IP number and peer port "a:p" */
+	const char *address; /* entry: IP address and peer port "a:p" */
 	const char *zone;
 } wwh_host_t;
 
 typedef void (*wwh_host_visit_t)(const wwh_host_t *host, void *client_data);
 
 typedef enum {
-	WWH_COMMAND_CORDON = 0, /* takes no new tasks */
-	WWH_COMMAND_DRAIN, /* tasks checkpoint or finish */
+	WWH_COMMAND_CORDON = 0, /* the worker accepts no new tasks */
+	WWH_COMMAND_DRAIN, /* its tasks checkpoint or finish */
 	WWH_COMMAND_REBOOT,
 	WWH_COMMAND_UNCORDON,
 	WWH_COMMAND_COUNT
@@ -99,7 +102,7 @@
 
 typedef struct {
 	wwh_worker_state_t state;
-	int64_t fence; /* highest log offset a command came with */
+	int64_t fence; /* highest log offset received with a command */
 	int64_t boots; /* reboots so far */
 	int32_t running_tasks;
 } wwh_worker_status_t;
@@ -119,11 +122,11 @@
 	const char *task_id;
 	const char *worker_id;
 	wwh_task_verb_t verb;
-	int64_t fence; /* log offset of the lease the task runs under */
+	int64_t fence; /* log offset of the lease of the task */
 	int32_t cores;
 	int64_t memory_mb;
 	int32_t accelerators;
-	int32_t lease_ms; /* the worker stops the task when it lapses */
+	int32_t lease_ms; /* the worker stops the task when the lease lapses */
 } wwh_task_order_t;
 
 typedef enum {
@@ -138,7 +141,7 @@
 /* Names of wwh_task_state_t, in the same order. */
 extern const char *const wwh_task_state_names[WWH_TASK_STATE_COUNT];
 
-/* A usage report; lags behind what the worker does. */
+/* A usage report, which lags behind the worker's actual state. */
 typedef struct {
 	const char *task_id;
 	const char *worker_id;
@@ -152,15 +155,17 @@
 				 void *client_data);
 
 /*
- * What the callbacks return: WWH_STATUS_OK; WWH_STATUS_UNAVAILABLE, surely
- * without effect; WWH_STATUS_UNKNOWN, the answer was lost and the effect may
- * be there; WWH_STATUS_CONFLICT, refused because of a higher fence;
- * WWH_STATUS_NOT_FOUND, trimmed or no such host; WWH_STATUS_BAD_INPUT.
+ * The callbacks return WWH_STATUS_OK; WWH_STATUS_UNAVAILABLE if the call
+ * certainly had no effect; WWH_STATUS_UNKNOWN if the answer was lost and the
+ * call may have had an effect; WWH_STATUS_CONFLICT if it was rejected because
+ * of a higher fence; WWH_STATUS_NOT_FOUND if the records were trimmed or there
+ * is no such host; WWH_STATUS_BAD_INPUT if the request or the answer is
+ * invalid.
  */
 typedef struct {
 	void *context;
 
-	/* Appends one record; *offset is set when the answer is OK. */
+	/* Appends one record; *offset is set if the result is OK. */
 	wwh_status_t (*append)(void *context, const char *stream,
 			       const wwh_append_id_t *append_id,
 			       const uint8_t *data, size_t size,
@@ -168,9 +173,9 @@
 
 	/*
 	 * Visits records from offset from on, waiting up to wait_ms for the
-	 * first. *first is the oldest offset that is still kept, *next the
-	 * one that the next append will get. NOT_FOUND when from is older
-	 * than *first.
+	 * first. *first is the oldest offset that is still stored, *next the
+	 * offset that the next append will get. Returns NOT_FOUND if from is
+	 * lower than *first.
 	 */
 	wwh_status_t (*read)(void *context, const char *stream, int64_t from,
 			     int32_t wait_ms, int32_t timeout_ms,
@@ -178,13 +183,14 @@
 			     int64_t *first, int64_t *next);
 
 	/*
-	 * The lagging list of live and leaving hosts. BAD_INPUT: some rows
-	 * can't be read; the others were visited.
+	 * Visits the platform's list of live and leaving hosts, which lags
+	 * behind their actual state. Returns BAD_INPUT if some rows are
+	 * invalid; the others were visited.
 	 */
 	wwh_status_t (*hosts)(void *context, int32_t timeout_ms,
 			      wwh_host_visit_t visit, void *client_data);
 
-	/* fence is the offset of the grant that allows the command. */
+	/* fence is the log offset of the grant that permits the command. */
 	wwh_status_t (*command)(void *context, const char *worker_id,
 				wwh_command_t command, int64_t fence,
 				int32_t timeout_ms);
@@ -193,7 +199,7 @@
 				      wwh_worker_status_t *status);
 	wwh_status_t (*task)(void *context, const wwh_task_order_t *order,
 			     int32_t timeout_ms);
-	/* BAD_INPUT as for hosts */
+	/* Returns BAD_INPUT as hosts does. */
 	wwh_status_t (*task_reports)(void *context, int32_t timeout_ms,
 				     wwh_task_visit_t visit, void *client_data);
 } wwh_platform_t;
--- a/include/waxwinghollow/platform_http.h
+++ b/include/waxwinghollow/platform_http.h
@@ -6,16 +6,16 @@
  *	platform_http - the platform's callbacks over HTTP
  *
  * USE
- *	Fills in a wwh_platform_t that speaks the protocol of
- *	docs/PLATFORM.md over libcurl. Every call may be made from any thread;
- *	each takes an easy handle, with its kept-alive connection, from a small
- *	pool. Deadlines are in milliseconds and end the call, not only the
- *	wait for a connection.
+ *	Provides a wwh_platform_t that uses the protocol of docs/PLATFORM.md
+ *	over libcurl. Every call may be made from any thread; each uses an easy
+ *	handle, with its persistent connection, from a small pool. Timeouts are
+ *	in milliseconds and limit the whole call, not only connecting.
  *
- *	UNAVAILABLE is returned only when no byte of the request can have left
- *	or the platform said 503; a whole answer that can't be understood, and
- *	every other end of an append or a command, is UNKNOWN. Reads have no
- *	effect, so theirs is always UNAVAILABLE.
+ *	An append or a command returns UNAVAILABLE only if no byte of the
+ *	request can have been sent or the platform answered 503. A missing,
+ *	truncated or invalid answer is UNKNOWN, as is an unexpected HTTP
+ *	status. Reads have no effect, so a read without a complete answer is
+ *	always UNAVAILABLE.
  *
  *	read waits for at most half of its timeout_ms, so that a long poll
  *	without records ends with an answer.
@@ -33,11 +33,11 @@
 #include "waxwinghollow/status.h"
 
 typedef struct {
-	const char *base_url; /* "http://ADDRESS:PORT", without a slash */
+	const char *base_url; /* "http://ADDRESS:PORT", no trailing slash */
 	int32_t connect_timeout_ms;
-	int32_t idle_handles; /* kept for the next calls */
-	int64_t max_answer_bytes; /* a longer answer is cut off and refused */
-	int64_t read_bytes; /* asked for in one read */
+	int32_t max_idle_handles;
+	int64_t max_answer_bytes; /* a call with a longer answer is aborted */
+	int64_t max_read_bytes; /* requested by one read */
 } wwh_platform_http_options_t;
 
 typedef struct wwh_platform_http wwh_platform_http_t;
@@ -50,7 +50,7 @@
 				    wwh_message_t *message);
 void wwh_platform_http_delete(wwh_platform_http_t *http);
 
-/* The callbacks; valid while http lives. */
+/* Sets the callbacks of platform, which are valid while http exists. */
 void wwh_platform_http_interface(wwh_platform_http_t *http,
 				 wwh_platform_t *platform);
 
--- a/src/libwaxwinghollow/include/private/platform_http_decode.h
+++ b/src/libwaxwinghollow/include/private/platform_http_decode.h
@@ -2,10 +2,11 @@
 #define WAXWINGHOLLOW_PRIVATE_PLATFORM_HTTP_DECODE_H
 
 /*
- * Decoders of the bodies of docs/PLATFORM.md. Each checks types and bounds
- * and returns WWH_STATUS_BAD_INPUT for anything else; a body is checked as a
- * whole before the first visit. Of a list of hosts or tasks the rows that can
- * be read are visited all the same: one bad row would hide all others.
+ * Decoders of the message bodies of docs/PLATFORM.md. Each checks types and
+ * bounds and returns WWH_STATUS_BAD_INPUT for an invalid body. A body is
+ * checked completely before the first visit. In a list of hosts or tasks the
+ * valid rows are visited even if others are invalid, because one invalid row
+ * would otherwise hide all others.
  */
 
 #include "waxwinghollow/platform.h"
--- a/src/libwaxwinghollow/platform_http.c
+++ b/src/libwaxwinghollow/platform_http.c
@@ -7,10 +7,10 @@
 #include "private/platform_http_decode.h"
 
 #define CONNECT_TIMEOUT_MS 1000
-#define IDLE_HANDLES 8
+#define MAX_IDLE_HANDLES 8
 #define MAX_ANSWER_BYTES (32 * 1024 * 1024)
-#define READ_BYTES (1024 * 1024)
-#define FIRST_BUFFER_BYTES 512
+#define MAX_READ_BYTES (1024 * 1024)
+#define INITIAL_ANSWER_BYTES 512
 
 #define HTTP_OK 200
 #define HTTP_BAD_REQUEST 400
@@ -23,10 +23,10 @@
 	wwh_platform_http_options_t options;
 	char *base_url;
 	GMutex lock;
-	GPtrArray *idle; /* CURL * */
+	GPtrArray *idle; /* of CURL * */
 };
 
-/* One request and what came of it. */
+/* One request and its answer. */
 typedef struct {
 	char *url;
 	bool is_post;
@@ -35,43 +35,47 @@
 	size_t body_size;
 	int32_t timeout_ms;
 	int64_t max_answer_bytes;
-	int32_t sends; /* times the request was about to be sent */
-	bool headers_whole;
+	int32_t send_attempts; /* times libcurl was about to send the request */
+	bool headers_complete;
 	long http_status;
 	GByteArray *answer;
 } exchange_t;
 
-static wwh_status_t append(void *context, const char *stream,
-			   const wwh_append_id_t *append_id,
-			   const uint8_t *data, size_t size, int32_t timeout_ms,
-			   int64_t *offset);
+static wwh_status_t append_record(void *context, const char *stream,
+				  const wwh_append_id_t *append_id,
+				  const uint8_t *data, size_t size,
+				  int32_t timeout_ms, int64_t *offset);
 static wwh_status_t read_log(void *context, const char *stream, int64_t from,
 			     int32_t wait_ms, int32_t timeout_ms,
 			     wwh_log_visit_t visit, void *client_data,
 			     int64_t *first, int64_t *next);
-static wwh_status_t hosts(void *context, int32_t timeout_ms,
-			  wwh_host_visit_t visit, void *client_data);
-static wwh_status_t command(void *context, const char *worker_id,
-			    wwh_command_t command, int64_t fence,
-			    int32_t timeout_ms);
-static wwh_status_t worker_status(void *context, const char *worker_id,
-				  int32_t timeout_ms,
-				  wwh_worker_status_t *status);
-static wwh_status_t task(void *context, const wwh_task_order_t *order,
-			 int32_t timeout_ms);
-static wwh_status_t task_reports(void *context, int32_t timeout_ms,
-				 wwh_task_visit_t visit, void *client_data);
+static wwh_status_t list_hosts(void *context, int32_t timeout_ms,
+			       wwh_host_visit_t visit, void *client_data);
+static wwh_status_t send_command(void *context, const char *worker_id,
+				 wwh_command_t command, int64_t fence,
+				 int32_t timeout_ms);
+static wwh_status_t get_worker_status(void *context, const char *worker_id,
+				      int32_t timeout_ms,
+				      wwh_worker_status_t *status);
+static wwh_status_t send_task_order(void *context,
+				    const wwh_task_order_t *order,
+				    int32_t timeout_ms);
+static wwh_status_t list_task_reports(void *context, int32_t timeout_ms,
+				      wwh_task_visit_t visit,
+				      void *client_data);
 static void exchange_init(exchange_t *exchange, bool is_post, char *url,
 			  int32_t timeout_ms);
 static void exchange_clear(exchange_t *exchange);
-static wwh_status_t perform(wwh_platform_http_t *http, exchange_t *exchange);
-static void set_up(wwh_platform_http_t *http, CURL *curl, exchange_t *exchange);
-static CURL *take_handle(wwh_platform_http_t *http);
-static void give_handle(wwh_platform_http_t *http, CURL *curl);
-static wwh_status_t act(wwh_platform_http_t *http, char *url,
-			int32_t timeout_ms);
-static wwh_status_t get(wwh_platform_http_t *http, exchange_t *exchange);
-static char *escaped(const char *text);
+static wwh_status_t perform_exchange(wwh_platform_http_t *http,
+				     exchange_t *exchange);
+static void set_up_handle(wwh_platform_http_t *http, CURL *curl,
+			  exchange_t *exchange);
+static CURL *acquire_handle(wwh_platform_http_t *http);
+static void release_handle(wwh_platform_http_t *http, CURL *curl);
+static wwh_status_t post_order(wwh_platform_http_t *http, char *url,
+			       int32_t timeout_ms);
+static wwh_status_t get_answer(wwh_platform_http_t *http, exchange_t *exchange);
+static char *escape_for_url(const char *text);
 static size_t on_body(char *data, size_t size, size_t count, void *context);
 static size_t on_header(char *data, size_t size, size_t count, void *context);
 static int before_send(void *context, char *remote, char *local,
@@ -81,9 +85,9 @@
 {
 	*options = (wwh_platform_http_options_t){
 		.connect_timeout_ms = CONNECT_TIMEOUT_MS,
-		.idle_handles = IDLE_HANDLES,
+		.max_idle_handles = MAX_IDLE_HANDLES,
 		.max_answer_bytes = MAX_ANSWER_BYTES,
-		.read_bytes = READ_BYTES,
+		.max_read_bytes = MAX_READ_BYTES,
 	};
 }
 
@@ -104,12 +108,13 @@
 {
 	if (http->base_url == NULL ||
 	    !g_str_has_prefix(http->base_url, "http://")) {
-		wwh_message_set(message, "platform: %s: expected http://A:P",
+		wwh_message_set(message,
+				"platform: %s: expected http://ADDRESS:PORT",
 				http->base_url == NULL ? "" : http->base_url);
 		return WWH_STATUS_BAD_INPUT;
 	}
 	if (curl_global_init(CURL_GLOBAL_DEFAULT) != CURLE_OK) {
-		wwh_message_set(message, "platform: libcurl does not start");
+		wwh_message_set(message, "platform: can't initialize libcurl");
 		return WWH_STATUS_IO;
 	}
 	return WWH_STATUS_OK;
@@ -132,24 +137,24 @@
 {
 	*platform = (wwh_platform_t){
 		.context = http,
-		.append = append,
+		.append = append_record,
 		.read = read_log,
-		.hosts = hosts,
-		.command = command,
-		.worker_status = worker_status,
-		.task = task,
-		.task_reports = task_reports,
+		.hosts = list_hosts,
+		.command = send_command,
+		.worker_status = get_worker_status,
+		.task = send_task_order,
+		.task_reports = list_task_reports,
 	};
 }
 
-static wwh_status_t append(void *context, const char *stream,
-			   const wwh_append_id_t *append_id,
-			   const uint8_t *data, size_t size, int32_t timeout_ms,
-			   int64_t *offset)
+static wwh_status_t append_record(void *context, const char *stream,
+				  const wwh_append_id_t *append_id,
+				  const uint8_t *data, size_t size,
+				  int32_t timeout_ms, int64_t *offset)
 {
 	wwh_platform_http_t *http = context;
 	GString *header = g_string_new("Append-Id: ");
-	char *name = escaped(stream);
+	char *name = escape_for_url(stream);
 	exchange_t exchange;
 	wwh_status_t status;
 
@@ -161,7 +166,7 @@
 	exchange.headers = curl_slist_append(exchange.headers, header->str);
 	exchange.body = data;
 	exchange.body_size = size;
-	status = perform(http, &exchange);
+	status = perform_exchange(http, &exchange);
 	if (status == WWH_STATUS_OK) {
 		if (exchange.http_status == HTTP_UNAVAILABLE)
 			status = WWH_STATUS_UNAVAILABLE;
@@ -180,7 +185,7 @@
 	return status;
 }
 
-/* platform.h sets the count of parameters. */
+/* The callback type in platform.h determines the number of parameters. */
 /* NOLINTNEXTLINE(readability-function-size) */
 static wwh_status_t read_log(void *context, const char *stream, int64_t from,
 			     int32_t wait_ms, int32_t timeout_ms,
@@ -188,7 +193,7 @@
 			     int64_t *first, int64_t *next)
 {
 	wwh_platform_http_t *http = context;
-	char *name = escaped(stream);
+	char *name = escape_for_url(stream);
 	exchange_t exchange;
 	wwh_status_t status;
 
@@ -197,9 +202,9 @@
 				      "&wait_ms=%d&max_bytes=%" G_GINT64_FORMAT,
 				      http->base_url, name, from,
 				      (int)MIN(wait_ms, timeout_ms / 2),
-				      http->options.read_bytes),
+				      http->options.max_read_bytes),
 		      timeout_ms);
-	status = perform(http, &exchange);
+	status = perform_exchange(http, &exchange);
 	if (status == WWH_STATUS_OK && exchange.http_status != HTTP_OK &&
 	    exchange.http_status != HTTP_NOT_FOUND)
 		status = WWH_STATUS_UNAVAILABLE;
@@ -216,8 +221,8 @@
 	return status;
 }
 
-static wwh_status_t hosts(void *context, int32_t timeout_ms,
-			  wwh_host_visit_t visit, void *client_data)
+static wwh_status_t list_hosts(void *context, int32_t timeout_ms,
+			       wwh_host_visit_t visit, void *client_data)
 {
 	wwh_platform_http_t *http = context;
 	exchange_t exchange;
@@ -225,7 +230,7 @@
 
 	exchange_init(&exchange, false,
 		      g_strconcat(http->base_url, "/hosts", NULL), timeout_ms);
-	status = get(http, &exchange);
+	status = get_answer(http, &exchange);
 	if (status == WWH_STATUS_OK)
 		status = wwh_decode_hosts(exchange.answer->data,
 					  exchange.answer->len, visit,
@@ -234,36 +239,36 @@
 	return status;
 }
 
-static wwh_status_t command(void *context, const char *worker_id,
-			    wwh_command_t command, int64_t fence,
-			    int32_t timeout_ms)
+static wwh_status_t send_command(void *context, const char *worker_id,
+				 wwh_command_t command, int64_t fence,
+				 int32_t timeout_ms)
 {
 	wwh_platform_http_t *http = context;
-	char *id = escaped(worker_id);
-	wwh_status_t status =
-		act(http,
-		    g_strdup_printf("%s/workers/%s/%s?fence=%" G_GINT64_FORMAT,
-				    http->base_url, id,
-				    wwh_command_names[command], fence),
-		    timeout_ms);
+	char *id = escape_for_url(worker_id);
+	wwh_status_t status = post_order(
+		http,
+		g_strdup_printf("%s/workers/%s/%s?fence=%" G_GINT64_FORMAT,
+				http->base_url, id, wwh_command_names[command],
+				fence),
+		timeout_ms);
 
 	g_free(id);
 	return status;
 }
 
-static wwh_status_t worker_status(void *context, const char *worker_id,
-				  int32_t timeout_ms,
-				  wwh_worker_status_t *status)
+static wwh_status_t get_worker_status(void *context, const char *worker_id,
+				      int32_t timeout_ms,
+				      wwh_worker_status_t *status)
 {
 	wwh_platform_http_t *http = context;
-	char *id = escaped(worker_id);
+	char *id = escape_for_url(worker_id);
 	exchange_t exchange;
 	wwh_status_t result;
 
 	exchange_init(&exchange, false,
 		      g_strdup_printf("%s/workers/%s", http->base_url, id),
 		      timeout_ms);
-	result = get(http, &exchange);
+	result = get_answer(http, &exchange);
 	if (result == WWH_STATUS_OK)
 		result = wwh_decode_worker_status(exchange.answer->data,
 						  exchange.answer->len, status);
@@ -272,13 +277,14 @@
 	return result;
 }
 
-static wwh_status_t task(void *context, const wwh_task_order_t *order,
-			 int32_t timeout_ms)
+static wwh_status_t send_task_order(void *context,
+				    const wwh_task_order_t *order,
+				    int32_t timeout_ms)
 {
 	wwh_platform_http_t *http = context;
-	char *worker_id = escaped(order->worker_id);
-	char *task_id = escaped(order->task_id);
-	wwh_status_t status = act(
+	char *worker_id = escape_for_url(order->worker_id);
+	char *task_id = escape_for_url(order->task_id);
+	wwh_status_t status = post_order(
 		http,
 		g_strdup_printf("%s/workers/%s/tasks/%s/%s"
 				"?fence=%" G_GINT64_FORMAT
@@ -295,8 +301,8 @@
 	return status;
 }
 
-static wwh_status_t task_reports(void *context, int32_t timeout_ms,
-				 wwh_task_visit_t visit, void *client_data)
+static wwh_status_t list_task_reports(void *context, int32_t timeout_ms,
+				      wwh_task_visit_t visit, void *client_data)
 {
 	wwh_platform_http_t *http = context;
 	exchange_t exchange;
@@ -304,7 +310,7 @@
 
 	exchange_init(&exchange, false,
 		      g_strconcat(http->base_url, "/tasks", NULL), timeout_ms);
-	status = get(http, &exchange);
+	status = get_answer(http, &exchange);
 	if (status == WWH_STATUS_OK)
 		status = wwh_decode_task_reports(exchange.answer->data,
 						 exchange.answer->len, visit,
@@ -313,7 +319,7 @@
 	return status;
 }
 
-/* Takes over url. */
+/* Takes ownership of url. */
 static void exchange_init(exchange_t *exchange, bool is_post, char *url,
 			  int32_t timeout_ms)
 {
@@ -321,11 +327,14 @@
 		.url = url,
 		.is_post = is_post,
 		.timeout_ms = timeout_ms,
-		.answer = g_byte_array_sized_new(FIRST_BUFFER_BYTES),
+		.answer = g_byte_array_sized_new(INITIAL_ANSWER_BYTES),
 	};
 	exchange->headers = curl_slist_append(
 		NULL, "Content-Type: application/octet-stream");
-	/* Without it a body above 1 MB costs a round trip first. */
+	/*
+	 * Without an empty Expect header, a body above 1 MB costs an extra
+	 * round trip, as libcurl first waits for an interim answer.
+	 */
 	exchange->headers = curl_slist_append(exchange->headers, "Expect:");
 }
 
@@ -336,31 +345,33 @@
 	g_free(exchange->url);
 }
 
-/* OK: a whole answer came, whatever its status. */
-static wwh_status_t perform(wwh_platform_http_t *http, exchange_t *exchange)
+/* Returns OK if a complete answer was received, whatever its HTTP status. */
+static wwh_status_t perform_exchange(wwh_platform_http_t *http,
+				     exchange_t *exchange)
 {
-	CURL *curl = take_handle(http);
+	CURL *curl = acquire_handle(http);
 	CURLcode code;
 
 	if (curl == NULL)
 		return WWH_STATUS_UNAVAILABLE;
-	set_up(http, curl, exchange);
+	set_up_handle(http, curl, exchange);
 	code = curl_easy_perform(curl);
 	curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, &exchange->http_status);
-	give_handle(http, curl);
-	if (exchange->sends == 0)
+	release_handle(http, curl);
+	if (exchange->send_attempts == 0)
 		return WWH_STATUS_UNAVAILABLE;
 	/*
-	 * libcurl may call a connection that ends within the headers a
-	 * success; what the status line said is then taken for an answer that
-	 * the platform never finished.
+	 * libcurl may report success for a connection that closed within the
+	 * headers. The status line would then count as an answer that the
+	 * platform never completed.
 	 */
-	if (code != CURLE_OK || !exchange->headers_whole)
+	if (code != CURLE_OK || !exchange->headers_complete)
 		return WWH_STATUS_UNKNOWN;
 	return WWH_STATUS_OK;
 }
 
-static void set_up(wwh_platform_http_t *http, CURL *curl, exchange_t *exchange)
+static void set_up_handle(wwh_platform_http_t *http, CURL *curl,
+			  exchange_t *exchange)
 {
 	int32_t timeout_ms = MAX(1, exchange->timeout_ms);
 
@@ -369,7 +380,7 @@
 	curl_easy_setopt(curl, CURLOPT_URL, exchange->url);
 	curl_easy_setopt(curl, CURLOPT_PROTOCOLS_STR, "http");
 	curl_easy_setopt(curl, CURLOPT_PROXY, "");
-	/* Timeouts by signal would hit any thread of the process. */
+	/* Timeouts by signal would interrupt any thread of the process. */
 	curl_easy_setopt(curl, CURLOPT_NOSIGNAL, 1L);
 	curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, (long)timeout_ms);
 	curl_easy_setopt(
@@ -392,7 +403,7 @@
 						 : "");
 }
 
-static CURL *take_handle(wwh_platform_http_t *http)
+static CURL *acquire_handle(wwh_platform_http_t *http)
 {
 	CURL *curl = NULL;
 
@@ -403,12 +414,12 @@
 	return curl == NULL ? curl_easy_init() : curl;
 }
 
-static void give_handle(wwh_platform_http_t *http, CURL *curl)
+static void release_handle(wwh_platform_http_t *http, CURL *curl)
 {
 	bool keep;
 
 	g_mutex_lock(&http->lock);
-	keep = (int32_t)http->idle->len < http->options.idle_handles;
+	keep = (int32_t)http->idle->len < http->options.max_idle_handles;
 	if (keep)
 		g_ptr_array_add(http->idle, curl);
 	g_mutex_unlock(&http->lock);
@@ -416,15 +427,15 @@
 		curl_easy_cleanup(curl);
 }
 
-/* A command or task order; takes over url. */
-static wwh_status_t act(wwh_platform_http_t *http, char *url,
-			int32_t timeout_ms)
+/* Posts a command or a task order. Takes ownership of url. */
+static wwh_status_t post_order(wwh_platform_http_t *http, char *url,
+			       int32_t timeout_ms)
 {
 	exchange_t exchange;
 	wwh_status_t status;
 
 	exchange_init(&exchange, true, url, timeout_ms);
-	status = perform(http, &exchange);
+	status = perform_exchange(http, &exchange);
 	if (status == WWH_STATUS_OK) {
 		switch (exchange.http_status) {
 		case HTTP_OK:
@@ -450,9 +461,9 @@
 	return status;
 }
 
-static wwh_status_t get(wwh_platform_http_t *http, exchange_t *exchange)
+static wwh_status_t get_answer(wwh_platform_http_t *http, exchange_t *exchange)
 {
-	wwh_status_t status = perform(http, exchange);
+	wwh_status_t status = perform_exchange(http, exchange);
 
 	if (status != WWH_STATUS_OK)
 		return WWH_STATUS_UNAVAILABLE;
@@ -462,7 +473,7 @@
 						: WWH_STATUS_UNAVAILABLE;
 }
 
-static char *escaped(const char *text)
+static char *escape_for_url(const char *text)
 {
 	return g_uri_escape_string(text, NULL, FALSE);
 }
@@ -486,18 +497,18 @@
 	size_t bytes = size * count;
 
 	if (bytes == 2 && data[0] == '\r' && data[1] == '\n')
-		exchange->headers_whole = true;
+		exchange->headers_complete = true;
 	else if (bytes > 5 && strncmp(data, "HTTP/", 5) == 0)
-		exchange->headers_whole = false; /* after a 1xx */
+		exchange->headers_complete = false; /* a 1xx came before */
 	return bytes;
 }
 
 /*
- * When a kept-alive connection ends before the first byte of the answer,
- * libcurl sends the request again on a new one: the platform would get an
- * append or a command twice from one call. It asks here before each send, so
- * refusing the second one leaves the outcome unknown, which the caller can
- * settle. The callback also tells that nothing was sent: it wasn't called.
+ * If a persistent connection closes before the first byte of the answer,
+ * libcurl sends the request again on a new connection, and the platform would
+ * get an append or a command twice from one call. libcurl calls this function
+ * before each send. Aborting the second one leaves the outcome unknown, which
+ * the caller can resolve. If the function was never called, nothing was sent.
  */
 static int before_send(void *context, char *remote, char *local,
 		       int remote_port, int local_port)
@@ -508,8 +519,8 @@
 	(void)local;
 	(void)remote_port;
 	(void)local_port;
-	exchange->sends++;
-	if (exchange->is_post && exchange->sends > 1)
+	exchange->send_attempts++;
+	if (exchange->is_post && exchange->send_attempts > 1)
 		return CURL_PREREQFUNC_ABORT;
 	return CURL_PREREQFUNC_OK;
 }
--- a/src/libwaxwinghollow/platform_http_decode.c
+++ b/src/libwaxwinghollow/platform_http_decode.c
@@ -9,18 +9,18 @@
 
 #define RECORDS_DEPTH 3
 
-typedef bool (*check_t)(JsonObject *object, void *result);
+typedef bool (*row_decoder_t)(JsonObject *object, void *result);
 
 static JsonParser *parse_object(const uint8_t *data, size_t size,
 				JsonObject **object);
 static bool get_number(JsonObject *object, const char *name, int64_t *number);
-static bool get_text(JsonObject *object, const char *name, const char **text);
-static bool get_name(JsonObject *object, const char *name,
+static bool get_string(JsonObject *object, const char *name, const char **text);
+static bool get_enum(JsonObject *object, const char *name,
 		     const char *const *names, int32_t count, int32_t *index);
 static wwh_status_t decode_list(JsonObject *object, const char *name,
-				check_t check, GArray *results);
-static bool check_host(JsonObject *object, void *result);
-static bool check_report(JsonObject *object, void *result);
+				row_decoder_t decode, GArray *results);
+static bool decode_host(JsonObject *object, void *result);
+static bool decode_report(JsonObject *object, void *result);
 static bool records_valid(const msgpack_object *object);
 static bool record_valid(const msgpack_object *object);
 static bool is_offset(const msgpack_object *object);
@@ -84,7 +84,7 @@
 	JsonParser *parser = parse_object(data, size, &object);
 
 	if (object != NULL)
-		status = decode_list(object, "hosts", check_host, hosts);
+		status = decode_list(object, "hosts", decode_host, hosts);
 	for (guint i = 0; i < hosts->len; i++)
 		visit(&g_array_index(hosts, wwh_host_t, i), client_data);
 	g_array_unref(hosts);
@@ -102,7 +102,7 @@
 	int64_t running;
 
 	if (object != NULL &&
-	    get_name(object, "state", wwh_worker_state_names,
+	    get_enum(object, "state", wwh_worker_state_names,
 		     WWH_WORKER_STATE_COUNT, &state) &&
 	    get_number(object, "fence", &status->fence) &&
 	    get_number(object, "boots", &status->boots) &&
@@ -125,7 +125,7 @@
 	JsonParser *parser = parse_object(data, size, &object);
 
 	if (object != NULL)
-		status = decode_list(object, "tasks", check_report, reports);
+		status = decode_list(object, "tasks", decode_report, reports);
 	for (guint i = 0; i < reports->len; i++)
 		visit(&g_array_index(reports, wwh_task_report_t, i),
 		      client_data);
@@ -134,7 +134,7 @@
 	return status;
 }
 
-/* The parser owns *object, which is NULL when data is no JSON object. */
+/* *object is owned by the parser, and NULL if data isn't a JSON object. */
 static JsonParser *parse_object(const uint8_t *data, size_t size,
 				JsonObject **object)
 {
@@ -142,7 +142,7 @@
 	JsonNode *root = NULL;
 
 	*object = NULL;
-	/* The parser takes text only; other bytes would be read as its end. */
+	/* The parser would take bytes outside UTF-8 for the end. */
 	if (size > 0 && g_utf8_validate((const char *)data, (gssize)size, NULL))
 		json_parser_load_from_data(parser, (const char *)data,
 					   (gssize)size, NULL);
@@ -152,7 +152,7 @@
 	return parser;
 }
 
-/* No number of the protocol is below zero. */
+/* No number of the protocol is negative. */
 static bool get_number(JsonObject *object, const char *name, int64_t *number)
 {
 	JsonNode *node = json_object_get_member(object, name);
@@ -164,7 +164,7 @@
 	return *number >= 0;
 }
 
-static bool get_text(JsonObject *object, const char *name, const char **text)
+static bool get_string(JsonObject *object, const char *name, const char **text)
 {
 	JsonNode *node = json_object_get_member(object, name);
 
@@ -175,12 +175,12 @@
 	return true;
 }
 
-static bool get_name(JsonObject *object, const char *name,
+static bool get_enum(JsonObject *object, const char *name,
 		     const char *const *names, int32_t count, int32_t *index)
 {
 	const char *text;
 
-	if (!get_text(object, name, &text))
+	if (!get_string(object, name, &text))
 		return false;
 	for (*index = 0; *index < count; (*index)++)
 		if (strcmp(text, names[*index]) == 0)
@@ -188,9 +188,9 @@
 	return false;
 }
 
-/* The rows that can be read; BAD_INPUT: there are others. */
+/* Decodes the valid rows. Returns BAD_INPUT if there are invalid ones. */
 static wwh_status_t decode_list(JsonObject *object, const char *name,
-				check_t check, GArray *results)
+				row_decoder_t decode, GArray *results)
 {
 	JsonNode *node = json_object_get_member(object, name);
 	wwh_status_t status = WWH_STATUS_OK;
@@ -207,7 +207,7 @@
 			       count * g_array_get_element_size(results);
 
 		if (JSON_NODE_HOLDS_OBJECT(item) &&
-		    check(json_node_get_object(item), result))
+		    decode(json_node_get_object(item), result))
 			count++;
 		else
 			status = WWH_STATUS_BAD_INPUT;
@@ -216,31 +216,31 @@
 	return status;
 }
 
-static bool check_host(JsonObject *object, void *result)
+static bool decode_host(JsonObject *object, void *result)
 {
 	wwh_host_t *host = result;
 	int32_t kind;
 	int32_t state;
 
-	if (!get_name(object, "kind", wwh_host_kind_names, WWH_HOST_KIND_COUNT,
+	if (!get_enum(object, "kind", wwh_host_kind_names, WWH_HOST_KIND_COUNT,
 		      &kind) ||
-	    !get_name(object, "state", wwh_host_state_names,
+	    !get_enum(object, "state", wwh_host_state_names,
 		      WWH_HOST_STATE_COUNT, &state))
 		return false;
 	host->kind = (wwh_host_kind_t)kind;
 	host->state = (wwh_host_state_t)state;
-	return get_text(object, "id", &host->id) &&
-	       get_text(object, "address", &host->address) &&
-	       get_text(object, "zone", &host->zone);
+	return get_string(object, "id", &host->id) &&
+	       get_string(object, "address", &host->address) &&
+	       get_string(object, "zone", &host->zone);
 }
 
-static bool check_report(JsonObject *object, void *result)
+static bool decode_report(JsonObject *object, void *result)
 {
 	wwh_task_report_t *report = result;
 	int32_t state;
 	int64_t cores;
 
-	if (!get_name(object, "state", wwh_task_state_names,
+	if (!get_enum(object, "state", wwh_task_state_names,
 		      WWH_TASK_STATE_COUNT, &state) ||
 	    !get_number(object, "used_cores_milli", &cores) ||
 	    !get_number(object, "used_memory_mb", &report->used_memory_mb) ||
@@ -248,12 +248,12 @@
 		return false;
 	report->state = (wwh_task_state_t)state;
 	report->used_cores_milli = (int32_t)cores;
-	return get_text(object, "task_id", &report->task_id) &&
-	       get_text(object, "worker_id", &report->worker_id) &&
+	return get_string(object, "task_id", &report->task_id) &&
+	       get_string(object, "worker_id", &report->worker_id) &&
 	       get_number(object, "fence", &report->fence);
 }
 
-/* [first, next, [record, ...]] with the records' offsets rising. */
+/* Expects [first, next, [record, ...]] with ascending offsets below next. */
 static bool records_valid(const msgpack_object *object)
 {
 	const msgpack_object *top = object->via.array.ptr;
--- a/src/test_platform_http/test_platform_http.c
+++ b/src/test_platform_http/test_platform_http.c
@@ -13,7 +13,8 @@
 #include "waxwinghollow/platform_http.h"
 
 #define TIMEOUT_MS 5000
-#define WHOLE "HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\n{\"offset\": 7}"
+#define COMPLETE_ANSWER                                                        \
+	"HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\n{\"offset\": 7}"
 #define EMPTY_200 "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
 static const wwh_append_id_t append_id = { { 1, 2, 3 } };
@@ -41,9 +42,10 @@
 				offset);
 }
 
-/* Plays the script to a series of appends and checks what each returns. */
-static void play(const char *const *script, const wwh_status_t *expected,
-		 int32_t length, int32_t timeout_ms)
+/* Sends an append for each answer of the script and checks the results. */
+static void check_appends(const char *const *script,
+			  const wwh_status_t *expected, int32_t length,
+			  int32_t timeout_ms)
 {
 	raw_server_t *server = raw_server_new(script, length);
 	wwh_platform_t platform;
@@ -60,27 +62,28 @@
 }
 
 /*
- * An operator's publication would stand in the log twice: the kept-alive
- * connection ends after the platform read the request, before the first byte
- * of the answer; libcurl then sends the POST again on a new connection. The
- * server must see the second request once.
+ * Guards against an operator's publication that is in the log twice: the
+ * persistent connection closes after the platform has read the request, before
+ * the first byte of the answer, and libcurl sends the POST again on a new
+ * connection. The server must receive the second request once.
  */
 static void post_is_never_sent_twice(void **unused)
 {
-	const char *const script[] = { WHOLE, RAW_CLOSE, WHOLE };
+	const char *const script[] = { COMPLETE_ANSWER, RAW_CLOSE,
+				       COMPLETE_ANSWER };
 	const wwh_status_t expected[] = { WWH_STATUS_OK, WWH_STATUS_UNKNOWN,
 					  WWH_STATUS_OK };
 
 	(void)unused;
-	play(script, expected, 3, TIMEOUT_MS);
+	check_appends(script, expected, 3, TIMEOUT_MS);
 }
 
 /*
- * An append would be reported at an offset that it may not have: the
- * connection ends within the headers or the body, after a status line that
- * says 200. Only a whole answer counts.
+ * Guards against an append that is reported at an offset that it may not have:
+ * the connection closes within the headers or the body, after a status line
+ * with 200. Only a complete answer counts.
  */
-static void cut_answers_are_unknown(void **unused)
+static void truncated_answers_are_unknown(void **unused)
 {
 	const char *const script[] = {
 		"HTTP/1.1 200 OK\r\nContent-Le" RAW_CLOSE,
@@ -97,10 +100,10 @@
 	};
 
 	(void)unused;
-	play(script, expected, G_N_ELEMENTS(script), TIMEOUT_MS);
+	check_appends(script, expected, G_N_ELEMENTS(script), TIMEOUT_MS);
 }
 
-static void answers_that_make_no_sense_are_unknown(void **unused)
+static void invalid_answers_are_unknown(void **unused)
 {
 	const char *const script[] = {
 		EMPTY_200,
@@ -116,20 +119,20 @@
 	};
 
 	(void)unused;
-	play(script, expected, G_N_ELEMENTS(script), TIMEOUT_MS);
+	check_appends(script, expected, G_N_ELEMENTS(script), TIMEOUT_MS);
 }
 
-/* A platform that took the request and never answers: outcome unknown. */
-static void silence_ends_at_the_deadline(void **unused)
+/* The outcome is unknown if the platform never answers the request. */
+static void call_without_answer_ends_at_the_deadline(void **unused)
 {
 	const char *const script[] = { RAW_SILENT };
 	const wwh_status_t expected[] = { WWH_STATUS_UNKNOWN };
 
 	(void)unused;
-	play(script, expected, 1, 100);
+	check_appends(script, expected, 1, 100);
 }
 
-static void refused_connection_is_without_effect(void **unused)
+static void refused_connection_is_unavailable(void **unused)
 {
 	wwh_platform_t platform;
 	wwh_platform_http_t *http = connect_to(standin_free_port(), &platform);
@@ -160,7 +163,7 @@
 	assert_true(standin_process_stop(&standin->process));
 }
 
-static bool collect(const wwh_log_entry_t *entry, void *client_data)
+static bool append_entry(const wwh_log_entry_t *entry, void *client_data)
 {
 	assert_memory_equal(&entry->append_id, &append_id, sizeof(append_id));
 	g_string_append_printf(client_data, "%d:%.*s;", (int)entry->offset,
@@ -168,12 +171,12 @@
 	return true;
 }
 
-static void log_of_the_standin(void **unused)
+static void log_calls_against_the_standin(void **unused)
 {
 	standin_t standin;
 	int32_t port = start_standin(&standin);
 	wwh_platform_t *platform = &standin.platform;
-	GString *seen = g_string_new(NULL);
+	GString *records = g_string_new(NULL);
 	int64_t offset = 0;
 	int64_t first = 0;
 	int64_t next = 0;
@@ -190,22 +193,22 @@
 			 WWH_STATUS_UNAVAILABLE);
 	standin_call(port, "/fault?log_down=0");
 	assert_int_equal(platform->read(platform->context, "control", 1, 0,
-					TIMEOUT_MS, collect, seen, &first,
-					&next),
+					TIMEOUT_MS, append_entry, records,
+					&first, &next),
 			 WWH_STATUS_OK);
-	assert_string_equal(seen->str, "1:a;2:b;");
+	assert_string_equal(records->str, "1:a;2:b;");
 	assert_int_equal(next, 3);
 	standin_call(port, "/fault?trim_to=2");
 	assert_int_equal(platform->read(platform->context, "control", 1, 0,
-					TIMEOUT_MS, collect, seen, &first,
-					&next),
+					TIMEOUT_MS, append_entry, records,
+					&first, &next),
 			 WWH_STATUS_NOT_FOUND);
 	assert_int_equal(first, 2);
-	g_string_free(seen, TRUE);
+	g_string_free(records, TRUE);
 	stop_standin(&standin);
 }
 
-static void add_host(const wwh_host_t *host, void *client_data)
+static void append_host(const wwh_host_t *host, void *client_data)
 {
 	g_string_append_printf(client_data, "%s/%s/%s/%s/%s;", host->id,
 			       wwh_host_kind_names[host->kind],
@@ -213,14 +216,14 @@
 			       host->zone);
 }
 
-static void add_report(const wwh_task_report_t *report, void *client_data)
+static void append_report(const wwh_task_report_t *report, void *client_data)
 {
 	g_string_append_printf(
 		client_data, "%s/%s/%s/%d;", report->task_id, report->worker_id,
 		wwh_task_state_names[report->state], (int)report->fence);
 }
 
-static void fleet_of_the_standin(void **unused)
+static void fleet_calls_against_the_standin(void **unused)
 {
 	standin_t standin;
 	int32_t port = start_standin(&standin);
@@ -239,7 +242,7 @@
 	standin_call(port,
 		     "/hosts/m?kind=minion&state=leaving&address=1:2&zone=z");
 	standin_call(port, "/workers/w");
-	assert_int_equal(p->hosts(p->context, TIMEOUT_MS, add_host, text),
+	assert_int_equal(p->hosts(p->context, TIMEOUT_MS, append_host, text),
 			 WWH_STATUS_OK);
 	assert_int_equal(p->task(p->context, &order, TIMEOUT_MS),
 			 WWH_STATUS_OK);
@@ -247,7 +250,7 @@
 	assert_int_equal(p->task(p->context, &order, TIMEOUT_MS),
 			 WWH_STATUS_CONFLICT);
 	assert_int_equal(
-		p->task_reports(p->context, TIMEOUT_MS, add_report, text),
+		p->task_reports(p->context, TIMEOUT_MS, append_report, text),
 		WWH_STATUS_OK);
 	assert_string_equal(text->str, "m/minion/leaving/1:2/z;t/w/running/7;");
 	assert_int_equal(
@@ -269,11 +272,11 @@
 }
 
 /*
- * A report says that a task uses more memory than can be counted with a margin
- * on top: 10^17 MB and a quarter turned negative, and the worker seemed to have
- * memory without end. Such a row is refused like any other that can't be read.
+ * Guards against a report of a task whose memory use overflows when a margin is
+ * added: 10^17 MB and a quarter became negative, and the worker seemed to have
+ * unlimited memory. Such a row is rejected like any other invalid row.
  */
-static void use_that_cannot_be_added_up_is_refused(void **unused)
+static void out_of_range_usage_is_rejected(void **unused)
 {
 	static const struct {
 		const char *cores;
@@ -289,7 +292,7 @@
 
 	(void)unused;
 	for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-		GString *seen = g_string_new(NULL);
+		GString *records = g_string_new(NULL);
 		char *body = g_strdup_printf(
 			"{\"tasks\": [{\"task_id\": \"t\", "
 			"\"worker_id\": \"w\", \"state\": \"running\", "
@@ -297,24 +300,26 @@
 			"\"used_memory_mb\": %s}]}",
 			rows[i].cores, rows[i].memory_mb);
 
-		assert_int_equal(wwh_decode_task_reports((uint8_t *)body,
-							 strlen(body),
-							 add_report, seen),
-				 rows[i].status);
-		assert_string_equal(seen->str, rows[i].status == WWH_STATUS_OK
-						       ? "t/w/running/7;"
-						       : "");
+		assert_int_equal(
+			wwh_decode_task_reports((uint8_t *)body, strlen(body),
+						append_report, records),
+			rows[i].status);
+		assert_string_equal(records->str,
+				    rows[i].status == WWH_STATUS_OK
+					    ? "t/w/running/7;"
+					    : "");
 		g_free(body);
-		g_string_free(seen, TRUE);
+		g_string_free(records, TRUE);
 	}
 }
 
 /*
-* One row of the platform's list of hosts has a state without a known name, or
- * isn't a row at all. The whole list was refused: no host's change was heard of
- * until that row was mended. The others are told, and that it isn't whole.
+ * Guards against one invalid row that hides the whole list of hosts: an unknown
+ * state, or something that isn't a row, made the decoder reject the list, and
+ * no change of any host was noticed until the row was corrected. The other rows
+ * are visited, and the status reports that some are invalid.
  */
-static void a_bad_row_hides_no_other_host(void **unused)
+static void invalid_host_row_does_not_hide_others(void **unused)
 {
 	static const char *const rows[] = {
 		"{\"id\":\"b\",\"kind\":\"minion\",\"state\":\"asleep\","
@@ -338,7 +343,7 @@
 		GString *text = g_string_new(NULL);
 
 		assert_int_equal(wwh_decode_hosts((uint8_t *)body, strlen(body),
-						  add_host, text),
+						  append_host, text),
 				 WWH_STATUS_BAD_INPUT);
 		assert_string_equal(text->str,
 				    "a/entry/live/1:2/z;c/minion/gone/1:3/z;");
@@ -347,8 +352,8 @@
 	}
 }
 
-/* The same of the list of tasks. */
-static void a_bad_row_hides_no_other_task(void **unused)
+/* The same for the list of tasks. */
+static void invalid_task_row_does_not_hide_others(void **unused)
 {
 	static const char body[] =
 		"{\"tasks\":[7,{\"task_id\":\"s\",\"worker_id\":\"w\","
@@ -359,15 +364,18 @@
 
 	(void)unused;
 	assert_int_equal(wwh_decode_task_reports((const uint8_t *)body,
-						 strlen(body), add_report,
+						 strlen(body), append_report,
 						 text),
 			 WWH_STATUS_BAD_INPUT);
 	assert_string_equal(text->str, "t/w/running/7;");
 	g_string_free(text, TRUE);
 }
 
-/* Foreign bytes must not make the unpacker allocate what they declare. */
-static void declared_lengths_are_checked_first(void **unused)
+/*
+ * Bytes from outside must not make the unpacker allocate the lengths that they
+ * declare.
+ */
+static void declared_lengths_are_checked_before_unpacking(void **unused)
 {
 	static const struct {
 		uint8_t bytes[8];
@@ -398,16 +406,16 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(post_is_never_sent_twice),
-		cmocka_unit_test(cut_answers_are_unknown),
-		cmocka_unit_test(answers_that_make_no_sense_are_unknown),
-		cmocka_unit_test(silence_ends_at_the_deadline),
-		cmocka_unit_test(refused_connection_is_without_effect),
-		cmocka_unit_test(log_of_the_standin),
-		cmocka_unit_test(fleet_of_the_standin),
-		cmocka_unit_test(use_that_cannot_be_added_up_is_refused),
-		cmocka_unit_test(a_bad_row_hides_no_other_host),
-		cmocka_unit_test(a_bad_row_hides_no_other_task),
-		cmocka_unit_test(declared_lengths_are_checked_first),
+		cmocka_unit_test(truncated_answers_are_unknown),
+		cmocka_unit_test(invalid_answers_are_unknown),
+		cmocka_unit_test(call_without_answer_ends_at_the_deadline),
+		cmocka_unit_test(refused_connection_is_unavailable),
+		cmocka_unit_test(log_calls_against_the_standin),
+		cmocka_unit_test(fleet_calls_against_the_standin),
+		cmocka_unit_test(out_of_range_usage_is_rejected),
+		cmocka_unit_test(invalid_host_row_does_not_hide_others),
+		cmocka_unit_test(invalid_task_row_does_not_hide_others),
+		cmocka_unit_test(declared_lengths_are_checked_before_unpacking),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
