--- a/include/waxwinghollow/scheduler.h
+++ b/include/waxwinghollow/scheduler.h
@@ -12,7 +12,7 @@
  *	shard_claim.h), and its token fences the holder before it at every
  *	upstream.
  *
- *	What must last are the records that go out through keep: one for each
+ *	What must last are the records that go out through write_record: one for each
  *	accepted job, one for what came of it, one for each upstream that may
  *	run something. A record counts once wwh_scheduler_set_durable has
  *	reached its number. Where tasks run is not kept: the upstreams know,
@@ -30,7 +30,7 @@
  *
  * ORDER OF CALLS
  *	wwh_scheduler_new; wwh_scheduler_restore for each kept record and
- *	wwh_scheduler_restored once; then events in any order and
+ *	wwh_scheduler_finish_restore once; then events in any order and
  *	wwh_scheduler_run after each group of events; wwh_scheduler_delete.
  */
 
@@ -82,7 +82,7 @@
 	const char *checkpoint; /* "": none */
 	int32_t percent; /* of its work; of a lasting task: 100 at work */
 	int64_t tail_ms; /* of a task that serves, else 0 */
-} wwh_running_t;
+} wwh_running_task_t;
 
 /* A row of what ended; numbers rise by one in each incarnation of an upstream. */
 typedef struct {
@@ -91,15 +91,15 @@
 	int64_t run;
 	wwh_end_kind_t kind;
 	const char *checkpoint;
-} wwh_ended_t;
+} wwh_ended_task_t;
 
 typedef struct {
 	int64_t remote_ms;
-	const wwh_running_t *running;
+	const wwh_running_task_t *running;
 	int32_t running_count;
-	const wwh_ended_t *ended;
+	const wwh_ended_task_t *ended;
 	int32_t ended_count;
-	bool ended_in_full; /* false: more ends are waiting to be listed */
+	bool ended_complete; /* false: more ends are waiting to be listed */
 } wwh_poll_answer_t;
 
 typedef struct {
@@ -153,7 +153,7 @@
 	WWH_ORDER_NO_TICKET,
 	WWH_ORDER_BAD,
 	WWH_ORDER_FENCED, /* another holder has a higher token */
-	WWH_ORDER_OTHER_LIFE, /* the upstream has restarted */
+	WWH_ORDER_OTHER_INCARNATION, /* the upstream has restarted */
 	WWH_ORDER_UNKNOWN, /* may be carried out, also seconds later */
 	WWH_ORDER_RESULT_COUNT
 } wwh_order_result_t;
@@ -170,15 +170,16 @@
 #define WWH_OVERTAKEN_HOLDER_MS 1400
 
 typedef enum {
-	WWH_KEEP_JOB = 0, /* an accepted job, by its id */
-	WWH_KEEP_PROGRESS, /* what came of a job, by its id */
-	WWH_KEEP_UPSTREAM, /* may run something, by its id */
-	WWH_KEEP_WAVE, /* hosts of a wave that are done, by its number */
-	WWH_KEEP_KIND_COUNT
-} wwh_keep_kind_t;
+	WWH_SCHEDULER_RECORD_JOB = 0, /* an accepted job, by its id */
+	WWH_SCHEDULER_RECORD_PROGRESS, /* what came of a job, by its id */
+	WWH_SCHEDULER_RECORD_UPSTREAM, /* may run something, by its id */
+	WWH_SCHEDULER_RECORD_WAVE, /* hosts of a wave that are done, by its number */
+	WWH_SCHEDULER_RECORD_KIND_COUNT
+} wwh_scheduler_record_kind_t;
 
-/* Names of wwh_keep_kind_t, in the same order; single letters on the store. */
-extern const char *const wwh_keep_kind_names[WWH_KEEP_KIND_COUNT];
+/* Names of wwh_scheduler_record_kind_t, in the same order; single letters on the store. */
+extern const char
+	*const wwh_scheduler_record_kind_names[WWH_SCHEDULER_RECORD_KIND_COUNT];
 
 /* Where orders and records go. All return at once. */
 typedef struct {
@@ -188,19 +189,20 @@
 	void (*pace)(const wwh_pace_order_t *order, void *client_data);
 	void (*advise)(const wwh_advice_order_t *order, void *client_data);
 	/* value NULL drops the record. Returns the record's number. */
-	int64_t (*keep)(wwh_keep_kind_t kind, const char *key, GBytes *value,
-			void *client_data);
+	int64_t (*write_record)(wwh_scheduler_record_kind_t kind,
+				const char *key, GBytes *value,
+				void *client_data);
 	/* One decision: what, about whom, and why. */
 	void (*explain)(const char *event, const char *subject,
 			const char *detail, void *client_data);
 	void *client_data;
-} wwh_scheduler_calls_t;
+} wwh_scheduler_callbacks_t;
 
 typedef struct {
 	int64_t lease_max_ms; /* upstreams shorten longer leases to this */
 	int64_t lease_ms; /* what is asked for */
 	int64_t stop_limit_ms; /* a stop takes at most this */
-	int64_t forget_ms; /* ended jobs are answered for at least this long */
+	int64_t ended_job_retention_ms; /* ended jobs are answered for at least this long */
 	int64_t unavailable_after_ms; /* a lasting task away for this long */
 	int64_t holder_count; /* holders of this shard so far, this one too */
 } wwh_scheduler_options_t;
@@ -210,7 +212,7 @@
 typedef struct wwh_scheduler wwh_scheduler_t;
 
 wwh_scheduler_t *wwh_scheduler_new(const wwh_scheduler_options_t *options,
-				   const wwh_scheduler_calls_t *calls);
+				   const wwh_scheduler_callbacks_t *calls);
 void wwh_scheduler_delete(wwh_scheduler_t *scheduler);
 
 /*
@@ -219,12 +221,12 @@
  * caller cancels it (see wwh_scheduler_job_lost); of an upstream, until it has
  * announced itself and answered, or its lease is surely over.
  */
-bool wwh_scheduler_restore(wwh_scheduler_t *scheduler, wwh_keep_kind_t kind,
-			   const char *key, const uint8_t *value, size_t size,
-			   int64_t now_ms, int64_t wall_ms,
-			   wwh_message_t *message);
-void wwh_scheduler_restored(wwh_scheduler_t *scheduler, int64_t now_ms,
-			    int64_t wall_ms);
+bool wwh_scheduler_restore(wwh_scheduler_t *scheduler,
+			   wwh_scheduler_record_kind_t kind, const char *key,
+			   const uint8_t *value, size_t size, int64_t now_ms,
+			   int64_t wall_ms, wwh_message_t *message);
+void wwh_scheduler_finish_restore(wwh_scheduler_t *scheduler, int64_t now_ms,
+				  int64_t wall_ms);
 
 /* A pool whose hosts are off and run nothing. */
 void wwh_scheduler_set_standby(wwh_scheduler_t *scheduler, const char *pool,
@@ -252,7 +254,7 @@
 int32_t wwh_scheduler_backlog(const wwh_scheduler_t *scheduler,
 			      const char *pool);
 
-int32_t wwh_scheduler_upstreams(const wwh_scheduler_t *scheduler);
+int32_t wwh_scheduler_upstream_count(const wwh_scheduler_t *scheduler);
 
 /*
  * After a change of holder: how long the upstreams that haven't answered yet will
@@ -284,11 +286,12 @@
 
 /*
  * Whether nothing hangs on a job but its acceptance, which isn't durable: it
- * hasn't started and nobody has cancelled it. wwh_scheduler_take_back forgets
+ * hasn't started and nobody has cancelled it. wwh_scheduler_discard_job forgets
  * such a job, whose record must not become durable then.
  */
-bool wwh_scheduler_untouched(const wwh_scheduler_t *scheduler, const char *id);
-void wwh_scheduler_take_back(wwh_scheduler_t *scheduler, const char *id);
+bool wwh_scheduler_job_is_discardable(const wwh_scheduler_t *scheduler,
+				      const char *id);
+void wwh_scheduler_discard_job(wwh_scheduler_t *scheduler, const char *id);
 
 /* False: there is no such job. */
 bool wwh_scheduler_cancel(wwh_scheduler_t *scheduler, const char *id,
@@ -370,15 +373,18 @@
 						 const char *id,
 						 int64_t now_ms);
 
-void wwh_scheduler_start_ended(wwh_scheduler_t *scheduler, const char *upstream,
-			       const char *task, int64_t run,
-			       wwh_order_result_t result, int64_t now_ms);
-void wwh_scheduler_stop_ended(wwh_scheduler_t *scheduler, const char *upstream,
-			      const char *task, int64_t run,
-			      wwh_order_result_t result, int64_t now_ms);
-void wwh_scheduler_pace_ended(wwh_scheduler_t *scheduler, const char *upstream,
-			      const char *task, int64_t run,
-			      wwh_order_result_t result, int64_t now_ms);
+void wwh_scheduler_handle_start_result(wwh_scheduler_t *scheduler,
+				       const char *upstream, const char *task,
+				       int64_t run, wwh_order_result_t result,
+				       int64_t now_ms);
+void wwh_scheduler_handle_stop_result(wwh_scheduler_t *scheduler,
+				      const char *upstream, const char *task,
+				      int64_t run, wwh_order_result_t result,
+				      int64_t now_ms);
+void wwh_scheduler_handle_pace_result(wwh_scheduler_t *scheduler,
+				      const char *upstream, const char *task,
+				      int64_t run, wwh_order_result_t result,
+				      int64_t now_ms);
 
 typedef struct {
 	const char *upstream;
@@ -386,15 +392,16 @@
 } wwh_advice_ticket_t;
 
 /* count -1: no answer. */
-void wwh_scheduler_advised(wwh_scheduler_t *scheduler, const char *step,
-			   const wwh_advice_ticket_t *admitted, int32_t count,
-			   int64_t valid_ms, int64_t now_ms);
+void wwh_scheduler_handle_advice(wwh_scheduler_t *scheduler, const char *step,
+				 const wwh_advice_ticket_t *admitted,
+				 int32_t count, int64_t valid_ms,
+				 int64_t now_ms);
 
 void wwh_scheduler_set_durable(wwh_scheduler_t *scheduler, int64_t record);
 
 /* Writes what changed; returns the number of the newest record. */
 int64_t wwh_scheduler_flush(wwh_scheduler_t *scheduler, int64_t now_ms);
-bool wwh_scheduler_unflushed(const wwh_scheduler_t *scheduler);
+bool wwh_scheduler_has_unflushed(const wwh_scheduler_t *scheduler);
 
 /* Places tasks, repeats orders, lets leases lapse; gives orders. */
 void wwh_scheduler_run(wwh_scheduler_t *scheduler, int64_t now_ms,
@@ -433,7 +440,7 @@
 	int32_t live_jobs;
 	int32_t upstreams;
 	int32_t unsettled; /* upstreams of holders before this one, not asked */
-	int32_t tasks_out; /* started and not known to be over */
+	int32_t tasks_outstanding; /* started and not known to be over */
 	int32_t lost_jobs; /* see wwh_scheduler_job_lost */
 } wwh_scheduler_counts_t;
 
--- a/src/bench/bench_scheduler.c
+++ b/src/bench/bench_scheduler.c
@@ -1,7 +1,7 @@
 #include <stdio.h>
 #include <time.h>
 
-#include "../test_scheduler/rig.h"
+#include "../test_scheduler/sched_fixture.h"
 
 /*
  * Cost of the scheduler's passes at the worst of a peak: each upstream of a
@@ -35,10 +35,10 @@
 }
 
 /* One upstream answers that all goes on; the pool is looked through again. */
-static void answer_one(rig_t *rig, int32_t number)
+static void answer_one(sched_fixture_t *rig, int32_t number)
 {
 	wwh_poll_answer_t answer = { .remote_ms = rig->now_ms + 5000,
-				     .ended_in_full = false };
+				     .ended_complete = false };
 	char id[16];
 
 	snprintf(id, sizeof(id), "u%d", number);
@@ -48,7 +48,7 @@
 
 static void run_row(const size_row_t *row)
 {
-	rig_t *rig = rig_new();
+	sched_fixture_t *rig = sched_fixture_new();
 	double began_ns;
 
 	for (int32_t i = 0; i < row->upstreams; i++) {
@@ -57,24 +57,26 @@
 
 		snprintf(id, sizeof(id), "u%d", i);
 		snprintf(at, sizeof(at), "10.0.%d.%d:1", i / 200, i % 200);
-		rig_add_upstream(rig, id, at);
+		sched_fixture_add_upstream(rig, id, at);
 	}
 	for (int32_t i = 0; i < row->jobs; i++) {
 		char id[WWH_JOB_ID_CHARS + 1];
 
 		snprintf(id, sizeof(id), "%016x", i);
-		rig_submit(rig, rig_job(id, TASKS_A_JOB, TASK_MILLICORES));
+		sched_fixture_submit(rig, sched_fixture_job(id, TASKS_A_JOB,
+							    TASK_MILLICORES));
 	}
 	began_ns = now_ns();
 	for (int32_t i = 0; i < PASSES; i++) {
 		rig->now_ms += PASS_MS;
 		answer_one(rig, i % row->upstreams);
-		wwh_scheduler_run(rig->scheduler, rig->now_ms, RIG_WALL_MS);
+		wwh_scheduler_run(rig->scheduler, rig->now_ms,
+				  SCHED_FIXTURE_WALL_MS);
 	}
 	printf("%9d %6d %10.0f\n", row->upstreams, row->jobs,
 	       (now_ns() - began_ns) / PASSES / NS_PER_US);
 	g_array_set_size(rig->polls, 0);
-	rig_delete(rig);
+	sched_fixture_delete(rig);
 }
 
 int main(void)
--- a/src/libwaxwinghollow/include/private/job_holder_state.h
+++ b/src/libwaxwinghollow/include/private/job_holder_state.h
@@ -69,8 +69,8 @@
 void job_holder_ref(wwh_job_holder_t *holder);
 void job_holder_unref(wwh_job_holder_t *holder);
 void job_holder_lose(wwh_job_holder_t *holder, const char *why);
-int64_t job_holder_keep(wwh_keep_kind_t kind, const char *key, GBytes *value,
-			void *client_data);
+int64_t job_holder_keep(wwh_scheduler_record_kind_t kind, const char *key,
+			GBytes *value, void *client_data);
 void job_holder_explain(const char *event, const char *subject,
 			const char *detail, void *client_data);
 
--- a/src/libwaxwinghollow/include/private/scheduler_policy.h
+++ b/src/libwaxwinghollow/include/private/scheduler_policy.h
@@ -31,7 +31,7 @@
 	int64_t waited_ms; /* since it was due */
 	int64_t objective_ms; /* how long callers are content to wait */
 	int64_t remaining_ms; /* the longest chain of estimates left */
-} wwh_order_figures_t;
+} wwh_policy_order_input_t;
 
 /*
  * Lasting tasks go first: they serve callers all the time, take a known and
@@ -42,10 +42,10 @@
  * with more work than room nearly all end late; this way those that would
  * be late in any case give way to those that need not be.
  */
-int64_t wwh_policy_order(const wwh_order_figures_t *figures);
+int64_t wwh_policy_order_key(const wwh_policy_order_input_t *figures);
 
 /* Whether a job that has waited so long is still of use to its caller. */
-bool wwh_policy_of_use(int64_t waited_ms, int64_t objective_ms);
+bool wwh_policy_is_useful(int64_t waited_ms, int64_t objective_ms);
 
 /*
  * The pace of fillers, in percent, where the slowest serving task beside them
@@ -68,9 +68,9 @@
 	int32_t same_step; /* tasks of the step that are there */
 	int32_t lasting_here; /* lasting tasks of any step */
 	bool lasting;
-	bool before_upkeep; /* a wave that runs has not been at the host */
-	int32_t group_in_zone; /* tasks of its group in the host's zone */
-} wwh_fit_figures_t;
+	bool wave_pending; /* a wave that runs has not been at the host */
+	int32_t group_tasks_in_zone; /* tasks of its group in the host's zone */
+} wwh_policy_fit_input_t;
 
 /*
  * Best fit: the fullest host that still has room, so that hosts become
@@ -82,6 +82,6 @@
  * again when the wave comes. Then a group is spread over zones, before hosts
  * are filled: otherwise the loss of one zone takes all of it.
  */
-int64_t wwh_policy_fit(const wwh_fit_figures_t *figures);
+int64_t wwh_policy_fit_cost(const wwh_policy_fit_input_t *figures);
 
 #endif
--- a/src/libwaxwinghollow/include/private/scheduler_state.h
+++ b/src/libwaxwinghollow/include/private/scheduler_state.h
@@ -62,7 +62,8 @@
 	wwh_chart_machine_t machine;
 	int64_t run; /* the highest that was ordered or seen */
 	sched_upstream_t *upstream; /* while it is out */
-	sched_upstream_t *avoid; /* where it failed last; compared only */
+	sched_upstream_t
+		*avoided_upstream; /* where it failed last; compared only */
 	char *checkpoint; /* NULL: none */
 	sched_failures_t failures;
 	int64_t changed_ms; /* when it got into its state */
@@ -73,8 +74,8 @@
 	bool inherited; /* may run at an upstream that wasn't asked yet */
 	int32_t percent; /* as listed last */
 	int64_t percent_ms; /* when percent changed last */
-	int64_t away_ms; /* lasting: not at work since; 0: at work */
-	int32_t fails_in_a_row; /* lasting: without being at work for long */
+	int64_t unavailable_since_ms; /* lasting: not at work since; 0: at work */
+	int32_t consecutive_failures; /* lasting: without being at work for long */
 	int64_t adopted_ms; /* 0: this holder started it */
 	int64_t tail_ms; /* as listed last */
 	int32_t pace; /* percent of its work that is ordered */
@@ -119,7 +120,7 @@
 	wwh_job_progress_t state; /* QUEUED stands for all that is live */
 	bool started;
 	bool dirty;
-	int64_t kept; /* record of its acceptance */
+	int64_t record_number; /* record of its acceptance */
 	int64_t end_kept; /* record of its end */
 	int64_t ended_ms;
 	int64_t accepted_ms;
@@ -137,18 +138,19 @@
 	bool listed; /* it is announced */
 	bool unreadable; /* and what the announcement says can't be read */
 	bool settled; /* it answered this holder */
-	bool in_sight; /* both, when the last list of hosts was asked for */
+	bool expected_in_host_list; /* both, when the last list of hosts was asked for */
 	bool inherited; /* a holder before may have started tasks on it */
 	bool cordoned; /* empties itself */
 	bool ending; /* may be taken down at any moment */
-	const char *gone_why; /* it has terminated, by this sign; NULL: not */
-	int64_t gone_ms;
-	bool kept_asked;
-	int64_t kept; /* record that names it; valid with kept_asked */
+	const char *
+		termination_reason; /* it has terminated, by this sign; NULL: not */
+	int64_t terminated_ms;
+	bool record_written;
+	int64_t record_number; /* record that names it; valid with record_written */
 	int64_t without_host_ms; /* lists show no host of it since; 0: one */
-	int64_t gone_without_answer_ms; /* inherited: surely lapsed then */
+	int64_t inherited_lease_end_ms; /* inherited: surely lapsed then */
 	/* As its record says; no holder that finds it asks for more. */
-	int64_t kept_lease_ms;
+	int64_t recorded_lease_ms;
 	/* What holders before this one may have asked for; 0: none. */
 	int64_t inherited_until_remote_ms;
 	bool poll_in_flight;
@@ -160,10 +162,10 @@
 	int64_t clock_base_ms; /* answered at, on the own clock ... */
 	int64_t clock_base_remote_ms; /* ... and on its clock; 0: unknown */
 	int64_t lease_until_remote_ms; /* the longest that was ever sent */
-	int64_t lapsed_ms; /* its lease is surely over then */
-	bool lapse_done;
+	int64_t lease_end_ms; /* its lease is surely over then */
+	bool lease_end_handled;
 	int64_t ends_seen;
-	int64_t ends_needed; /* the last one that a job's progress hangs on */
+	int64_t last_progress_end; /* the last one that a job's progress hangs on */
 	int64_t ends_acked; /* durable */
 	int64_t ends_flushed;
 	int64_t ends_flushed_record;
@@ -200,13 +202,14 @@
 
 struct wwh_scheduler {
 	wwh_scheduler_options_t options;
-	wwh_scheduler_calls_t calls;
+	wwh_scheduler_callbacks_t callbacks;
 	wwh_chart_t *task_chart;
 	uint32_t out_tag;
 	GHashTable *jobs; /* id to sched_job_t, owned */
 	GHashTable *lost_jobs; /* id to sched_lost_job_t, owned */
 	GPtrArray *live; /* sched_job_t that haven't ended or are out */
-	GPtrArray *dirty; /* sched_job_t whose progress is to be kept */
+	GPtrArray
+		*dirty; /* sched_job_t whose progress is to be record_number */
 	GHashTable *pools; /* name to sched_pool_t, owned */
 	GHashTable *upstreams; /* id to sched_upstream_t, owned */
 	int64_t taken_over_ms; /* with the upstreams of the holder before */
@@ -218,7 +221,7 @@
 	wwh_workspace_quota_t *quota;
 	int64_t now_ms;
 	int64_t wall_ms;
-	bool ends_waiting; /* some end isn't covered by a flush yet */
+	bool has_unflushed_ends; /* some end isn't covered by a flush yet */
 	int64_t newest_record;
 	int64_t durable_record;
 	int64_t durable_ms; /* when it rose last */
@@ -243,8 +246,8 @@
 
 /* scheduler_task.c */
 sched_task_state_t sched_task_state(const sched_task_t *task);
-bool sched_task_is_out(const wwh_scheduler_t *scheduler,
-		       const sched_task_t *task);
+bool sched_task_is_outstanding(const wwh_scheduler_t *scheduler,
+			       const sched_task_t *task);
 void sched_task_name(const sched_task_t *task, char *name);
 bool sched_task_parse(const char *name, char *id, int64_t *occurrence,
 		      int32_t *step, int32_t *index);
@@ -261,14 +264,14 @@
 void sched_task_order_stop(wwh_scheduler_t *scheduler, sched_task_t *task);
 void sched_task_set_checkpoint(sched_task_t *task, const char *checkpoint);
 /* The lease that is written into the records of upstreams. */
-int64_t sched_lease_asked_ms(const wwh_scheduler_t *scheduler);
+int64_t sched_lease_requested_ms(const wwh_scheduler_t *scheduler);
 /* How long after a takeover the lease of a holder before may go on. */
 int64_t sched_lease_left_ms(int64_t lease_ms);
 /* Of the first answer of an inherited upstream. */
 void sched_lease_inherit(sched_upstream_t *upstream, int64_t remote_ms);
 /* Until when upstream's lease may be asked for now, on its clock; 0: unknown */
-int64_t sched_lease_until(const wwh_scheduler_t *scheduler,
-			  sched_upstream_t *upstream);
+int64_t sched_lease_extend(const wwh_scheduler_t *scheduler,
+			   sched_upstream_t *upstream);
 /* To be called when a newer reading of its clock has come. */
 void sched_lease_recompute(sched_upstream_t *upstream);
 void sched_explain(const wwh_scheduler_t *scheduler, const char *event,
@@ -296,7 +299,7 @@
 		   wwh_job_progress_t state);
 bool sched_step_is_ready(const sched_step_t *step);
 /* What a task of it takes away from others; fillers take no processor. */
-wwh_load_t sched_step_taken(const wwh_job_step_t *spec);
+wwh_load_t sched_step_reserved_load(const wwh_job_step_t *spec);
 void sched_step_task_done(wwh_scheduler_t *scheduler, sched_task_t *task);
 /* False: that run was counted before. */
 bool sched_failures_add(sched_failures_t *failures, int64_t run);
@@ -312,7 +315,7 @@
 
 /* scheduler_record.c */
 /* Writes the progress of all jobs that have got on since the last time. */
-void sched_progress_keep(wwh_scheduler_t *scheduler);
+void sched_progress_write(wwh_scheduler_t *scheduler);
 GBytes *sched_progress_encode(const sched_job_t *job, int64_t wall_ms);
 bool sched_progress_restore(wwh_scheduler_t *scheduler, const char *id,
 			    const uint8_t *value, size_t size,
--- a/src/libwaxwinghollow/job_holder.c
+++ b/src/libwaxwinghollow/job_holder.c
@@ -72,7 +72,8 @@
 static void make_journal(wwh_job_holder_t *holder);
 static int64_t quiet_ms(const wwh_job_holder_t *holder);
 static void restore(wwh_job_holder_t *holder);
-static void restore_kind(wwh_job_holder_t *holder, wwh_keep_kind_t kind);
+static void restore_kind(wwh_job_holder_t *holder,
+			 wwh_scheduler_record_kind_t kind);
 static void on_durable(int64_t record, void *data);
 static void on_journal_lost(const char *why, void *data);
 static void on_reach(bool reached, const char *why, void *data);
@@ -93,9 +94,9 @@
 		.endpoint = options->settings->store,
 		.topic = WIRE_TOPIC_UPSTREAMS,
 		.wait_ms = UPSTREAMS_WAIT_MS,
-		.gap_ms = UPSTREAMS_GAP_MS,
+		.read_interval_ms = UPSTREAMS_GAP_MS,
 		.on_record = job_holder_on_upstream,
-		.on_nameless = job_holder_on_nameless_upstream,
+		.on_unreadable_key = job_holder_on_nameless_upstream,
 		.on_reach = on_reach,
 		.client_data = holder,
 	};
@@ -155,7 +156,8 @@
 
 		wwh_scheduler_set_standby(holder->scheduler, pool->name,
 					  pool->standby);
-		wwh_host_duties_pool(holder->duties, pool->name, pool->standby);
+		wwh_host_duties_set_pool(holder->duties, pool->name,
+					 pool->standby);
 	}
 	wwh_scheduler_clear_limits(holder->scheduler);
 	for (guint i = 0; i < config->limits->len; i++) {
@@ -167,13 +169,13 @@
 	}
 }
 
-void wwh_job_holder_wave(wwh_job_holder_t *holder, const char *key,
-			 const uint8_t *value, size_t size)
+void wwh_job_holder_apply_wave(wwh_job_holder_t *holder, const char *key,
+			       const uint8_t *value, size_t size)
 {
 	wwh_wave_order_t *order = wire_operator_wave(key, value, size, NULL);
 
 	if (order != NULL)
-		wwh_host_duties_wave(holder->duties, order, holder->now_ms);
+		wwh_host_duties_add_wave(holder->duties, order, holder->now_ms);
 }
 
 void wwh_job_holder_run(wwh_job_holder_t *holder, int64_t now_ms,
@@ -205,37 +207,40 @@
 
 bool wwh_job_holder_is_large(const wwh_job_holder_t *holder)
 {
-	return wwh_scheduler_upstreams(holder->scheduler) > RECOVERED_IN_TIME;
+	return wwh_scheduler_upstream_count(holder->scheduler) >
+	       RECOVERED_IN_TIME;
 }
 
 int32_t wwh_job_holder_wait_ms(const wwh_job_holder_t *holder)
 {
 	wwh_scheduler_counts_t counts = wwh_scheduler_counts(holder->scheduler);
 
-	return counts.live_jobs > 0 || counts.tasks_out > 0 ? WAIT_BUSY_MS
-							    : WAIT_IDLE_MS;
+	return counts.live_jobs > 0 || counts.tasks_outstanding > 0
+		       ? WAIT_BUSY_MS
+		       : WAIT_IDLE_MS;
 }
 
-void wwh_job_holder_stop_duties(wwh_job_holder_t *holder, bool stop)
+void wwh_job_holder_pause_duties(wwh_job_holder_t *holder, bool stop)
 {
 	holder->stopping = stop;
 }
 
-bool wwh_job_holder_orders_hosts(const wwh_job_holder_t *holder)
+bool wwh_job_holder_host_orders_pending(const wwh_job_holder_t *holder)
 {
 	return holder->host_orders_out > 0;
 }
 
-bool wwh_job_holder_settled(const wwh_job_holder_t *holder)
+bool wwh_job_holder_is_quiescent(const wwh_job_holder_t *holder)
 {
 	return holder->lost ||
 	       (g_queue_is_empty(holder->waiters) &&
-		!wwh_job_holder_orders_hosts(holder) &&
-		!wwh_scheduler_unflushed(holder->scheduler) &&
+		!wwh_job_holder_host_orders_pending(holder) &&
+		!wwh_scheduler_has_unflushed(holder->scheduler) &&
 		wwh_shard_journal_lag_ms(holder->journal, holder->now_ms) == 0);
 }
 
-bool wwh_job_holder_confirmed(const wwh_job_holder_t *holder, int64_t now_ms)
+bool wwh_job_holder_claim_confirmed(const wwh_job_holder_t *holder,
+				    int64_t now_ms)
 {
 	return confirmed_within(holder, now_ms, CONFIRMED_FOR_MS);
 }
@@ -246,8 +251,8 @@
 	return confirmed_within(holder, now_ms, REACHES_STORE_MS);
 }
 
-bool wwh_job_holder_turned_away(const wwh_job_holder_t *holder, int64_t now_ms,
-				bool overloaded)
+bool wwh_job_holder_rejected_by_store(const wwh_job_holder_t *holder,
+				      int64_t now_ms, bool overloaded)
 {
 	bool failing = overloaded ? wwh_shard_journal_refused(holder->journal)
 				  : wwh_shard_journal_failing(holder->journal);
@@ -312,16 +317,17 @@
 	holder->options.on_lost(why, holder->options.client_data);
 }
 
-int64_t job_holder_keep(wwh_keep_kind_t kind, const char *key, GBytes *value,
-			void *client_data)
+int64_t job_holder_keep(wwh_scheduler_record_kind_t kind, const char *key,
+			GBytes *value, void *client_data)
 {
 	wwh_job_holder_t *holder = client_data;
-	char *whole = g_strconcat(wwh_keep_kind_names[kind], key, NULL);
+	char *whole =
+		g_strconcat(wwh_scheduler_record_kind_names[kind], key, NULL);
 	/* the first start at an upstream waits for its record */
-	bool urgent =
-		holder->urgent || (kind == WWH_KEEP_UPSTREAM && value != NULL);
-	int64_t number = wwh_shard_journal_keep(holder->journal, whole, value,
-						urgent, holder->now_ms);
+	bool urgent = holder->urgent ||
+		      (kind == WWH_SCHEDULER_RECORD_UPSTREAM && value != NULL);
+	int64_t number = wwh_shard_journal_append(holder->journal, whole, value,
+						  urgent, holder->now_ms);
 
 	/* one that couldn't be read is replaced now */
 	if (value == NULL)
@@ -350,8 +356,9 @@
 		.producer = holder->options.producer,
 		.epoch = holder->options.epoch,
 		.next_sequence = holder->options.next_sequence,
-		.call_bytes = holder->options.settings->store_call_bytes,
-		.group_ms = GROUP_MS,
+		.max_call_bytes =
+			holder->options.settings->store_call_max_bytes,
+		.batch_delay_ms = GROUP_MS,
 		.on_durable = on_durable,
 		.on_lost = on_journal_lost,
 		.client_data = holder,
@@ -364,13 +371,13 @@
 {
 	const wwh_host_settings_t *settings = holder->options.settings;
 	wwh_scheduler_options_t options = wwh_scheduler_options_defaults();
-	wwh_scheduler_calls_t calls = {
+	wwh_scheduler_callbacks_t calls = {
 		.start = job_holder_start,
 		.stop = job_holder_stop,
 		.poll = job_holder_poll,
 		.pace = job_holder_pace,
 		.advise = job_holder_advise,
-		.keep = job_holder_keep,
+		.write_record = job_holder_keep,
 		.explain = job_holder_explain,
 		.client_data = holder,
 	};
@@ -378,7 +385,7 @@
 	options.lease_max_ms = settings->lease_max_ms;
 	options.lease_ms = LEASE_MS;
 	options.stop_limit_ms = settings->stop_limit_ms;
-	options.forget_ms = settings->job_kept_ms;
+	options.ended_job_retention_ms = settings->job_retention_ms;
 	options.unavailable_after_ms = settings->unavailable_after_ms;
 	options.holder_count = holder->options.holder_count;
 	holder->scheduler = wwh_scheduler_new(&options, &calls);
@@ -397,12 +404,12 @@
 		.upkeep = job_holder_upkeep,
 		.move = job_holder_move,
 		.report = job_holder_report,
-		.keep = job_holder_keep,
+		.write_record = job_holder_keep,
 		.explain = job_holder_explain,
 		.client_data = holder,
 	};
 
-	options.quiet_until_ms = holder->now_ms + quiet_ms(holder);
+	options.first_order_ms = holder->now_ms + quiet_ms(holder);
 	holder->duties = wwh_host_duties_new(&options, &calls);
 }
 
@@ -417,8 +424,8 @@
 	const wwh_host_settings_t *settings = holder->options.settings;
 
 	if (holder->options.others_at_work)
-		return wwh_host_duties_quiet_ms(settings->hosts_fence,
-						settings->duty_lease_ms);
+		return wwh_host_duties_takeover_delay_ms(
+			settings->hosts_fence, settings->duty_lease_ms);
 	if (holder->options.others_ended && !settings->hosts_fence)
 		return MIN(settings->duty_lease_ms, WWH_OVERTAKEN_HOLDER_MS);
 	return 0;
@@ -428,10 +435,10 @@
 {
 	wwh_scheduler_counts_t counts;
 
-	for (int32_t kind = 0; kind < WWH_KEEP_KIND_COUNT; kind++)
-		restore_kind(holder, (wwh_keep_kind_t)kind);
-	wwh_scheduler_restored(holder->scheduler, holder->now_ms,
-			       holder->wall_ms);
+	for (int32_t kind = 0; kind < WWH_SCHEDULER_RECORD_KIND_COUNT; kind++)
+		restore_kind(holder, (wwh_scheduler_record_kind_t)kind);
+	wwh_scheduler_finish_restore(holder->scheduler, holder->now_ms,
+				     holder->wall_ms);
 	counts = wwh_scheduler_counts(holder->scheduler);
 	wwh_event_log_printf(holder->options.log, "shard-restored", "shard",
 			     "jobs=%d live=%d upstreams=%d lost_jobs=%d",
@@ -440,7 +447,8 @@
 }
 
 /* Jobs come before their progress, as the kinds are numbered. */
-static void restore_kind(wwh_job_holder_t *holder, wwh_keep_kind_t kind)
+static void restore_kind(wwh_job_holder_t *holder,
+			 wwh_scheduler_record_kind_t kind)
 {
 	GHashTableIter iterator;
 	gpointer name;
@@ -454,10 +462,10 @@
 		gsize size;
 		bool ok;
 
-		if (key[0] != wwh_keep_kind_names[kind][0])
+		if (key[0] != wwh_scheduler_record_kind_names[kind][0])
 			continue;
 		data = g_bytes_get_data(value, &size);
-		if (kind == WWH_KEEP_WAVE)
+		if (kind == WWH_SCHEDULER_RECORD_WAVE)
 			ok = wwh_host_duties_restore(holder->duties, key + 1,
 						     data, size, &message);
 		else
@@ -530,8 +538,8 @@
 {
 	if (suspended && holder->unconfirmed_since_ms == 0) {
 		holder->unconfirmed_since_ms = holder->now_ms;
-		(void)wwh_shard_journal_keep(holder->journal, CONFIRM_KEY, NULL,
-					     true, holder->now_ms);
+		(void)wwh_shard_journal_append(holder->journal, CONFIRM_KEY,
+					       NULL, true, holder->now_ms);
 	}
 	return holder->unconfirmed_since_ms == 0;
 }
@@ -563,13 +571,13 @@
 {
 	int64_t confirmed_ms = wwh_shard_journal_confirmed_ms(holder->journal);
 
-	if (wwh_scheduler_unflushed(holder->scheduler) &&
+	if (wwh_scheduler_has_unflushed(holder->scheduler) &&
 	    holder->now_ms >= holder->flush_after_ms) {
 		(void)wwh_scheduler_flush(holder->scheduler, holder->now_ms);
 		holder->flush_after_ms = holder->now_ms + GROUP_MS;
 	}
 	if (holder->now_ms - confirmed_ms >= CONFIRM_EVERY_MS &&
 	    wwh_shard_journal_lag_ms(holder->journal, holder->now_ms) == 0)
-		(void)wwh_shard_journal_keep(holder->journal, CONFIRM_KEY, NULL,
-					     true, holder->now_ms);
+		(void)wwh_shard_journal_append(holder->journal, CONFIRM_KEY,
+					       NULL, true, holder->now_ms);
 }
--- a/src/libwaxwinghollow/job_holder_orders.c
+++ b/src/libwaxwinghollow/job_holder_orders.c
@@ -90,8 +90,8 @@
 	order_t *waiting;
 
 	if (holder->options.settings->advice == NULL) {
-		wwh_scheduler_advised(holder->scheduler, order->step, NULL, -1,
-				      0, holder->now_ms);
+		wwh_scheduler_handle_advice(holder->scheduler, order->step,
+					    NULL, -1, 0, holder->now_ms);
 		return;
 	}
 	waiting = order_new(holder, "", order->step, 0);
@@ -152,7 +152,7 @@
 	if (!is_over(order)) {
 		wwh_histogram_add(order->holder->start_ms,
 				  order->holder->now_ms - order->sent_ms);
-		wwh_scheduler_start_ended(
+		wwh_scheduler_handle_start_result(
 			order->holder->scheduler, order->upstream, order->task,
 			order->run, result, order->holder->now_ms);
 		if (result == WWH_ORDER_FENCED)
@@ -167,7 +167,7 @@
 	wwh_order_result_t result = wire_upstream_result(answer);
 
 	if (!is_over(order)) {
-		wwh_scheduler_stop_ended(
+		wwh_scheduler_handle_stop_result(
 			order->holder->scheduler, order->upstream, order->task,
 			order->run, result, order->holder->now_ms);
 		if (result == WWH_ORDER_FENCED)
@@ -181,7 +181,7 @@
 	order_t *order = data;
 
 	if (!is_over(order))
-		wwh_scheduler_pace_ended(
+		wwh_scheduler_handle_pace_result(
 			order->holder->scheduler, order->upstream, order->task,
 			order->run, wire_upstream_result(answer),
 			order->holder->now_ms);
@@ -206,7 +206,7 @@
 			holder->scheduler, order->upstream, &poll.rows,
 			order->sent_ms, holder->now_ms);
 		break;
-	case WWH_ORDER_OTHER_LIFE:
+	case WWH_ORDER_OTHER_INCARNATION:
 		wwh_scheduler_handle_poll_other_incarnation(
 			holder->scheduler, order->upstream, holder->now_ms);
 		break;
@@ -235,7 +235,7 @@
 		return;
 	}
 	if (wire_upstream_advised(answer, &advice)) {
-		wwh_scheduler_advised(
+		wwh_scheduler_handle_advice(
 			holder->scheduler, order->task,
 			(wwh_advice_ticket_t *)(void *)advice.admitted->data,
 			(int32_t)advice.admitted->len,
@@ -243,8 +243,8 @@
 			holder->now_ms);
 		wire_upstream_advice_clear(&advice);
 	} else {
-		wwh_scheduler_advised(holder->scheduler, order->task, NULL, -1,
-				      0, holder->now_ms);
+		wwh_scheduler_handle_advice(holder->scheduler, order->task,
+					    NULL, -1, 0, holder->now_ms);
 	}
 	send_advice(holder);
 	order_delete(order);
--- a/src/libwaxwinghollow/job_service_http.c
+++ b/src/libwaxwinghollow/job_service_http.c
@@ -67,8 +67,8 @@
 	path = wwh_http_target_path(http->target);
 	call.config = config;
 	call.path = path;
-	call.queue = wwh_job_config_find(config, host == NULL ? "" : host, path,
-					 &call.rest);
+	call.queue = wwh_job_config_find_queue(config, host == NULL ? "" : host,
+					       path, &call.rest);
 	if (call.queue == NULL) {
 		wwh_event_log_printf(service->log, "no-queue", path,
 				     "host=%s config=%" G_GINT64_FORMAT,
@@ -214,15 +214,16 @@
 static wwh_shard_answer_t shard_answer(const wwh_job_service_t *service)
 {
 	if (service->claims && !service->stopping)
-		return WWH_SHARD_UNSURE;
+		return WWH_SHARD_UNCONFIRMED;
 	if (!service->holds && service->handed_over)
-		return service->handed_over_early ? WWH_SHARD_HANDED_OVER_EARLY
-						  : WWH_SHARD_HANDED_OVER;
+		return service->handed_over_early
+			       ? WWH_SHARD_HANDED_OVER_ORDERS_PENDING
+			       : WWH_SHARD_HANDED_OVER;
 	if (!service->holds || (service->stopping && !service->orders_hosts))
 		return WWH_SHARD_NOT_HELD;
 	if (service->yields)
 		return WWH_SHARD_YIELDS;
-	return service->reaches_store ? WWH_SHARD_HELD : WWH_SHARD_UNSURE;
+	return service->reaches_store ? WWH_SHARD_HELD : WWH_SHARD_UNCONFIRMED;
 }
 
 static void answer_text(wwh_http_response_t *response, int32_t status,
--- a/src/libwaxwinghollow/scheduler.c
+++ b/src/libwaxwinghollow/scheduler.c
@@ -13,12 +13,13 @@
 	"no-ticket", "bad",	 "fenced",  "other-life", "unknown",
 };
 
-const char *const wwh_keep_kind_names[WWH_KEEP_KIND_COUNT] = {
-	"J",
-	"P",
-	"U",
-	"W",
-};
+const char *const
+	wwh_scheduler_record_kind_names[WWH_SCHEDULER_RECORD_KIND_COUNT] = {
+		"J",
+		"P",
+		"U",
+		"W",
+	};
 
 const char *const wwh_job_progress_names[WWH_PROGRESS_COUNT] = {
 	"queued", "active", "completed", "failed", "cancelled", "unknown",
@@ -81,7 +82,7 @@
 		.lease_max_ms = 10000,
 		.lease_ms = 6000,
 		.stop_limit_ms = 400,
-		.forget_ms = 120000,
+		.ended_job_retention_ms = 120000,
 		.unavailable_after_ms = 4500,
 		.holder_count = 1,
 	};
@@ -90,7 +91,7 @@
 }
 
 wwh_scheduler_t *wwh_scheduler_new(const wwh_scheduler_options_t *options,
-				   const wwh_scheduler_calls_t *calls)
+				   const wwh_scheduler_callbacks_t *callbacks)
 {
 	static const wwh_chart_table_t table = {
 		.events = task_event_names,
@@ -102,7 +103,7 @@
 	wwh_message_t message;
 
 	scheduler->options = *options;
-	scheduler->calls = *calls;
+	scheduler->callbacks = *callbacks;
 	/* the chart is linked in; a fault in it shows in every test */
 	if (wwh_chart_load("task", &table, &scheduler->task_chart, &message) !=
 	    WWH_STATUS_OK)
@@ -137,10 +138,10 @@
 	g_free(scheduler);
 }
 
-bool wwh_scheduler_restore(wwh_scheduler_t *scheduler, wwh_keep_kind_t kind,
-			   const char *key, const uint8_t *value, size_t size,
-			   int64_t now_ms, int64_t wall_ms,
-			   wwh_message_t *message)
+bool wwh_scheduler_restore(wwh_scheduler_t *scheduler,
+			   wwh_scheduler_record_kind_t kind, const char *key,
+			   const uint8_t *value, size_t size, int64_t now_ms,
+			   int64_t wall_ms, wwh_message_t *message)
 {
 	wwh_job_t *job;
 	int64_t age_ms;
@@ -150,7 +151,7 @@
 	scheduler->now_ms = now_ms;
 	scheduler->wall_ms = wall_ms;
 	switch (kind) {
-	case WWH_KEEP_JOB:
+	case WWH_SCHEDULER_RECORD_JOB:
 		job = wwh_job_decode(value, size, message);
 		if (job != NULL && strcmp(job->id, key) != 0) {
 			wwh_message_set(message, "it is of another job");
@@ -163,13 +164,13 @@
 		age_ms = MAX(0, wall_ms - job->accepted_wall_ms);
 		(void)sched_job_add(scheduler, job, scheduler->now_ms - age_ms);
 		return true;
-	case WWH_KEEP_PROGRESS:
+	case WWH_SCHEDULER_RECORD_PROGRESS:
 		if (sched_progress_restore(scheduler, key, value, size,
 					   message))
 			return true;
 		sched_job_mark_lost(scheduler, key, false);
 		return false;
-	case WWH_KEEP_UPSTREAM:
+	case WWH_SCHEDULER_RECORD_UPSTREAM:
 		if (sched_upstream_restore(scheduler, key, value, size,
 					   message))
 			return true;
@@ -180,8 +181,8 @@
 	}
 }
 
-void wwh_scheduler_restored(wwh_scheduler_t *scheduler, int64_t now_ms,
-			    int64_t wall_ms)
+void wwh_scheduler_finish_restore(wwh_scheduler_t *scheduler, int64_t now_ms,
+				  int64_t wall_ms)
 {
 	scheduler->restored = true;
 	scheduler->now_ms = now_ms;
@@ -212,39 +213,41 @@
 	scheduler->now_ms = MAX(scheduler->now_ms, now_ms);
 	if (job != NULL) {
 		wwh_job_delete(spec);
-		*record = job->kept;
+		*record = job->record_number;
 		return WWH_SUBMIT_KNOWN;
 	}
 	value = wwh_job_encode(spec);
 	job = sched_job_add(scheduler, spec, now_ms);
-	job->kept = scheduler->calls.keep(WWH_KEEP_JOB, job->id, value,
-					  scheduler->calls.client_data);
+	job->record_number = scheduler->callbacks.write_record(
+		WWH_SCHEDULER_RECORD_JOB, job->id, value,
+		scheduler->callbacks.client_data);
 	g_bytes_unref(value);
-	scheduler->newest_record = job->kept;
-	*record = job->kept;
+	scheduler->newest_record = job->record_number;
+	*record = job->record_number;
 	sched_job_join_backlog(scheduler, job);
 	sched_explain(scheduler, "job-taken", job->id,
 		      "queue=%s pool=%s steps=%d record=%" G_GINT64_FORMAT,
 		      spec->queue.name, spec->queue.pool, spec->step_count,
-		      job->kept);
+		      job->record_number);
 	return WWH_SUBMIT_ACCEPTED;
 }
 
-bool wwh_scheduler_untouched(const wwh_scheduler_t *scheduler, const char *id)
+bool wwh_scheduler_job_is_discardable(const wwh_scheduler_t *scheduler,
+				      const char *id)
 {
 	const sched_job_t *job = sched_job_find(scheduler, id);
 
-	return job != NULL && job->kept > scheduler->durable_record &&
+	return job != NULL && job->record_number > scheduler->durable_record &&
 	       sched_job_is_live(job) && !job->started && !job->dirty;
 }
 
-void wwh_scheduler_take_back(wwh_scheduler_t *scheduler, const char *id)
+void wwh_scheduler_discard_job(wwh_scheduler_t *scheduler, const char *id)
 {
 	sched_job_t *job = sched_job_find(scheduler, id);
 
-	g_assert(wwh_scheduler_untouched(scheduler, id));
+	g_assert(wwh_scheduler_job_is_discardable(scheduler, id));
 	sched_explain(scheduler, "job-taken-back", id,
-		      "record=%" G_GINT64_FORMAT, job->kept);
+		      "record=%" G_GINT64_FORMAT, job->record_number);
 	g_ptr_array_remove_fast(scheduler->live, job);
 	g_hash_table_remove(scheduler->jobs, id);
 }
@@ -304,9 +307,10 @@
 	return count;
 }
 
-void wwh_scheduler_start_ended(wwh_scheduler_t *scheduler, const char *upstream,
-			       const char *name, int64_t run,
-			       wwh_order_result_t result, int64_t now_ms)
+void wwh_scheduler_handle_start_result(wwh_scheduler_t *scheduler,
+				       const char *upstream, const char *name,
+				       int64_t run, wwh_order_result_t result,
+				       int64_t now_ms)
 {
 	sched_task_t *task;
 
@@ -329,7 +333,7 @@
 			task->upstream->next_poll_ms = scheduler->now_ms;
 		return;
 	}
-	if (result == WWH_ORDER_OTHER_LIFE) {
+	if (result == WWH_ORDER_OTHER_INCARNATION) {
 		wwh_scheduler_upstream_terminated(scheduler, upstream,
 						  "restarted", now_ms);
 		return;
@@ -337,14 +341,15 @@
 	refuse_start(scheduler, task, result);
 }
 
-void wwh_scheduler_stop_ended(wwh_scheduler_t *scheduler, const char *upstream,
-			      const char *name, int64_t run,
-			      wwh_order_result_t result, int64_t now_ms)
+void wwh_scheduler_handle_stop_result(wwh_scheduler_t *scheduler,
+				      const char *upstream, const char *name,
+				      int64_t run, wwh_order_result_t result,
+				      int64_t now_ms)
 {
 	sched_task_t *task;
 
 	scheduler->now_ms = MAX(scheduler->now_ms, now_ms);
-	if (result == WWH_ORDER_OTHER_LIFE) {
+	if (result == WWH_ORDER_OTHER_INCARNATION) {
 		wwh_scheduler_upstream_terminated(scheduler, upstream,
 						  "restarted", now_ms);
 		return;
@@ -360,9 +365,10 @@
 			MIN(task->upstream->next_poll_ms, scheduler->now_ms);
 }
 
-void wwh_scheduler_pace_ended(wwh_scheduler_t *scheduler, const char *upstream,
-			      const char *name, int64_t run,
-			      wwh_order_result_t result, int64_t now_ms)
+void wwh_scheduler_handle_pace_result(wwh_scheduler_t *scheduler,
+				      const char *upstream, const char *name,
+				      int64_t run, wwh_order_result_t result,
+				      int64_t now_ms)
 {
 	sched_task_t *task;
 
@@ -390,14 +396,14 @@
 int64_t wwh_scheduler_flush(wwh_scheduler_t *scheduler, int64_t now_ms)
 {
 	scheduler->now_ms = MAX(scheduler->now_ms, now_ms);
-	sched_progress_keep(scheduler);
+	sched_progress_write(scheduler);
 	sched_upstreams_flushed(scheduler);
 	return scheduler->newest_record;
 }
 
-bool wwh_scheduler_unflushed(const wwh_scheduler_t *scheduler)
+bool wwh_scheduler_has_unflushed(const wwh_scheduler_t *scheduler)
 {
-	return scheduler->dirty->len > 0 || scheduler->ends_waiting;
+	return scheduler->dirty->len > 0 || scheduler->has_unflushed_ends;
 }
 
 void wwh_scheduler_run(wwh_scheduler_t *scheduler, int64_t now_ms,
@@ -418,7 +424,7 @@
 	scheduler->starts_held = held;
 }
 
-int32_t wwh_scheduler_upstreams(const wwh_scheduler_t *scheduler)
+int32_t wwh_scheduler_upstream_count(const wwh_scheduler_t *scheduler)
 {
 	return (int32_t)g_hash_table_size(scheduler->upstreams);
 }
@@ -435,7 +441,7 @@
 		sched_job_t *job = g_ptr_array_index(scheduler->live, i);
 
 		counts.live_jobs += sched_job_is_live(job);
-		counts.tasks_out += job->out;
+		counts.tasks_outstanding += job->out;
 	}
 	return counts;
 }
@@ -471,9 +477,10 @@
 	g_hash_table_iter_init(&iterator, scheduler->upstreams);
 	while (g_hash_table_iter_next(&iterator, NULL, &value)) {
 		sched_upstream_t *upstream = value;
-		int64_t wait_ms = sched_lease_left_ms(upstream->kept_lease_ms);
+		int64_t wait_ms =
+			sched_lease_left_ms(upstream->recorded_lease_ms);
 
-		upstream->gone_without_answer_ms = scheduler->now_ms + wait_ms;
+		upstream->inherited_lease_end_ms = scheduler->now_ms + wait_ms;
 		upstream->pool->longest_wait_ms =
 			MAX(upstream->pool->longest_wait_ms, wait_ms);
 	}
@@ -527,7 +534,7 @@
 	if (result == WWH_ORDER_NO_TICKET)
 		sched_ticket_refused(task->step, upstream->info.id);
 	task->retry_ms = scheduler->now_ms + START_RETRY_MS;
-	task->avoid = upstream;
+	task->avoided_upstream = upstream;
 	sched_task_event(scheduler, task, TASK_REFUSED);
 	if (task->step->spec->gang)
 		stop_gang(scheduler, task->step);
@@ -542,7 +549,7 @@
 	for (int32_t i = 0; i < step->spec->task_count; i++) {
 		sched_task_t *task = &step->tasks[i];
 
-		if (sched_task_is_out(scheduler, task) &&
+		if (sched_task_is_outstanding(scheduler, task) &&
 		    sched_task_state(task) != TASK_STOPPING)
 			sched_task_order_stop(scheduler, task);
 	}
@@ -563,7 +570,7 @@
 		upstream->used.cpu_millicores,
 		upstream->info.size.cpu_millicores,
 		scheduler->now_ms - upstream->answered_ms,
-		upstream->lapsed_ms - scheduler->now_ms);
+		upstream->lease_end_ms - scheduler->now_ms);
 }
 
 static void dump_job(const sched_job_t *job, GString *out)
--- a/src/libwaxwinghollow/scheduler_advice.c
+++ b/src/libwaxwinghollow/scheduler_advice.c
@@ -11,9 +11,10 @@
 /* A ticket isn't used for orders in the last part of its time. */
 #define TICKET_MARGIN_MS 300
 
-void wwh_scheduler_advised(wwh_scheduler_t *scheduler, const char *name,
-			   const wwh_advice_ticket_t *admitted, int32_t count,
-			   int64_t valid_ms, int64_t now_ms)
+void wwh_scheduler_handle_advice(wwh_scheduler_t *scheduler, const char *name,
+				 const wwh_advice_ticket_t *admitted,
+				 int32_t count, int64_t valid_ms,
+				 int64_t now_ms)
 {
 	char *task_name = g_strconcat(name, ".0", NULL);
 	sched_task_t *task = sched_job_task(scheduler, task_name);
@@ -115,5 +116,5 @@
 	*strrchr(name, '.') = '\0';
 	g_strlcpy(order.step, name, sizeof(order.step));
 	step->advice_in_flight = true;
-	scheduler->calls.advise(&order, scheduler->calls.client_data);
+	scheduler->callbacks.advise(&order, scheduler->callbacks.client_data);
 }
--- a/src/libwaxwinghollow/scheduler_check.c
+++ b/src/libwaxwinghollow/scheduler_check.c
@@ -65,7 +65,7 @@
 {
 	const sched_job_t *job = task->step->occurrence->job;
 
-	g_assert(sched_task_is_out(scheduler, task) ==
+	g_assert(sched_task_is_outstanding(scheduler, task) ==
 		 (task->upstream != NULL));
 	if (task->upstream == NULL)
 		return;
@@ -81,7 +81,7 @@
 	for (guint i = 0; i < upstream->tasks->len; i++) {
 		const sched_task_t *task =
 			g_ptr_array_index(upstream->tasks, i);
-		wwh_load_t taken = sched_step_taken(task->step->spec);
+		wwh_load_t taken = sched_step_reserved_load(task->step->spec);
 
 		g_assert(task->upstream == upstream);
 		wwh_load_add(&used, &taken);
--- a/src/libwaxwinghollow/scheduler_cordon.c
+++ b/src/libwaxwinghollow/scheduler_cordon.c
@@ -93,7 +93,7 @@
  */
 static bool has_undurable_ends(const sched_upstream_t *upstream)
 {
-	return upstream->ends_needed > upstream->ends_acked;
+	return upstream->last_progress_end > upstream->ends_acked;
 }
 
 void wwh_scheduler_uncordon(wwh_scheduler_t *scheduler, const char *id)
@@ -339,8 +339,8 @@
 				  wwh_pool_demand_t *demand)
 {
 	const sched_job_t *job = occurrence->job;
-	bool useful = wwh_policy_of_use(scheduler->now_ms - occurrence->due_ms,
-					job->objective_ms);
+	bool useful = wwh_policy_is_useful(
+		scheduler->now_ms - occurrence->due_ms, job->objective_ms);
 	int64_t max_millicores = demand->host_millicores > 0
 					 ? demand->host_millicores
 					 : MAX_HOST_MILLICORES;
@@ -388,7 +388,7 @@
 	}
 	/* running tasks are on average half done */
 	demand->remaining_work +=
-		(2 * left - step->out) * cpu * estimate_ms / 2;
+		(2 * left - step->outstanding) * cpu * estimate_ms / 2;
 	if (ready)
 		demand->usable_millicores += left * cpu;
 }
@@ -441,7 +441,8 @@
 static bool is_available(const wwh_scheduler_t *scheduler,
 			 const sched_task_t *task)
 {
-	return sched_task_state(task) == TASK_RUNNING && task->away_ms == 0 &&
+	return sched_task_state(task) == TASK_RUNNING &&
+	       task->unavailable_since_ms == 0 &&
 	       !may_be_stopping(scheduler, task) && !task->upstream->ending &&
 	       task->upstream->failed_polls == 0 &&
 	       scheduler->now_ms - task->upstream->answered_ms <
--- a/src/libwaxwinghollow/scheduler_job.c
+++ b/src/libwaxwinghollow/scheduler_job.c
@@ -150,7 +150,7 @@
 	return true;
 }
 
-wwh_load_t sched_step_taken(const wwh_job_step_t *spec)
+wwh_load_t sched_step_reserved_load(const wwh_job_step_t *spec)
 {
 	wwh_load_t taken = spec->need;
 
@@ -239,11 +239,11 @@
 
 		if (sched_job_is_live(job) || job->spec != NULL || job->dirty ||
 		    scheduler->now_ms - job->ended_ms <
-			    scheduler->options.forget_ms)
+			    scheduler->options.ended_job_retention_ms)
 			continue;
-		scheduler->newest_record =
-			scheduler->calls.keep(WWH_KEEP_PROGRESS, job->id, NULL,
-					      scheduler->calls.client_data);
+		scheduler->newest_record = scheduler->callbacks.write_record(
+			WWH_SCHEDULER_RECORD_PROGRESS, job->id, NULL,
+			scheduler->callbacks.client_data);
 		g_hash_table_iter_remove(&iterator);
 	}
 }
@@ -381,7 +381,8 @@
 				if (sched_task_state(task) == TASK_WAITING)
 					sched_task_event(scheduler, task,
 							 TASK_DROP);
-				else if (sched_task_is_out(scheduler, task) &&
+				else if (sched_task_is_outstanding(scheduler,
+								   task) &&
 					 sched_task_state(task) !=
 						 TASK_STOPPING)
 					sched_task_order_stop(scheduler, task);
--- a/src/libwaxwinghollow/scheduler_lost.c
+++ b/src/libwaxwinghollow/scheduler_lost.c
@@ -62,12 +62,13 @@
 	while (g_hash_table_iter_next(&iterator, &id, &value)) {
 		const sched_lost_job_t *lost = value;
 
-		if (lost->accepted || scheduler->now_ms - lost->since_ms <
-					      scheduler->options.forget_ms)
+		if (lost->accepted ||
+		    scheduler->now_ms - lost->since_ms <
+			    scheduler->options.ended_job_retention_ms)
 			continue;
-		scheduler->newest_record =
-			scheduler->calls.keep(WWH_KEEP_PROGRESS, id, NULL,
-					      scheduler->calls.client_data);
+		scheduler->newest_record = scheduler->callbacks.write_record(
+			WWH_SCHEDULER_RECORD_PROGRESS, id, NULL,
+			scheduler->callbacks.client_data);
 		g_hash_table_iter_remove(&iterator);
 	}
 }
@@ -90,9 +91,9 @@
 		return;
 	upstream = sched_upstream_add(scheduler, &info);
 	upstream->inherited = true;
-	upstream->kept_asked = true;
+	upstream->record_written = true;
 	/* its lease can't be read either, so the longest is assumed */
-	upstream->kept_lease_ms = scheduler->options.lease_max_ms;
+	upstream->recorded_lease_ms = scheduler->options.lease_max_ms;
 	upstream->pool->unsettled++;
 }
 
--- a/src/libwaxwinghollow/scheduler_pace.c
+++ b/src/libwaxwinghollow/scheduler_pace.c
@@ -101,6 +101,7 @@
 		task->pace_wanted = percent;
 		task->pace_sent_ms = scheduler->now_ms;
 		sched_task_name(task, order.task);
-		scheduler->calls.pace(&order, scheduler->calls.client_data);
+		scheduler->callbacks.pace(&order,
+					  scheduler->callbacks.client_data);
 	}
 }
--- a/src/libwaxwinghollow/scheduler_place.c
+++ b/src/libwaxwinghollow/scheduler_place.c
@@ -6,7 +6,7 @@
 
 /*
  * Runs of a holder begin above all that holders before it can have used: a
- * run number is never given to a task twice, though starts aren't kept.
+ * run number is never given to a task twice, though starts aren't record_number.
  */
 #define RUNS_A_HOLDER 1000
 
@@ -169,7 +169,7 @@
 static bool may_fit(const sched_step_t *step)
 {
 	const sched_pool_t *pool = step->occurrence->job->pool;
-	wwh_load_t need = sched_step_taken(step->spec);
+	wwh_load_t need = sched_step_reserved_load(step->spec);
 
 	return wwh_load_fits(&need, &pool->most_free);
 }
@@ -182,7 +182,7 @@
 		sched_job_t *job = g_ptr_array_index(scheduler->live, i);
 
 		if (job->pool != pool || !sched_job_is_live(job) ||
-		    job->kept > scheduler->durable_record)
+		    job->record_number > scheduler->durable_record)
 			continue;
 		sched_job_open_due(scheduler, job);
 		for (guint k = 0; k < job->occurrences->len; k++)
@@ -198,7 +198,7 @@
 			       GArray *candidates)
 {
 	const wwh_job_t *spec = occurrence->job->spec;
-	wwh_order_figures_t figures = {
+	wwh_policy_order_input_t figures = {
 		.priority = spec->queue.priority,
 		.waited_ms = scheduler->now_ms - occurrence->due_ms,
 		.objective_ms = occurrence->job->objective_ms,
@@ -217,7 +217,7 @@
 		    !sched_step_is_ready(step))
 			continue;
 		figures.lasting = step->spec->lasting;
-		candidate.order = wwh_policy_order(&figures);
+		candidate.order = wwh_policy_order_key(&figures);
 		g_array_append_val(candidates, candidate);
 	}
 }
@@ -309,7 +309,7 @@
  */
 static void place_gang(wwh_scheduler_t *scheduler, sched_step_t *step)
 {
-	wwh_load_t taken = sched_step_taken(step->spec);
+	wwh_load_t taken = sched_step_reserved_load(step->spec);
 	int32_t count = step->spec->task_count;
 	sched_upstream_t **chosen;
 	const char **tickets;
@@ -425,7 +425,7 @@
 {
 	const wwh_job_step_t *spec = step->spec;
 	const wwh_upstream_info_t *info = &upstream->info;
-	wwh_load_t need = sched_step_taken(spec);
+	wwh_load_t need = sched_step_reserved_load(spec);
 	wwh_load_t free = room_of(upstream);
 
 	if (!sched_upstream_usable(scheduler, upstream) ||
@@ -444,11 +444,12 @@
 	const sched_step_t *step = task->step;
 	const wwh_job_step_t *spec = step->spec;
 	const char *rack = upstream->info.rack;
-	wwh_fit_figures_t figures = {
+	wwh_policy_fit_input_t figures = {
 		.free_millicores = room_of(upstream).cpu_millicores,
-		.need_millicores = sched_step_taken(spec).cpu_millicores,
+		.need_millicores =
+			sched_step_reserved_load(spec).cpu_millicores,
 		.capacity_millicores = upstream->info.size.cpu_millicores,
-		.failed_here = task->avoid == upstream,
+		.failed_here = task->avoided_upstream == upstream,
 		.fail_streak = upstream->fail_streak,
 		.lasting = spec->lasting,
 	};
@@ -467,7 +468,7 @@
 		figures.lasting_here = lasting_on(upstream);
 	}
 	figures.disturbed = disturbed_by(upstream, spec);
-	return wwh_policy_fit(&figures);
+	return wwh_policy_fit_cost(&figures);
 }
 
 static int32_t tasks_of_step(const sched_upstream_t *upstream,
--- a/src/libwaxwinghollow/scheduler_policy.c
+++ b/src/libwaxwinghollow/scheduler_policy.c
@@ -12,7 +12,7 @@
  */
 #define LATE_FACTOR 3
 
-/* Weights of wwh_policy_fit, in thousandths of a host's processor. */
+/* Weights of wwh_policy_fit_cost, in thousandths of a host's processor. */
 #define FIT_SCALE 1000
 #define DATA_ELSEWHERE 1500 /* takes up to twice as long: two hosts' worth */
 #define STEP_ELSEWHERE 1500
@@ -37,9 +37,9 @@
 	RANK_TOO_LATE,
 } rank_t;
 
-static rank_t rank_of(const wwh_order_figures_t *figures);
+static rank_t rank_of(const wwh_policy_order_input_t *figures);
 
-int64_t wwh_policy_order(const wwh_order_figures_t *figures)
+int64_t wwh_policy_order_key(const wwh_policy_order_input_t *figures)
 {
 	int64_t slack_ms = figures->objective_ms - figures->waited_ms -
 			   figures->remaining_ms;
@@ -49,7 +49,7 @@
 	       CLAMP(slack_ms, -PRIORITY_STEP / 4, PRIORITY_STEP / 4);
 }
 
-bool wwh_policy_of_use(int64_t waited_ms, int64_t objective_ms)
+bool wwh_policy_is_useful(int64_t waited_ms, int64_t objective_ms)
 {
 	return waited_ms <= LATE_FACTOR * objective_ms;
 }
@@ -65,7 +65,7 @@
 	return MIN(pace + PACE_STEP, 100);
 }
 
-int64_t wwh_policy_fit(const wwh_fit_figures_t *figures)
+int64_t wwh_policy_fit_cost(const wwh_policy_fit_input_t *figures)
 {
 	int64_t left = figures->free_millicores - figures->need_millicores;
 	int64_t cost = left * FIT_SCALE / MAX(figures->capacity_millicores, 1);
@@ -82,13 +82,13 @@
 		cost += FAILED_HERE;
 	cost += (int64_t)figures->fail_streak * FAILURE_IN_A_ROW;
 	cost += (int64_t)figures->disturbed * DISTURBED;
-	cost += (int64_t)figures->group_in_zone * GROUP_IN_ZONE;
-	if (figures->before_upkeep)
+	cost += (int64_t)figures->group_tasks_in_zone * GROUP_IN_ZONE;
+	if (figures->wave_pending)
 		cost += BEFORE_UPKEEP;
 	return cost;
 }
 
-static rank_t rank_of(const wwh_order_figures_t *figures)
+static rank_t rank_of(const wwh_policy_order_input_t *figures)
 {
 	int64_t end_ms = figures->waited_ms + figures->remaining_ms;
 
--- a/src/libwaxwinghollow/scheduler_poll.c
+++ b/src/libwaxwinghollow/scheduler_poll.c
@@ -145,7 +145,8 @@
 			const sched_upstream_t *upstream)
 {
 	return sched_upstream_is_located(upstream) &&
-	       !upstream->poll_in_flight && upstream->gone_why == NULL &&
+	       !upstream->poll_in_flight &&
+	       upstream->termination_reason == NULL &&
 	       scheduler->now_ms >= upstream->next_poll_ms;
 }
 
@@ -174,9 +175,9 @@
 		order.lease_until_remote_ms = upstream->lease_until_remote_ms;
 	else if (busy || upstream->inherited)
 		order.lease_until_remote_ms =
-			sched_lease_until(scheduler, upstream);
+			sched_lease_extend(scheduler, upstream);
 	upstream->poll_in_flight = true;
-	scheduler->calls.poll(&order, scheduler->calls.client_data);
+	scheduler->callbacks.poll(&order, scheduler->callbacks.client_data);
 }
 
 static bool delays_its_pool(const sched_upstream_t *upstream)
--- a/src/libwaxwinghollow/scheduler_record.c
+++ b/src/libwaxwinghollow/scheduler_record.c
@@ -17,7 +17,7 @@
 
 /* A value of the journal, as it was kept. */
 typedef struct {
-	const char *kind; /* what the message calls it */
+	const char *kind; /* what the message callbacks it */
 	const char *id;
 	const uint8_t *value;
 	size_t size;
@@ -55,7 +55,7 @@
 static bool unpack(const uint8_t *value, size_t size,
 		   msgpack_unpacked *unpacked, wwh_message_t *message);
 
-void sched_progress_keep(wwh_scheduler_t *scheduler)
+void sched_progress_write(wwh_scheduler_t *scheduler)
 {
 	for (guint i = 0; i < scheduler->dirty->len; i++)
 		keep_progress(scheduler,
@@ -69,18 +69,18 @@
 	bool ends = !sched_job_is_live(job);
 
 	job->dirty = false;
-	scheduler->newest_record =
-		scheduler->calls.keep(WWH_KEEP_PROGRESS, job->id, value,
-				      scheduler->calls.client_data);
+	scheduler->newest_record = scheduler->callbacks.write_record(
+		WWH_SCHEDULER_RECORD_PROGRESS, job->id, value,
+		scheduler->callbacks.client_data);
 	g_bytes_unref(value);
 	if (!ends)
 		return;
 	if (job->end_kept == G_MAXINT64) {
 		job->end_kept = scheduler->newest_record;
 		/* its progress says all that is asked of it from now on */
-		scheduler->newest_record =
-			scheduler->calls.keep(WWH_KEEP_JOB, job->id, NULL,
-					      scheduler->calls.client_data);
+		scheduler->newest_record = scheduler->callbacks.write_record(
+			WWH_SCHEDULER_RECORD_JOB, job->id, NULL,
+			scheduler->callbacks.client_data);
 	}
 }
 
@@ -138,7 +138,7 @@
 				   strlen(upstream->info.endpoint));
 	msgpack_pack_str_with_body(&packer, upstream->info.pool,
 				   strlen(upstream->info.pool));
-	msgpack_pack_int64(&packer, upstream->kept_lease_ms);
+	msgpack_pack_int64(&packer, upstream->recorded_lease_ms);
 	bytes = g_bytes_new(buffer.data, buffer.size);
 	msgpack_sbuffer_destroy(&buffer);
 	return bytes;
@@ -258,9 +258,9 @@
 	}
 	sched_job_clear_lost(scheduler, id);
 	job->state = (wwh_job_progress_t)state;
-	job->ended_ms =
-		scheduler->now_ms - CLAMP(scheduler->wall_ms - ended_wall_ms, 0,
-					  scheduler->options.forget_ms);
+	job->ended_ms = scheduler->now_ms -
+			CLAMP(scheduler->wall_ms - ended_wall_ms, 0,
+			      scheduler->options.ended_job_retention_ms);
 	return true;
 }
 
@@ -410,8 +410,8 @@
 	info.pool = g_strndup(fields[1].via.str.ptr, fields[1].via.str.size);
 	upstream = sched_upstream_add(scheduler, &info);
 	upstream->inherited = true;
-	upstream->kept_asked = true;
-	upstream->kept_lease_ms = restore_lease_ms(scheduler, object);
+	upstream->record_written = true;
+	upstream->recorded_lease_ms = restore_lease_ms(scheduler, object);
 	upstream->pool->unsettled++;
 	wwh_upstream_info_clear(&info);
 	return true;
--- a/src/libwaxwinghollow/scheduler_task.c
+++ b/src/libwaxwinghollow/scheduler_task.c
@@ -25,8 +25,8 @@
 	return (sched_task_state_t)task->machine.state;
 }
 
-bool sched_task_is_out(const wwh_scheduler_t *scheduler,
-		       const sched_task_t *task)
+bool sched_task_is_outstanding(const wwh_scheduler_t *scheduler,
+			       const sched_task_t *task)
 {
 	return wwh_chart_has_tag(&task->machine, scheduler->out_tag);
 }
@@ -96,12 +96,12 @@
 	task->adopted_ms = 0;
 	task->percent = 0;
 	task->percent_ms = scheduler->now_ms;
-	if (task->away_ms == 0)
-		task->away_ms = scheduler->now_ms;
+	if (task->unavailable_since_ms == 0)
+		task->unavailable_since_ms = scheduler->now_ms;
 	task->step->occurrence->job->started = true;
 	sched_task_name(task, order.task);
-	order.lease_until_remote_ms = sched_lease_until(scheduler, upstream);
-	scheduler->calls.start(&order, scheduler->calls.client_data);
+	order.lease_until_remote_ms = sched_lease_extend(scheduler, upstream);
+	scheduler->callbacks.start(&order, scheduler->callbacks.client_data);
 }
 
 void sched_task_adopt(wwh_scheduler_t *scheduler, sched_task_t *task,
@@ -117,7 +117,7 @@
 	task->pace = 100;
 	task->pace_wanted = 100;
 	task->percent_ms = scheduler->now_ms;
-	task->away_ms = scheduler->now_ms;
+	task->unavailable_since_ms = scheduler->now_ms;
 	task->adopted_ms = scheduler->now_ms;
 	task->inherited = false;
 	task->step->occurrence->job->started = true;
@@ -126,16 +126,17 @@
 void sched_task_event(wwh_scheduler_t *scheduler, sched_task_t *task,
 		      sched_task_event_t event)
 {
-	bool was_out = sched_task_is_out(scheduler, task);
+	bool was_out = sched_task_is_outstanding(scheduler, task);
 	sched_task_state_t before = sched_task_state(task);
 
 	(void)wwh_chart_step(&task->machine, event, scheduler->now_ms, task);
 	if (sched_task_state(task) == before)
 		return;
 	task->changed_ms = scheduler->now_ms;
-	if (was_out && !sched_task_is_out(scheduler, task)) {
-		if (task->step->spec->lasting && task->away_ms == 0)
-			task->away_ms = scheduler->now_ms;
+	if (was_out && !sched_task_is_outstanding(scheduler, task)) {
+		if (task->step->spec->lasting &&
+		    task->unavailable_since_ms == 0)
+			task->unavailable_since_ms = scheduler->now_ms;
 		leave_upstream(scheduler, task);
 		task->step->occurrence->job->pool->dirty = true;
 	}
@@ -153,7 +154,7 @@
 	sched_task_event(scheduler, task, TASK_STOP);
 	task->stop_sent_ms = scheduler->now_ms;
 	task->order_in_flight = true;
-	scheduler->calls.stop(&order, scheduler->calls.client_data);
+	scheduler->callbacks.stop(&order, scheduler->callbacks.client_data);
 }
 
 void sched_task_set_checkpoint(sched_task_t *task, const char *checkpoint)
@@ -165,7 +166,7 @@
 	task->checkpoint = g_strdup(checkpoint);
 }
 
-int64_t sched_lease_asked_ms(const wwh_scheduler_t *scheduler)
+int64_t sched_lease_requested_ms(const wwh_scheduler_t *scheduler)
 {
 	return MIN(scheduler->options.lease_ms,
 		   scheduler->options.lease_max_ms);
@@ -182,11 +183,11 @@
  * A lease that was ever asked for counts from then on: the order may arrive
  * late, and a lease is never shortened by a later one.
  */
-int64_t sched_lease_until(const wwh_scheduler_t *scheduler,
-			  sched_upstream_t *upstream)
+int64_t sched_lease_extend(const wwh_scheduler_t *scheduler,
+			   sched_upstream_t *upstream)
 {
-	int64_t lease_ms =
-		MIN(sched_lease_asked_ms(scheduler), upstream->kept_lease_ms);
+	int64_t lease_ms = MIN(sched_lease_requested_ms(scheduler),
+			       upstream->recorded_lease_ms);
 	int64_t remote_ms;
 
 	if (upstream->clock_base_remote_ms == 0)
@@ -207,7 +208,7 @@
 void sched_lease_inherit(sched_upstream_t *upstream, int64_t remote_ms)
 {
 	upstream->inherited_until_remote_ms =
-		remote_ms + upstream->kept_lease_ms + CLOCK_AHEAD_MS;
+		remote_ms + upstream->recorded_lease_ms + CLOCK_AHEAD_MS;
 }
 
 void sched_lease_recompute(sched_upstream_t *upstream)
@@ -218,10 +219,10 @@
 
 	if (until_remote_ms == 0)
 		return;
-	upstream->lapsed_ms =
+	upstream->lease_end_ms =
 		upstream->clock_base_ms + LAPSE_MARGIN_MS +
 		left_ms * PERMILLE / (PERMILLE - CLOCK_SLOW_PERMILLE) + 1;
-	upstream->lapse_done = false;
+	upstream->lease_end_handled = false;
 }
 
 void sched_explain(const wwh_scheduler_t *scheduler, const char *event,
@@ -233,14 +234,14 @@
 	va_start(arguments, format);
 	vsnprintf(detail, sizeof(detail), format, arguments);
 	va_end(arguments);
-	scheduler->calls.explain(event, subject, detail,
-				 scheduler->calls.client_data);
+	scheduler->callbacks.explain(event, subject, detail,
+				     scheduler->callbacks.client_data);
 }
 
 static void take_room(wwh_scheduler_t *scheduler, sched_task_t *task,
 		      sched_upstream_t *upstream)
 {
-	wwh_load_t taken = sched_step_taken(task->step->spec);
+	wwh_load_t taken = sched_step_reserved_load(task->step->spec);
 
 	g_assert(task->upstream == NULL);
 	task->upstream = upstream;
@@ -259,7 +260,7 @@
 
 static void free_room(sched_task_t *task)
 {
-	wwh_load_t taken = sched_step_taken(task->step->spec);
+	wwh_load_t taken = sched_step_reserved_load(task->step->spec);
 	sched_upstream_t *upstream = task->upstream;
 
 	wwh_load_subtract(&upstream->used, &taken);
--- a/src/libwaxwinghollow/scheduler_upstream.c
+++ b/src/libwaxwinghollow/scheduler_upstream.c
@@ -66,7 +66,7 @@
 	upstream->tasks = g_ptr_array_new();
 	upstream->orphan_stops =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-	upstream->kept_lease_ms = sched_lease_asked_ms(scheduler);
+	upstream->recorded_lease_ms = sched_lease_requested_ms(scheduler);
 	upstream->pool = sched_pool_get(scheduler, info->pool);
 	g_ptr_array_add(upstream->pool->upstreams, upstream);
 	g_hash_table_insert(scheduler->upstreams, upstream->info.id, upstream);
@@ -94,7 +94,7 @@
 		sched_pool_settle_one(scheduler, upstream->pool);
 	g_ptr_array_remove_fast(upstream->pool->upstreams, upstream);
 	upstream->pool->dirty = true;
-	if (upstream->kept_asked)
+	if (upstream->record_written)
 		delete_record(scheduler, upstream);
 	g_hash_table_remove(scheduler->upstreams, upstream->info.id);
 }
@@ -107,10 +107,10 @@
 static void delete_record(wwh_scheduler_t *scheduler,
 			  const sched_upstream_t *upstream)
 {
-	sched_progress_keep(scheduler);
-	scheduler->newest_record =
-		scheduler->calls.keep(WWH_KEEP_UPSTREAM, upstream->info.id,
-				      NULL, scheduler->calls.client_data);
+	sched_progress_write(scheduler);
+	scheduler->newest_record = scheduler->callbacks.write_record(
+		WWH_SCHEDULER_RECORD_UPSTREAM, upstream->info.id, NULL,
+		scheduler->callbacks.client_data);
 }
 
 /*
@@ -125,13 +125,13 @@
 	gpointer value;
 
 	g_assert(scheduler->dirty->len == 0);
-	scheduler->ends_waiting = false;
+	scheduler->has_unflushed_ends = false;
 	g_hash_table_iter_init(&iterator, scheduler->upstreams);
 	while (g_hash_table_iter_next(&iterator, NULL, &value)) {
 		sched_upstream_t *upstream = value;
 
 		if (upstream->ends_flushed > upstream->ends_acked) {
-			scheduler->ends_waiting = true;
+			scheduler->has_unflushed_ends = true;
 			continue;
 		}
 		if (upstream->ends_seen == upstream->ends_acked)
@@ -161,15 +161,16 @@
 {
 	int64_t now_ms = scheduler->now_ms;
 
-	return upstream->gone_why == NULL && upstream->listed &&
+	return upstream->termination_reason == NULL && upstream->listed &&
 	       !upstream->unreadable && !upstream->info.leaving &&
 	       upstream->settled && !upstream->cordoned &&
 	       !upstream->pool->standby && upstream->orphans == 0 &&
 	       upstream->failed_polls == 0 &&
 	       now_ms - upstream->answered_ms <
 		       SILENT_AFTER_MS + upstream->idle_gap_ms &&
-	       now_ms >= upstream->backoff_until_ms && upstream->kept_asked &&
-	       upstream->kept <= scheduler->durable_record;
+	       now_ms >= upstream->backoff_until_ms &&
+	       upstream->record_written &&
+	       upstream->record_number <= scheduler->durable_record;
 }
 
 /*
@@ -305,10 +306,10 @@
 	sched_upstream_t *upstream = sched_upstream_find(scheduler, id);
 
 	scheduler->now_ms = MAX(scheduler->now_ms, now_ms);
-	if (upstream == NULL || upstream->gone_why != NULL)
+	if (upstream == NULL || upstream->termination_reason != NULL)
 		return;
-	upstream->gone_why = why;
-	upstream->gone_ms = scheduler->now_ms;
+	upstream->termination_reason = why;
+	upstream->terminated_ms = scheduler->now_ms;
 	upstream->ending = true;
 	if (!sched_upstream_awaits_final_report(scheduler, upstream))
 		sched_upstream_remove(scheduler, upstream, why);
@@ -321,7 +322,8 @@
 			       (upstream->inherited && !upstream->settled);
 
 	return upstream->poll_in_flight && may_report_ends &&
-	       scheduler->now_ms - upstream->gone_ms < FINAL_REPORT_WAIT_MS;
+	       scheduler->now_ms - upstream->terminated_ms <
+		       FINAL_REPORT_WAIT_MS;
 }
 
 /*
@@ -340,7 +342,8 @@
 	while (g_hash_table_iter_next(&iterator, NULL, &value)) {
 		sched_upstream_t *upstream = value;
 
-		upstream->in_sight = upstream->listed && upstream->settled;
+		upstream->expected_in_host_list =
+			upstream->listed && upstream->settled;
 	}
 }
 
@@ -360,8 +363,9 @@
 	while (g_hash_table_iter_next(&iterator, NULL, &value)) {
 		const sched_upstream_t *upstream = value;
 
-		if (!upstream->in_sight || !upstream->listed ||
-		    upstream->failed_polls > 0 || upstream->gone_why != NULL)
+		if (!upstream->expected_in_host_list || !upstream->listed ||
+		    upstream->failed_polls > 0 ||
+		    upstream->termination_reason != NULL)
 			continue;
 		if (!g_hash_table_contains(incarnations, upstream->info.id))
 			return false;
--- a/src/libwaxwinghollow/scheduler_watch.c
+++ b/src/libwaxwinghollow/scheduler_watch.c
@@ -34,21 +34,23 @@
 static void mark_settled(wwh_scheduler_t *scheduler,
 			 sched_upstream_t *upstream);
 static void handle_ended(wwh_scheduler_t *scheduler, sched_upstream_t *upstream,
-			 const wwh_ended_t *row);
-static bool changes_progress(const sched_task_t *task, const wwh_ended_t *row);
+			 const wwh_ended_task_t *row);
+static bool changes_progress(const sched_task_t *task,
+			     const wwh_ended_task_t *row);
 static void handle_task_end(wwh_scheduler_t *scheduler,
 			    sched_upstream_t *upstream, sched_task_t *task,
-			    const wwh_ended_t *row);
+			    const wwh_ended_task_t *row);
 static bool is_upstream_failure(sched_task_t *task);
 static void complete_gang(wwh_scheduler_t *scheduler, sched_task_t *task);
 static void complete_task(wwh_scheduler_t *scheduler, sched_task_t *task);
 static void handle_running(wwh_scheduler_t *scheduler,
 			   sched_upstream_t *upstream,
-			   const wwh_running_t *row);
+			   const wwh_running_task_t *row);
 static void handle_orphan(wwh_scheduler_t *scheduler,
-			  sched_upstream_t *upstream, const wwh_running_t *row);
+			  sched_upstream_t *upstream,
+			  const wwh_running_task_t *row);
 static void update_task(wwh_scheduler_t *scheduler, sched_task_t *task,
-			const wwh_running_t *row);
+			const wwh_running_task_t *row);
 static void handle_unlisted_tasks(wwh_scheduler_t *scheduler,
 				  sched_upstream_t *upstream,
 				  const wwh_poll_answer_t *answer,
@@ -87,9 +89,10 @@
 	sched_lease_recompute(upstream);
 	for (int32_t i = 0; i < answer->ended_count; i++)
 		handle_ended(scheduler, upstream, &answer->ended[i]);
-	if (upstream->gone_why != NULL) {
+	if (upstream->termination_reason != NULL) {
 		/* the listed ends count; the listed running tasks are lost */
-		sched_upstream_remove(scheduler, upstream, upstream->gone_why);
+		sched_upstream_remove(scheduler, upstream,
+				      upstream->termination_reason);
 		return;
 	}
 	upstream->orphans = 0;
@@ -97,7 +100,7 @@
 		handle_running(scheduler, upstream, &answer->running[i]);
 	if (upstream->orphans == 0)
 		g_hash_table_remove_all(upstream->orphan_stops);
-	if (answer->ended_in_full)
+	if (answer->ended_complete)
 		handle_unlisted_tasks(scheduler, upstream, answer, sent_ms);
 	stop_hung_tasks(scheduler, upstream);
 	sched_pace_fillers(scheduler, upstream);
@@ -119,8 +122,9 @@
 	if (upstream == NULL)
 		return;
 	upstream->poll_in_flight = false;
-	if (upstream->gone_why != NULL) {
-		sched_upstream_remove(scheduler, upstream, upstream->gone_why);
+	if (upstream->termination_reason != NULL) {
+		sched_upstream_remove(scheduler, upstream,
+				      upstream->termination_reason);
 		return;
 	}
 	upstream->failed_polls++;
@@ -175,23 +179,24 @@
 }
 
 static void handle_ended(wwh_scheduler_t *scheduler, sched_upstream_t *upstream,
-			 const wwh_ended_t *row)
+			 const wwh_ended_task_t *row)
 {
 	sched_task_t *task;
 
 	if (row->number <= upstream->ends_seen)
 		return;
 	upstream->ends_seen = row->number;
-	scheduler->ends_waiting = true;
+	scheduler->has_unflushed_ends = true;
 	task = sched_job_task(scheduler, row->task);
 	if (task == NULL)
 		return;
 	if (changes_progress(task, row))
-		upstream->ends_needed = row->number;
+		upstream->last_progress_end = row->number;
 	handle_task_end(scheduler, upstream, task, row);
 }
 
-static bool changes_progress(const sched_task_t *task, const wwh_ended_t *row)
+static bool changes_progress(const sched_task_t *task,
+			     const wwh_ended_task_t *row)
 {
 	return !task->step->spec->lasting &&
 	       sched_job_is_live(task->step->occurrence->job) &&
@@ -200,9 +205,9 @@
 
 static void handle_task_end(wwh_scheduler_t *scheduler,
 			    sched_upstream_t *upstream, sched_task_t *task,
-			    const wwh_ended_t *row)
+			    const wwh_ended_task_t *row)
 {
-	bool is_out = sched_task_is_out(scheduler, task);
+	bool is_out = sched_task_is_outstanding(scheduler, task);
 	bool is_current_run =
 		task->upstream == upstream && task->run == row->run;
 
@@ -212,7 +217,7 @@
 			sched_step_task_failed(scheduler, task, row->run);
 		if (is_upstream_failure(task))
 			sched_upstream_failed(scheduler, upstream);
-		task->avoid = upstream;
+		task->avoided_upstream = upstream;
 	}
 	if (row->kind == WWH_END_DONE) {
 		upstream->fail_streak = 0;
@@ -248,8 +253,8 @@
 {
 	if (!task->step->spec->lasting)
 		return task->failures.count <= 1;
-	task->fails_in_a_row++;
-	return task->fails_in_a_row == 1;
+	task->consecutive_failures++;
+	return task->consecutive_failures == 1;
 }
 
 /* The members of a gang end together, so the end of one completes them all. */
@@ -273,7 +278,8 @@
 }
 
 static void handle_running(wwh_scheduler_t *scheduler,
-			   sched_upstream_t *upstream, const wwh_running_t *row)
+			   sched_upstream_t *upstream,
+			   const wwh_running_task_t *row)
 {
 	sched_task_t *task = sched_job_task(scheduler, row->task);
 	bool live =
@@ -304,7 +310,8 @@
  * load isn't included in the upstream's used load.
  */
 static void handle_orphan(wwh_scheduler_t *scheduler,
-			  sched_upstream_t *upstream, const wwh_running_t *row)
+			  sched_upstream_t *upstream,
+			  const wwh_running_task_t *row)
 {
 	int64_t *sent_ms =
 		g_hash_table_lookup(upstream->orphan_stops, row->task);
@@ -330,11 +337,11 @@
 		      "run=%" G_GINT64_FORMAT " upstream=%s", row->run,
 		      upstream->info.id);
 	g_strlcpy(order.task, row->task, sizeof(order.task));
-	scheduler->calls.stop(&order, scheduler->calls.client_data);
+	scheduler->callbacks.stop(&order, scheduler->callbacks.client_data);
 }
 
 static void update_task(wwh_scheduler_t *scheduler, sched_task_t *task,
-			const wwh_running_t *row)
+			const wwh_running_task_t *row)
 {
 	const wwh_job_step_t *spec = task->step->spec;
 
@@ -348,11 +355,11 @@
 		return;
 	if (row->percent >= 100 &&
 	    scheduler->now_ms - task->percent_ms >= LASTING_STABLE_MS)
-		task->fails_in_a_row = 0;
+		task->consecutive_failures = 0;
 	if (row->percent >= 100)
-		task->away_ms = 0;
-	else if (task->away_ms == 0)
-		task->away_ms = scheduler->now_ms;
+		task->unavailable_since_ms = 0;
+	else if (task->unavailable_since_ms == 0)
+		task->unavailable_since_ms = scheduler->now_ms;
 }
 
 /*
@@ -428,7 +435,8 @@
 	for (guint i = 0; i < upstream->tasks->len; i++) {
 		sched_task_t *task = g_ptr_array_index(upstream->tasks, i);
 		bool lasting = task->step->spec->lasting;
-		int64_t since_ms = lasting ? task->away_ms : task->percent_ms;
+		int64_t since_ms =
+			lasting ? task->unavailable_since_ms : task->percent_ms;
 		int64_t limit_ms =
 			lasting ? LASTING_HANG_TIMEOUT_MS : HANG_TIMEOUT_MS;
 		char name[WWH_TASK_NAME_BYTES];
@@ -442,7 +450,7 @@
 		sched_explain(scheduler, "run-hangs", name,
 			      "run=%" G_GINT64_FORMAT " upstream=%s percent=%d",
 			      task->run, upstream->info.id, task->percent);
-		task->avoid = upstream;
+		task->avoided_upstream = upstream;
 		sched_task_order_stop(scheduler, task);
 		sched_upstream_back_off(scheduler, upstream, HANG_BACKOFF_MS);
 	}
@@ -464,20 +472,20 @@
 {
 	int64_t now_ms = scheduler->now_ms;
 
-	if (upstream->gone_why != NULL) {
+	if (upstream->termination_reason != NULL) {
 		if (!sched_upstream_awaits_final_report(scheduler, upstream))
 			sched_upstream_remove(scheduler, upstream,
-					      upstream->gone_why);
+					      upstream->termination_reason);
 		return;
 	}
 	if (upstream->inherited && !upstream->settled &&
-	    now_ms >= upstream->gone_without_answer_ms) {
+	    now_ms >= upstream->inherited_lease_end_ms) {
 		sched_upstream_remove(scheduler, upstream, "lease-lapsed");
 		return;
 	}
-	if (upstream->lapsed_ms != 0 && now_ms >= upstream->lapsed_ms &&
-	    !upstream->lapse_done) {
-		upstream->lapse_done = true;
+	if (upstream->lease_end_ms != 0 && now_ms >= upstream->lease_end_ms &&
+	    !upstream->lease_end_handled) {
+		upstream->lease_end_handled = true;
 		sched_upstream_lose_tasks(scheduler, upstream, "lease-lapsed");
 		if (!upstream->listed) {
 			sched_upstream_remove(scheduler, upstream, "lapsed");
@@ -492,7 +500,7 @@
 	resend_stops(scheduler, upstream);
 	if (upstream->settled)
 		sched_poll_if_due(scheduler, upstream);
-	if (upstream->settled && upstream->listed && !upstream->kept_asked)
+	if (upstream->settled && upstream->listed && !upstream->record_written)
 		write_upstream_record(scheduler, upstream);
 }
 
@@ -502,10 +510,10 @@
 {
 	GBytes *value = sched_upstream_encode(upstream);
 
-	upstream->kept_asked = true;
-	upstream->kept =
-		scheduler->calls.keep(WWH_KEEP_UPSTREAM, upstream->info.id,
-				      value, scheduler->calls.client_data);
-	scheduler->newest_record = upstream->kept;
+	upstream->record_written = true;
+	upstream->record_number = scheduler->callbacks.write_record(
+		WWH_SCHEDULER_RECORD_UPSTREAM, upstream->info.id, value,
+		scheduler->callbacks.client_data);
+	scheduler->newest_record = upstream->record_number;
 	g_bytes_unref(value);
 }
--- a/src/test_fuzz/fuzz_records.c
+++ b/src/test_fuzz/fuzz_records.c
@@ -47,8 +47,8 @@
 	(void)client_data;
 }
 
-static int64_t on_keep(wwh_keep_kind_t kind, const char *key, GBytes *value,
-		       void *client_data)
+static int64_t on_keep(wwh_scheduler_record_kind_t kind, const char *key,
+		       GBytes *value, void *client_data)
 {
 	(void)kind;
 	(void)value;
@@ -94,8 +94,8 @@
 	return bytes;
 }
 
-static void restore_bytes(wwh_scheduler_t *scheduler, wwh_keep_kind_t kind,
-			  GBytes *bytes)
+static void restore_bytes(wwh_scheduler_t *scheduler,
+			  wwh_scheduler_record_kind_t kind, GBytes *bytes)
 {
 	wwh_message_t message;
 	gsize size;
@@ -115,9 +115,9 @@
 				     .labels = labels,
 				     .size.cpu_millicores = 8000,
 				     .size.memory_mb = 8000 };
-	wwh_poll_answer_t answer = { .remote_ms = 5, .ended_in_full = true };
+	wwh_poll_answer_t answer = { .remote_ms = 5, .ended_complete = true };
 
-	wwh_scheduler_restored(scheduler, NOW_MS, WALL_MS);
+	wwh_scheduler_finish_restore(scheduler, NOW_MS, WALL_MS);
 	wwh_scheduler_upstream_announced(scheduler, &info, NOW_MS);
 	for (int32_t i = 1; i < 5; i++) {
 		int64_t now_ms = NOW_MS + i * INT64_C(6000);
@@ -134,27 +134,27 @@
 
 int LLVMFuzzerTestOneInput(const uint8_t *data, size_t size)
 {
-	static const wwh_keep_kind_t kinds[] = {
-		WWH_KEEP_JOB,
-		WWH_KEEP_PROGRESS,
-		WWH_KEEP_PROGRESS,
-		WWH_KEEP_UPSTREAM,
+	static const wwh_scheduler_record_kind_t kinds[] = {
+		WWH_SCHEDULER_RECORD_JOB,
+		WWH_SCHEDULER_RECORD_PROGRESS,
+		WWH_SCHEDULER_RECORD_PROGRESS,
+		WWH_SCHEDULER_RECORD_UPSTREAM,
 	};
 	int32_t starts = 0;
 	wwh_scheduler_options_t options = wwh_scheduler_options_defaults();
-	wwh_scheduler_calls_t calls = {
+	wwh_scheduler_callbacks_t calls = {
 		.start = on_start,
 		.stop = on_stop,
 		.poll = on_poll,
 		.pace = on_pace,
 		.advise = on_advise,
-		.keep = on_keep,
+		.write_record = on_keep,
 		.explain = on_explain,
 		.client_data = &starts,
 	};
 	wwh_scheduler_t *scheduler;
 	wwh_message_t message;
-	wwh_keep_kind_t kind;
+	wwh_scheduler_record_kind_t kind;
 	uint8_t *value;
 	bool whole;
 
@@ -164,14 +164,14 @@
 	/* a copy of the very size, so that a read beyond it is seen */
 	value = g_memdup2(data + 1, size - 1);
 	scheduler = wwh_scheduler_new(&options, &calls);
-	if (kind != WWH_KEEP_JOB)
+	if (kind != WWH_SCHEDULER_RECORD_JOB)
 		restore_bytes(
-			scheduler, WWH_KEEP_JOB,
+			scheduler, WWH_SCHEDULER_RECORD_JOB,
 			whole_job(data[0] % G_N_ELEMENTS(kinds) == 2 ? 3 : 0));
 	whole = wwh_scheduler_restore(scheduler, kind, JOB, value, size - 1,
 				      NOW_MS, WALL_MS, &message);
 	run(scheduler);
-	if (kind != WWH_KEEP_UPSTREAM && !whole)
+	if (kind != WWH_SCHEDULER_RECORD_UPSTREAM && !whole)
 		assert(starts == 0 && wwh_scheduler_job_lost(scheduler, JOB));
 	wwh_scheduler_delete(scheduler);
 	g_free(value);
--- a/src/test_fuzz/fuzz_scheduler.c
+++ b/src/test_fuzz/fuzz_scheduler.c
@@ -55,11 +55,11 @@
 
 	answer->order = *order;
 	answer->remote_ms = clock_of(host);
-	answer->running = g_array_new(FALSE, FALSE, sizeof(wwh_running_t));
-	answer->ended = g_array_new(FALSE, FALSE, sizeof(wwh_ended_t));
+	answer->running = g_array_new(FALSE, FALSE, sizeof(wwh_running_task_t));
+	answer->ended = g_array_new(FALSE, FALSE, sizeof(wwh_ended_task_t));
 	for (guint i = 0; i < host->runs->len; i++) {
 		const run_t *run = &g_array_index(host->runs, run_t, i);
-		wwh_running_t row = { .run = run->run, .checkpoint = "" };
+		wwh_running_task_t row = { .run = run->run, .checkpoint = "" };
 
 		g_strlcpy(row.task, run->task, sizeof(row.task));
 		if (!host->hangs)
@@ -69,10 +69,10 @@
 	}
 	for (guint i = 0; i < host->ends->len; i++) {
 		const end_t *end = &g_array_index(host->ends, end_t, i);
-		wwh_ended_t row = { .number = end->number,
-				    .run = end->run,
-				    .kind = end->kind,
-				    .checkpoint = "" };
+		wwh_ended_task_t row = { .number = end->number,
+					 .run = end->run,
+					 .kind = end->kind,
+					 .checkpoint = "" };
 
 		g_strlcpy(row.task, end->task, sizeof(row.task));
 		g_array_append_val(answer->ended, row);
@@ -95,11 +95,11 @@
 	holder_t *holder = holder_of(answer->order.holder);
 	wwh_poll_answer_t rows = {
 		.remote_ms = answer->remote_ms,
-		.running = (wwh_running_t *)(void *)answer->running->data,
+		.running = (wwh_running_task_t *)(void *)answer->running->data,
 		.running_count = (int32_t)answer->running->len,
-		.ended = (wwh_ended_t *)(void *)answer->ended->data,
+		.ended = (wwh_ended_task_t *)(void *)answer->ended->data,
 		.ended_count = (int32_t)answer->ended->len,
-		.ended_in_full = true,
+		.ended_complete = true,
 	};
 
 	if (holder != NULL)
@@ -121,14 +121,14 @@
 		return;
 	}
 	if (order->kind == ORDER_START)
-		wwh_scheduler_start_ended(holder->scheduler, order->upstream,
-					  order->task, order->run, result,
-					  world.now_ms);
+		wwh_scheduler_handle_start_result(
+			holder->scheduler, order->upstream, order->task,
+			order->run, result, world.now_ms);
 	else if (order->kind == ORDER_STOP)
-		wwh_scheduler_stop_ended(holder->scheduler, order->upstream,
-					 order->task, order->run, result,
-					 world.now_ms);
-	else if (result == WWH_ORDER_OTHER_LIFE)
+		wwh_scheduler_handle_stop_result(
+			holder->scheduler, order->upstream, order->task,
+			order->run, result, world.now_ms);
+	else if (result == WWH_ORDER_OTHER_INCARNATION)
 		wwh_scheduler_handle_poll_other_incarnation(
 			holder->scheduler, order->upstream, world.now_ms);
 	else
@@ -147,8 +147,8 @@
 	wwh_order_result_t result;
 
 	if (host == NULL) {
-		tell(order,
-		     answered ? WWH_ORDER_OTHER_LIFE : WWH_ORDER_UNKNOWN);
+		tell(order, answered ? WWH_ORDER_OTHER_INCARNATION
+				     : WWH_ORDER_UNKNOWN);
 		return;
 	}
 	if (!host->up || host->cut) {
@@ -352,10 +352,10 @@
 		return;
 	job = &world.jobs[which % world.job_count];
 	if (job->submit_record <= holder->sent_upto ||
-	    !wwh_scheduler_untouched(holder->scheduler, job->id))
+	    !wwh_scheduler_job_is_discardable(holder->scheduler, job->id))
 		return;
 	drop_record(job->submit_record);
-	wwh_scheduler_take_back(holder->scheduler, job->id);
+	wwh_scheduler_discard_job(holder->scheduler, job->id);
 	job->submit_record = 0;
 	job->submitted = false;
 }
--- a/src/test_fuzz/scheduler_holders.h
+++ b/src/test_fuzz/scheduler_holders.h
@@ -85,13 +85,14 @@
 	(void)data;
 }
 
-static int64_t on_keep(wwh_keep_kind_t kind, const char *key, GBytes *value,
-		       void *data)
+static int64_t on_keep(wwh_scheduler_record_kind_t kind, const char *key,
+		       GBytes *value, void *data)
 {
 	holder_t *holder = data;
 	record_t *record = g_new0(record_t, 1);
 
-	record->key = g_strconcat(wwh_keep_kind_names[kind], key, NULL);
+	record->key =
+		g_strconcat(wwh_scheduler_record_kind_names[kind], key, NULL);
 	record->value = value == NULL ? NULL : g_bytes_ref(value);
 	record->number = ++holder->next_record;
 	g_queue_push_tail(holder->pending, record);
@@ -149,7 +150,7 @@
 
 static void restore(holder_t *holder)
 {
-	for (int32_t kind = 0; kind < WWH_KEEP_KIND_COUNT; kind++) {
+	for (int32_t kind = 0; kind < WWH_SCHEDULER_RECORD_KIND_COUNT; kind++) {
 		GHashTableIter iterator;
 		gpointer key;
 		gpointer value;
@@ -160,15 +161,17 @@
 			gsize size;
 			const uint8_t *data = g_bytes_get_data(value, &size);
 
-			if (((char *)key)[0] == wwh_keep_kind_names[kind][0])
+			if (((char *)key)[0] ==
+			    wwh_scheduler_record_kind_names[kind][0])
 				assert(wwh_scheduler_restore(
 					holder->scheduler,
-					(wwh_keep_kind_t)kind, (char *)key + 1,
-					data, size, world.now_ms, world.now_ms,
-					&message));
+					(wwh_scheduler_record_kind_t)kind,
+					(char *)key + 1, data, size,
+					world.now_ms, world.now_ms, &message));
 		}
 	}
-	wwh_scheduler_restored(holder->scheduler, world.now_ms, world.now_ms);
+	wwh_scheduler_finish_restore(holder->scheduler, world.now_ms,
+				     world.now_ms);
 }
 
 /* The orders of the holder before stay on their way. */
@@ -176,13 +179,13 @@
 {
 	holder_t *holder = &world.holder;
 	wwh_scheduler_options_t options = wwh_scheduler_options_defaults();
-	wwh_scheduler_calls_t calls = {
+	wwh_scheduler_callbacks_t calls = {
 		.start = on_start,
 		.stop = on_stop,
 		.poll = on_poll,
 		.pace = on_pace,
 		.advise = on_advise,
-		.keep = on_keep,
+		.write_record = on_keep,
 		.explain = on_explain,
 		.client_data = holder,
 	};
@@ -199,7 +202,8 @@
 	options.lease_max_ms = LEASE_MAX_MS;
 	/* versions of the program ask for leases of their own */
 	options.lease_ms = world.holder_count % 2 == 0 ? 9000 : 4500;
-	options.forget_ms = INT64_MAX / 4; /* no job is forgotten here */
+	options.ended_job_retention_ms =
+		INT64_MAX / 4; /* no job is forgotten here */
 	options.holder_count = world.holder_count;
 	holder->scheduler = wwh_scheduler_new(&options, &calls);
 	restore(holder);
--- a/src/test_host_duties/crew.h
+++ b/src/test_host_duties/duties_fixture.h
@@ -10,7 +10,7 @@
  *	look at, and short calls say what lists of hosts show.
  */
 
-#include "../test_scheduler/rig.h"
+#include "../test_scheduler/sched_fixture.h"
 
 #include "waxwinghollow/host_duties.h"
 
@@ -18,7 +18,7 @@
 #define WAVE 7
 
 typedef struct {
-	rig_t *rig;
+	sched_fixture_t *rig;
 	wwh_host_duties_t *duties;
 	wwh_host_duties_options_t options;
 	int32_t lists; /* that were asked for */
@@ -62,12 +62,12 @@
 	crew->completed += completed;
 }
 
-static inline int64_t crew_keep(wwh_keep_kind_t kind, const char *key,
-				GBytes *value, void *data)
+static inline int64_t crew_keep(wwh_scheduler_record_kind_t kind,
+				const char *key, GBytes *value, void *data)
 {
 	crew_t *crew = data;
 
-	assert_int_equal(kind, WWH_KEEP_WAVE);
+	assert_int_equal(kind, WWH_SCHEDULER_RECORD_WAVE);
 	assert_non_null(key);
 	assert_non_null(value);
 	return ++crew->record;
@@ -89,7 +89,7 @@
 		.upkeep = crew_upkeep,
 		.move = crew_move,
 		.report = crew_report,
-		.keep = crew_keep,
+		.write_record = crew_keep,
 		.explain = crew_explain,
 		.client_data = crew,
 	};
@@ -97,15 +97,15 @@
 	return wwh_host_duties_new(&crew->options, &calls);
 }
 
-static inline crew_t *crew_new(int64_t quiet_until_ms)
+static inline crew_t *crew_new(int64_t first_order_ms)
 {
 	crew_t *crew = g_new0(crew_t, 1);
 
-	crew->rig = rig_new();
+	crew->rig = sched_fixture_new();
 	crew->options.scheduler = crew->rig->scheduler;
 	crew->options.upkeep_ms = 2000;
 	crew->options.move_ms = 1500;
-	crew->options.quiet_until_ms = quiet_until_ms;
+	crew->options.first_order_ms = first_order_ms;
 	crew->upkeeps = g_ptr_array_new_with_free_func(g_free);
 	crew->moves = g_ptr_array_new_with_free_func(g_free);
 	crew->duties = crew_duties(crew);
@@ -123,7 +123,7 @@
 static inline void crew_delete(crew_t *crew)
 {
 	wwh_host_duties_delete(crew->duties);
-	rig_delete(crew->rig);
+	sched_fixture_delete(crew->rig);
 	g_ptr_array_unref(crew->upkeeps);
 	g_ptr_array_unref(crew->moves);
 	g_free(crew);
@@ -166,7 +166,7 @@
 		g_ptr_array_add(order->hosts, g_strdup_printf("h%d", i));
 	order->max_down = max_down;
 	order->duration_ms = 60000;
-	wwh_host_duties_wave(crew->duties, order, crew->rig->now_ms);
+	wwh_host_duties_add_wave(crew->duties, order, crew->rig->now_ms);
 }
 
 /* Hosts h1 to hN of the rig's pool, each with the upstream uN or none. */
@@ -179,7 +179,7 @@
 
 		snprintf(name, sizeof(name), "h%d", i);
 		snprintf(upstream, sizeof(upstream), "u%d", i);
-		crew_host(crew, name, RIG_POOL,
+		crew_host(crew, name, SCHED_FIXTURE_POOL,
 			  with_upstreams ? upstream : NULL,
 			  i == 1 ? first_state : WWH_HOST_UP);
 	}
@@ -198,8 +198,8 @@
 	const char *moved = crew_moved(crew, index);
 	char *host = g_strndup(moved, strcspn(moved, " "));
 
-	wwh_host_duties_move_ended(crew->duties, host, WWH_DUTY_DONE,
-				   crew->rig->now_ms);
+	wwh_host_duties_handle_move_result(crew->duties, host, WWH_DUTY_DONE,
+					   crew->rig->now_ms);
 	g_free(host);
 }
 
@@ -217,12 +217,13 @@
 {
 	char *host = g_strndup(moved, strcspn(moved, " "));
 
-	wwh_host_duties_move_ended(crew->duties, host, WWH_DUTY_DONE,
-				   crew->rig->now_ms);
+	wwh_host_duties_handle_move_result(crew->duties, host, WWH_DUTY_DONE,
+					   crew->rig->now_ms);
 	crew_run(crew, crew->options.move_ms);
 	wwh_host_duties_list_begin(crew->duties);
-	crew_host(crew, strcmp(host, "h1") == 0 ? "h2" : "h1", RIG_POOL,
-		  strcmp(host, "h1") == 0 ? "u2" : "u1", WWH_HOST_UP);
+	crew_host(crew, strcmp(host, "h1") == 0 ? "h2" : "h1",
+		  SCHED_FIXTURE_POOL, strcmp(host, "h1") == 0 ? "u2" : "u1",
+		  WWH_HOST_UP);
 	crew_host(crew, host, "rest", NULL, WWH_HOST_UP);
 	crew_listed(crew);
 	g_free(host);
--- a/src/test_host_duties/test_incarnations.c
+++ b/src/test_host_duties/test_incarnations.c
@@ -3,7 +3,7 @@
  * list of hosts shows.
  */
 
-#include "crew.h"
+#include "duties_fixture.h"
 
 /* Lists come each half second; this is two of them. */
 #define SOON_MS 1000
@@ -25,33 +25,35 @@
 /* A lasting task was stopped, then the holder ended; u1 and u2 are on record. */
 static void stop_task_and_take_over(crew_t *crew)
 {
-	wwh_job_t *job = rig_job(JOB_A, 1, 1000);
-	rig_order_t order;
-	wwh_ended_t ended;
+	wwh_job_t *job = sched_fixture_job(JOB_A, 1, 1000);
+	sched_fixture_order_t order;
+	wwh_ended_task_t ended;
 
-	rig_add_upstream(crew->rig, "u1", "10.0.0.1:1");
-	rig_add_upstream(crew->rig, "u2", "10.0.0.2:1");
+	sched_fixture_add_upstream(crew->rig, "u1", "10.0.0.1:1");
+	sched_fixture_add_upstream(crew->rig, "u2", "10.0.0.2:1");
 	job->steps[0].lasting = true;
-	rig_submit(crew->rig, job);
-	order = *rig_order(crew->rig->starts, 0);
-	rig_start_ended(crew->rig, &order, WWH_ORDER_DONE);
-	rig_run(crew->rig, 500);
-	ended = rig_ended(&order, 1, WWH_END_STOPPED);
-	rig_answer_poll(crew->rig, order.upstream, NULL, 0, &ended, 1);
-	rig_durable(crew->rig);
-	rig_take_over(crew->rig);
+	sched_fixture_submit(crew->rig, job);
+	order = *sched_fixture_order(crew->rig->starts, 0);
+	sched_fixture_handle_start_result(crew->rig, &order, WWH_ORDER_DONE);
+	sched_fixture_run(crew->rig, 500);
+	ended = sched_fixture_ended_row(&order, 1, WWH_END_STOPPED);
+	sched_fixture_answer_poll(crew->rig, order.upstream, NULL, 0, &ended,
+				  1);
+	sched_fixture_make_durable(crew->rig);
+	sched_fixture_take_over(crew->rig);
 	crew_take_over(crew);
-	wwh_host_duties_pool(crew->duties, RIG_POOL, false);
-	wwh_host_duties_pool(crew->duties, "rest", true);
+	wwh_host_duties_set_pool(crew->duties, SCHED_FIXTURE_POOL, false);
+	wwh_host_duties_set_pool(crew->duties, "rest", true);
 }
 
-static void answer_u2(rig_t *rig)
+static void answer_u2(sched_fixture_t *rig)
 {
 	for (guint i = rig->polls->len; i-- > 0;) {
-		rig_poll_t poll = g_array_index(rig->polls, rig_poll_t, i);
+		sched_fixture_poll_t poll =
+			g_array_index(rig->polls, sched_fixture_poll_t, i);
 
 		if (strcmp(poll.upstream, "u2") == 0)
-			rig_answer_poll(rig, "u2", NULL, 0, NULL, 0);
+			sched_fixture_answer_poll(rig, "u2", NULL, 0, NULL, 0);
 	}
 	wwh_scheduler_handle_poll_failure(rig->scheduler, "u1", false,
 					  rig->now_ms);
@@ -62,14 +64,14 @@
 	return g_strdup_printf("%s%d", kind, number);
 }
 
-static void answer_newcomer(rig_t *rig, int32_t number)
+static void answer_newcomer(sched_fixture_t *rig, int32_t number)
 {
 	char *id = newcomer("n", number);
 	char *endpoint = newcomer("10.0.1.1:", number + 1);
 
-	rig_announce(rig, id, endpoint, false);
-	rig_run(rig, 1);
-	rig_answer_poll(rig, id, NULL, 0, NULL, 0);
+	sched_fixture_announce(rig, id, endpoint, false);
+	sched_fixture_run(rig, 1);
+	sched_fixture_answer_poll(rig, id, NULL, 0, NULL, 0);
 	g_free(endpoint);
 	g_free(id);
 }
@@ -81,7 +83,7 @@
 		char *host = newcomer("hn", i);
 		char *id = newcomer("n", i);
 
-		crew_host(crew, host, RIG_POOL, id, WWH_HOST_UP);
+		crew_host(crew, host, SCHED_FIXTURE_POOL, id, WWH_HOST_UP);
 		g_free(id);
 		g_free(host);
 	}
@@ -94,11 +96,11 @@
 
 	stop_task_and_take_over(crew);
 	before = crew->rig->starts->len;
-	rig_announce(crew->rig, "u2", "10.0.0.2:1", false);
+	sched_fixture_announce(crew->rig, "u2", "10.0.0.2:1", false);
 	if (silent->announced)
-		rig_announce(crew->rig, "u1", "10.0.0.1:1", false);
+		sched_fixture_announce(crew->rig, "u1", "10.0.0.1:1", false);
 	for (int32_t i = 0; i < for_ms / 50; i++) {
-		rig_run(crew->rig, 50);
+		sched_fixture_run(crew->rig, 50);
 		answer_u2(crew->rig);
 		wwh_host_duties_list_begin(crew->duties);
 		if (silent->others_come) {
@@ -106,7 +108,8 @@
 			list_newcomers(crew, i);
 		}
 		if (!silent->misses_u2)
-			crew_host(crew, "h2", RIG_POOL, "u2", WWH_HOST_UP);
+			crew_host(crew, "h2", SCHED_FIXTURE_POOL, "u2",
+				  WWH_HOST_UP);
 		if (silent->unreadable) {
 			wwh_listed_host_t row = {
 				.name = silent->nameless ? NULL : "h1",
@@ -120,7 +123,7 @@
 				  silent->state);
 		wwh_host_duties_list_end(crew->duties, !silent->cut_short,
 					 crew->rig->now_ms);
-		rig_durable(crew->rig);
+		sched_fixture_make_durable(crew->rig);
 	}
 	return crew->rig->starts->len > before;
 }
@@ -149,7 +152,7 @@
 
 void an_incarnation_of_a_host_that_moves_is_not_waited_for(void **state)
 {
-	const silent_host_t moves = { .pool = RIG_POOL,
+	const silent_host_t moves = { .pool = SCHED_FIXTURE_POOL,
 				      .upstream = "",
 				      .state = WWH_HOST_MOVING };
 
@@ -163,7 +166,7 @@
  */
 void an_incarnation_that_a_host_runs_is_waited_for(void **state)
 {
-	const silent_host_t cut_off = { .pool = RIG_POOL,
+	const silent_host_t cut_off = { .pool = SCHED_FIXTURE_POOL,
 					.upstream = "u1",
 					.state = WWH_HOST_UP };
 
@@ -173,7 +176,7 @@
 /* A host may be at work and not say what it runs: it may be any of them. */
 void a_host_that_does_not_say_what_it_runs_may_run_any(void **state)
 {
-	const silent_host_t down = { .pool = RIG_POOL,
+	const silent_host_t down = { .pool = SCHED_FIXTURE_POOL,
 				     .upstream = "",
 				     .state = WWH_HOST_DOWN };
 
@@ -182,7 +185,7 @@
 
 void a_host_of_a_working_pool_without_an_incarnation_may_run_any(void **state)
 {
-	const silent_host_t unnamed = { .pool = RIG_POOL,
+	const silent_host_t unnamed = { .pool = SCHED_FIXTURE_POOL,
 					.upstream = NULL,
 					.state = WWH_HOST_UP };
 
@@ -213,7 +216,7 @@
  */
 void an_incarnation_that_lists_miss_for_long_is_not_waited_for(void **state)
 {
-	const silent_host_t moved = { .pool = RIG_POOL,
+	const silent_host_t moved = { .pool = SCHED_FIXTURE_POOL,
 				      .upstream = "",
 				      .state = WWH_HOST_MOVING,
 				      .announced = true,
@@ -296,17 +299,17 @@
 
 	stop_task_and_take_over(crew);
 	wwh_host_duties_list_begin(crew->duties);
-	crew_host(crew, "h2", RIG_POOL, "u2", WWH_HOST_UP);
-	crew_host(crew, "h3", RIG_POOL, "u3", WWH_HOST_UP);
+	crew_host(crew, "h2", SCHED_FIXTURE_POOL, "u2", WWH_HOST_UP);
+	crew_host(crew, "h3", SCHED_FIXTURE_POOL, "u3", WWH_HOST_UP);
 	crew_listed(crew);
-	rig_announce(crew->rig, "u2", "10.0.0.2:1", false);
-	rig_announce(crew->rig, "u3", "10.0.0.3:1", false);
-	rig_run(crew->rig, 1);
-	rig_answer_poll(crew->rig, "u2", NULL, 0, NULL, 0);
-	rig_answer_poll(crew->rig, "u3", NULL, 0, NULL, 0);
+	sched_fixture_announce(crew->rig, "u2", "10.0.0.2:1", false);
+	sched_fixture_announce(crew->rig, "u3", "10.0.0.3:1", false);
+	sched_fixture_run(crew->rig, 1);
+	sched_fixture_answer_poll(crew->rig, "u2", NULL, 0, NULL, 0);
+	sched_fixture_answer_poll(crew->rig, "u3", NULL, 0, NULL, 0);
 	wwh_scheduler_handle_poll_failure(crew->rig->scheduler, "u1", false,
 					  crew->rig->now_ms);
-	rig_durable(crew->rig);
+	sched_fixture_make_durable(crew->rig);
 	crew_wave(crew, 3, 1);
 	wwh_host_duties_list_begin(crew->duties);
 	crew_run(crew, 1);
@@ -317,7 +320,7 @@
 		char *id = newcomer("u", i);
 		bool away = strcmp(host, ordered) == 0;
 
-		crew_host(crew, host, RIG_POOL, away ? "" : id,
+		crew_host(crew, host, SCHED_FIXTURE_POOL, away ? "" : id,
 			  away ? WWH_HOST_UPKEEP : WWH_HOST_UP);
 		g_free(id);
 		g_free(host);
--- a/src/test_policy/test_policy.c
+++ b/src/test_policy/test_policy.c
@@ -10,9 +10,9 @@
 #define MONTH_MS (30 * 24 * 3600 * SECOND_MS)
 
 /* Work of callers that said how long they are content to wait. */
-static wwh_order_figures_t work(int64_t waited_ms, int64_t remaining_ms)
+static wwh_policy_order_input_t work(int64_t waited_ms, int64_t remaining_ms)
 {
-	return (wwh_order_figures_t){
+	return (wwh_policy_order_input_t){
 		.waited_ms = waited_ms,
 		.objective_ms = 5 * SECOND_MS,
 		.remaining_ms = remaining_ms,
@@ -20,9 +20,9 @@
 }
 
 /* Work that nobody has given an objective. */
-static wwh_order_figures_t bulk(int64_t waited_ms, int32_t priority)
+static wwh_policy_order_input_t bulk(int64_t waited_ms, int32_t priority)
 {
-	return (wwh_order_figures_t){
+	return (wwh_policy_order_input_t){
 		.priority = priority,
 		.waited_ms = waited_ms,
 		.objective_ms = WWH_POLICY_NO_OBJECTIVE_MS,
@@ -30,23 +30,26 @@
 }
 
 /* A host of 8 cores that nothing speaks for or against. */
-static wwh_fit_figures_t host(int64_t free_millicores)
+static wwh_policy_fit_input_t host(int64_t free_millicores)
 {
-	return (wwh_fit_figures_t){
+	return (wwh_policy_fit_input_t){
 		.free_millicores = free_millicores,
 		.need_millicores = 1000,
 		.capacity_millicores = 8000,
 	};
 }
 
-static void assert_before(wwh_order_figures_t first, wwh_order_figures_t second)
+static void assert_before(wwh_policy_order_input_t first,
+			  wwh_policy_order_input_t second)
 {
-	assert_true(wwh_policy_order(&first) < wwh_policy_order(&second));
+	assert_true(wwh_policy_order_key(&first) <
+		    wwh_policy_order_key(&second));
 }
 
-static void assert_better(wwh_fit_figures_t first, wwh_fit_figures_t second)
+static void assert_better(wwh_policy_fit_input_t first,
+			  wwh_policy_fit_input_t second)
 {
-	assert_true(wwh_policy_fit(&first) < wwh_policy_fit(&second));
+	assert_true(wwh_policy_fit_cost(&first) < wwh_policy_fit_cost(&second));
 }
 
 static void what_must_end_sooner_goes_first(void **unused)
@@ -70,8 +73,8 @@
 
 static void lasting_tasks_go_before_all(void **unused)
 {
-	wwh_order_figures_t lasting = work(0, 0);
-	wwh_order_figures_t pressing = work(4 * SECOND_MS, SECOND_MS);
+	wwh_policy_order_input_t lasting = work(0, 0);
+	wwh_policy_order_input_t pressing = work(4 * SECOND_MS, SECOND_MS);
 
 	(void)unused;
 	lasting.lasting = true;
@@ -107,12 +110,12 @@
 /* Two of a group in the zone of a full host; the empty host's has one. */
 static void a_group_is_spread_before_hosts_are_filled(void **unused)
 {
-	wwh_fit_figures_t full = host(1000);
-	wwh_fit_figures_t empty = host(8000);
+	wwh_policy_fit_input_t full = host(1000);
+	wwh_policy_fit_input_t empty = host(8000);
 
 	(void)unused;
-	full.group_in_zone = 2;
-	empty.group_in_zone = 1;
+	full.group_tasks_in_zone = 2;
+	empty.group_tasks_in_zone = 1;
 	assert_better(empty, full);
 }
 
@@ -122,19 +125,19 @@
  */
 static void a_host_that_is_done_goes_before_all(void **unused)
 {
-	wwh_fit_figures_t done = host(8000);
-	wwh_fit_figures_t to_come = host(1000);
+	wwh_policy_fit_input_t done = host(8000);
+	wwh_policy_fit_input_t to_come = host(1000);
 
 	(void)unused;
-	done.group_in_zone = 100000;
-	to_come.before_upkeep = true;
+	done.group_tasks_in_zone = 100000;
+	to_come.wave_pending = true;
 	assert_better(done, to_come);
 }
 
 static void a_host_where_the_task_failed_is_the_last(void **unused)
 {
-	wwh_fit_figures_t failed = host(1000);
-	wwh_fit_figures_t other = host(8000);
+	wwh_policy_fit_input_t failed = host(1000);
+	wwh_policy_fit_input_t other = host(8000);
 
 	(void)unused;
 	failed.failed_here = true;
@@ -144,7 +147,7 @@
 
 static void tasks_that_disturb_each_other_are_parted(void **unused)
 {
-	wwh_fit_figures_t disturbed = host(1000);
+	wwh_policy_fit_input_t disturbed = host(1000);
 
 	(void)unused;
 	disturbed.disturbed = 1;
@@ -153,8 +156,8 @@
 
 static void lasting_tasks_of_a_step_are_spread(void **unused)
 {
-	wwh_fit_figures_t shared = host(1000);
-	wwh_fit_figures_t alone = host(8000);
+	wwh_policy_fit_input_t shared = host(1000);
+	wwh_policy_fit_input_t alone = host(8000);
 
 	(void)unused;
 	shared.lasting = true;
@@ -168,8 +171,8 @@
 /* Those of other steps share hosts: the rest can be moved at any time. */
 static void lasting_tasks_of_two_steps_share_a_host(void **unused)
 {
-	wwh_fit_figures_t shared = host(8000);
-	wwh_fit_figures_t first = host(1000);
+	wwh_policy_fit_input_t shared = host(8000);
+	wwh_policy_fit_input_t first = host(1000);
 
 	(void)unused;
 	shared.lasting = true;
--- a/src/test_scheduler/test_backlog.c
+++ b/src/test_scheduler/test_backlog.c
@@ -14,7 +14,7 @@
 #define OTHER_POOL "lounge"
 
 /* Jobs that become durable together, as after an append that took its time. */
-static void submit_backlog(rig_t *rig)
+static void submit_backlog(sched_fixture_t *fixture)
 {
 	for (int32_t i = 0; i < BACKLOG_JOBS; i++) {
 		char id[WWH_JOB_ID_CHARS + 1];
@@ -22,21 +22,23 @@
 		int64_t record;
 
 		snprintf(id, sizeof(id), "%016x", i + 1);
-		job = rig_job(id, TASKS_A_JOB, SMALL_MILLICORES);
+		job = sched_fixture_job(id, TASKS_A_JOB, SMALL_MILLICORES);
 		job->steps[0].need.memory_mb = SMALL_MEMORY_MB;
-		(void)wwh_scheduler_submit(rig->scheduler, job, rig->now_ms,
-					   &record);
+		(void)wwh_scheduler_submit(fixture->scheduler, job,
+					   fixture->now_ms, &record);
 	}
-	rig_durable(rig);
+	sched_fixture_make_durable(fixture);
 }
 
-static guint starts_of(const rig_t *rig, const char *id)
+static guint starts_of(const sched_fixture_t *fixture, const char *id)
 {
 	guint count = 0;
 
-	for (guint i = 0; i < rig->starts->len; i++)
+	for (guint i = 0; i < fixture->starts->len; i++)
 		count += g_str_has_prefix(
-			g_array_index(rig->starts, rig_order_t, i).task, id);
+			g_array_index(fixture->starts, sched_fixture_order_t, i)
+				.task,
+			id);
 	return count;
 }
 
@@ -46,40 +48,41 @@
  */
 void a_pass_starts_a_limited_number_of_tasks(void **state)
 {
-	rig_t *rig = *state;
+	sched_fixture_t *fixture = *state;
 	guint before = 0;
 
-	submit_backlog(rig);
+	submit_backlog(fixture);
 	while (before < BACKLOG_TASKS) {
-		rig_run(rig, 5);
-		assert_true(rig->starts->len > before);
-		assert_true(rig->starts->len - before <= STARTS_A_PASS);
-		assert_int_equal(
-			wwh_scheduler_backlog(rig->scheduler, RIG_POOL),
-			BACKLOG_TASKS - rig->starts->len);
-		before = rig->starts->len;
+		sched_fixture_run(fixture, 5);
+		assert_true(fixture->starts->len > before);
+		assert_true(fixture->starts->len - before <= STARTS_A_PASS);
+		assert_int_equal(wwh_scheduler_backlog(fixture->scheduler,
+						       SCHED_FIXTURE_POOL),
+				 BACKLOG_TASKS - fixture->starts->len);
+		before = fixture->starts->len;
 	}
 }
 
 /* Guards against lasting tasks that wait behind a backlog of others. */
 void lasting_tasks_go_before_a_backlog(void **state)
 {
-	rig_t *rig = *state;
-	wwh_job_t *job = rig_job(JOB_A, 1, SMALL_MILLICORES);
+	sched_fixture_t *fixture = *state;
+	wwh_job_t *job = sched_fixture_job(JOB_A, 1, SMALL_MILLICORES);
 	int64_t record;
 
-	submit_backlog(rig);
+	submit_backlog(fixture);
 	job->steps[0].lasting = true;
-	(void)wwh_scheduler_submit(rig->scheduler, job, rig->now_ms, &record);
-	rig_durable(rig);
-	rig_run(rig, 5);
-	assert_int_equal(starts_of(rig, JOB_A), 1);
+	(void)wwh_scheduler_submit(fixture->scheduler, job, fixture->now_ms,
+				   &record);
+	sched_fixture_make_durable(fixture);
+	sched_fixture_run(fixture, 5);
+	assert_int_equal(starts_of(fixture, JOB_A), 1);
 }
 
 /* Guards against a pool whose backlog takes all starts of a pass. */
 void pools_share_the_starts_of_a_pass(void **state)
 {
-	rig_t *rig = *state;
+	sched_fixture_t *fixture = *state;
 	char *labels[] = { NULL };
 	wwh_upstream_info_t info = {
 		.id = (char *)"l1",
@@ -90,44 +93,52 @@
 		.labels = labels,
 		.size = { 8000, 16000, 2 },
 	};
-	wwh_job_t *job = rig_job(JOB_B, 1, SMALL_MILLICORES);
+	wwh_job_t *job = sched_fixture_job(JOB_B, 1, SMALL_MILLICORES);
 	int64_t record;
 
-	wwh_scheduler_upstream_announced(rig->scheduler, &info, rig->now_ms);
-	rig_run(rig, 1);
-	rig_answer_poll(rig, "l1", NULL, 0, NULL, 0);
-	rig_run(rig, 1);
-	rig_durable(rig);
-	submit_backlog(rig);
+	wwh_scheduler_upstream_announced(fixture->scheduler, &info,
+					 fixture->now_ms);
+	sched_fixture_run(fixture, 1);
+	sched_fixture_answer_poll(fixture, "l1", NULL, 0, NULL, 0);
+	sched_fixture_run(fixture, 1);
+	sched_fixture_make_durable(fixture);
+	submit_backlog(fixture);
 	g_free(job->queue.pool);
 	job->queue.pool = g_strdup(OTHER_POOL);
-	(void)wwh_scheduler_submit(rig->scheduler, job, rig->now_ms, &record);
-	rig_durable(rig);
-	rig_run(rig, 5);
-	assert_int_equal(starts_of(rig, JOB_B), 1);
-	assert_true(wwh_scheduler_backlog(rig->scheduler, RIG_POOL) > 0);
-	assert_int_equal(wwh_scheduler_backlog(rig->scheduler, OTHER_POOL), 0);
+	(void)wwh_scheduler_submit(fixture->scheduler, job, fixture->now_ms,
+				   &record);
+	sched_fixture_make_durable(fixture);
+	sched_fixture_run(fixture, 5);
+	assert_int_equal(starts_of(fixture, JOB_B), 1);
+	assert_true(wwh_scheduler_backlog(fixture->scheduler,
+					  SCHED_FIXTURE_POOL) > 0);
+	assert_int_equal(wwh_scheduler_backlog(fixture->scheduler, OTHER_POOL),
+			 0);
 }
 
 /* Guards against jobs that are accepted by a holder which takes long to recover. */
 void a_recovery_takes_as_long_as_its_upstreams_answer(void **state)
 {
-	rig_t *rig = *state;
+	sched_fixture_t *fixture = *state;
 
-	assert_int_equal(wwh_scheduler_recovery_ms(rig->scheduler, rig->now_ms),
-			 0);
-	rig_take_over(rig);
-	rig_announce(rig, "u1", AT_1, false);
-	rig_announce(rig, "u2", AT_2, false);
-	rig_announce(rig, "u3", AT_3, false);
-	rig_run(rig, 100);
-	rig_answer_poll(rig, "u1", NULL, 0, NULL, 0);
-	assert_int_equal(wwh_scheduler_recovery_ms(rig->scheduler, rig->now_ms),
-			 200);
-	rig_answer_poll(rig, "u2", NULL, 0, NULL, 0);
-	assert_int_equal(wwh_scheduler_recovery_ms(rig->scheduler, rig->now_ms),
-			 50);
-	rig_answer_poll(rig, "u3", NULL, 0, NULL, 0);
-	assert_int_equal(wwh_scheduler_recovery_ms(rig->scheduler, rig->now_ms),
-			 0);
+	assert_int_equal(
+		wwh_scheduler_recovery_ms(fixture->scheduler, fixture->now_ms),
+		0);
+	sched_fixture_take_over(fixture);
+	sched_fixture_announce(fixture, "u1", ENDPOINT_1, false);
+	sched_fixture_announce(fixture, "u2", ENDPOINT_2, false);
+	sched_fixture_announce(fixture, "u3", ENDPOINT_3, false);
+	sched_fixture_run(fixture, 100);
+	sched_fixture_answer_poll(fixture, "u1", NULL, 0, NULL, 0);
+	assert_int_equal(
+		wwh_scheduler_recovery_ms(fixture->scheduler, fixture->now_ms),
+		200);
+	sched_fixture_answer_poll(fixture, "u2", NULL, 0, NULL, 0);
+	assert_int_equal(
+		wwh_scheduler_recovery_ms(fixture->scheduler, fixture->now_ms),
+		50);
+	sched_fixture_answer_poll(fixture, "u3", NULL, 0, NULL, 0);
+	assert_int_equal(
+		wwh_scheduler_recovery_ms(fixture->scheduler, fixture->now_ms),
+		0);
 }
--- a/src/test_scheduler/test_damage.c
+++ b/src/test_scheduler/test_damage.c
@@ -6,40 +6,43 @@
 #include "test_scheduler.h"
 
 /* A job of one task of 4 s, which runs at some upstream. */
-static rig_order_t start_one(rig_t *rig)
+static sched_fixture_order_t start_one(sched_fixture_t *fixture)
 {
-	rig_order_t order;
+	sched_fixture_order_t order;
 
-	rig_submit(rig, rig_job(JOB_A, 1, 4000));
-	assert_int_equal(rig->starts->len, 1);
-	order = *rig_order(rig->starts, 0);
-	rig_start_ended(rig, &order, WWH_ORDER_DONE);
-	rig_durable(rig);
+	sched_fixture_submit(fixture, sched_fixture_job(JOB_A, 1, 4000));
+	assert_int_equal(fixture->starts->len, 1);
+	order = *sched_fixture_order(fixture->starts, 0);
+	sched_fixture_handle_start_result(fixture, &order, WWH_ORDER_DONE);
+	sched_fixture_make_durable(fixture);
 	return order;
 }
 
-static const char *other_of(const rig_order_t *order)
+static const char *other_of(const sched_fixture_order_t *order)
 {
 	return strcmp(order->upstream, "u1") == 0 ? "u2" : "u1";
 }
 
-static const char *endpoint_of(const rig_order_t *order)
+static const char *endpoint_of(const sched_fixture_order_t *order)
 {
-	return strcmp(order->upstream, "u1") == 0 ? AT_1 : AT_2;
+	return strcmp(order->upstream, "u1") == 0 ? ENDPOINT_1 : ENDPOINT_2;
 }
 
 /* The other upstream answers, and says that nothing runs there. */
-static void take_over_with_the_other(rig_t *rig, const rig_order_t *order)
+static void take_over_with_the_other(sched_fixture_t *fixture,
+				     const sched_fixture_order_t *order)
 {
 	const char *other = other_of(order);
 
-	rig_take_over(rig);
-	rig_announce(rig, other, strcmp(other, "u1") == 0 ? AT_1 : AT_2, false);
-	rig_run(rig, 1);
-	rig_answer_poll(rig, other, NULL, 0, NULL, 0);
-	rig_durable(rig);
-	rig_run(rig, 1);
-	rig_run(rig, 1000);
+	sched_fixture_take_over(fixture);
+	sched_fixture_announce(
+		fixture, other,
+		strcmp(other, "u1") == 0 ? ENDPOINT_1 : ENDPOINT_2, false);
+	sched_fixture_run(fixture, 1);
+	sched_fixture_answer_poll(fixture, other, NULL, 0, NULL, 0);
+	sched_fixture_make_durable(fixture);
+	sched_fixture_run(fixture, 1);
+	sched_fixture_run(fixture, 1000);
 }
 
 /*
@@ -49,23 +52,25 @@
  */
 void an_upstream_whose_record_is_lost_is_asked_first(void **state)
 {
-	rig_t *rig = *state;
-	rig_order_t order = start_one(rig);
+	sched_fixture_t *fixture = *state;
+	sched_fixture_order_t order = start_one(fixture);
 	char *key = g_strconcat("U", order.upstream, NULL);
-	wwh_running_t row = rig_running(&order, 50);
+	wwh_running_task_t row = sched_fixture_running_row(&order, 50);
 
-	rig_damage(rig, key);
-	take_over_with_the_other(rig, &order);
-	assert_int_equal(rig->starts->len, 1);
-	rig_announce(rig, order.upstream, endpoint_of(&order), false);
-	rig_run(rig, 1);
-	assert_int_equal(rig->starts->len, 1);
-	rig_answer_poll(rig, order.upstream, &row, 1, NULL, 0);
-	rig_run(rig, 1);
-	assert_int_equal(rig->starts->len, 1);
-	assert_int_equal(rig->stops->len, 0);
-	assert_int_equal(wwh_scheduler_counts(rig->scheduler).tasks_out, 1);
-	assert_int_equal(wwh_scheduler_counts(rig->scheduler).unsettled, 0);
+	rig_damage(fixture, key);
+	take_over_with_the_other(fixture, &order);
+	assert_int_equal(fixture->starts->len, 1);
+	sched_fixture_announce(fixture, order.upstream, endpoint_of(&order),
+			       false);
+	sched_fixture_run(fixture, 1);
+	assert_int_equal(fixture->starts->len, 1);
+	sched_fixture_answer_poll(fixture, order.upstream, &row, 1, NULL, 0);
+	sched_fixture_run(fixture, 1);
+	assert_int_equal(fixture->starts->len, 1);
+	assert_int_equal(fixture->stops->len, 0);
+	assert_int_equal(
+		wwh_scheduler_counts(fixture->scheduler).tasks_outstanding, 1);
+	assert_int_equal(wwh_scheduler_counts(fixture->scheduler).unsettled, 0);
 	g_free(key);
 }
 
@@ -75,24 +80,25 @@
  */
 void an_upstream_whose_record_is_lost_is_waited_for(void **state)
 {
-	rig_t *rig = *state;
-	rig_order_t order = start_one(rig);
+	sched_fixture_t *fixture = *state;
+	sched_fixture_order_t order = start_one(fixture);
 	char *key = g_strconcat("U", order.upstream, NULL);
 	const char *other = other_of(&order);
 
-	rig_damage(rig, key);
-	take_over_with_the_other(rig, &order);
-	assert_int_equal(rig->starts->len, 1);
+	rig_damage(fixture, key);
+	take_over_with_the_other(fixture, &order);
+	assert_int_equal(fixture->starts->len, 1);
 	for (int32_t i = 0; i < 14; i++) {
-		rig_run(rig, 1000);
-		if (rig->polls->len > 0)
-			rig_answer_poll(rig, other, NULL, 0, NULL, 0);
+		sched_fixture_run(fixture, 1000);
+		if (fixture->polls->len > 0)
+			sched_fixture_answer_poll(fixture, other, NULL, 0, NULL,
+						  0);
 		if (i < 8)
-			assert_int_equal(rig->starts->len, 1);
+			assert_int_equal(fixture->starts->len, 1);
 	}
-	assert_int_equal(rig->starts->len, 2);
-	rig_durable(rig);
-	assert_false(g_hash_table_contains(rig->records, key));
+	assert_int_equal(fixture->starts->len, 2);
+	sched_fixture_make_durable(fixture);
+	assert_false(g_hash_table_contains(fixture->records, key));
 	g_free(key);
 }
 
@@ -103,20 +109,20 @@
  */
 void a_job_whose_record_is_lost_is_left_as_it_is(void **state)
 {
-	rig_t *rig = *state;
-	rig_order_t order = start_one(rig);
-	wwh_running_t row = rig_running(&order, 50);
+	sched_fixture_t *fixture = *state;
+	sched_fixture_order_t order = start_one(fixture);
+	wwh_running_task_t row = sched_fixture_running_row(&order, 50);
 
-	rig_damage(rig, "J" JOB_A);
-	rig_take_over(rig);
-	rig_announce(rig, "u1", AT_1, false);
-	rig_run(rig, 1);
-	rig_answer_poll(rig, "u1", &row, 1, NULL, 0);
-	rig_run(rig, 2000);
-	rig_answer_poll(rig, "u1", &row, 1, NULL, 0);
-	rig_run(rig, 1);
-	assert_int_equal(rig->starts->len, 1);
-	assert_int_equal(rig->stops->len, 0);
+	rig_damage(fixture, "J" JOB_A);
+	sched_fixture_take_over(fixture);
+	sched_fixture_announce(fixture, "u1", ENDPOINT_1, false);
+	sched_fixture_run(fixture, 1);
+	sched_fixture_answer_poll(fixture, "u1", &row, 1, NULL, 0);
+	sched_fixture_run(fixture, 2000);
+	sched_fixture_answer_poll(fixture, "u1", &row, 1, NULL, 0);
+	sched_fixture_run(fixture, 1);
+	assert_int_equal(fixture->starts->len, 1);
+	assert_int_equal(fixture->stops->len, 0);
 }
 
 /*
@@ -125,26 +131,26 @@
  */
 void a_job_whose_progress_is_lost_starts_nothing(void **state)
 {
-	rig_t *rig = *state;
-	rig_order_t order;
-	wwh_ended_t end;
+	sched_fixture_t *fixture = *state;
+	sched_fixture_order_t order;
+	wwh_ended_task_t end;
 
-	rig_submit(rig, rig_job(JOB_A, 2, 5000));
-	order = *rig_order(rig->starts, 0);
-	rig_start_ended(rig, &order, WWH_ORDER_DONE);
-	rig_run(rig, 100);
-	end = rig_ended(&order, 1, WWH_END_DONE);
-	rig_answer_poll(rig, "u1", NULL, 0, &end, 1);
-	rig_durable(rig);
-	rig_damage(rig, "P" JOB_A);
-	rig_take_over(rig);
-	g_array_set_size(rig->starts, 0);
-	rig_announce(rig, "u1", AT_1, false);
-	rig_run(rig, 1);
-	rig_answer_poll(rig, "u1", NULL, 0, NULL, 0);
-	rig_durable(rig);
-	rig_run(rig, 1);
-	rig_run(rig, 1000);
-	assert_int_equal(rig->starts->len, 0);
-	assert_true(g_hash_table_contains(rig->records, "J" JOB_A));
+	sched_fixture_submit(fixture, sched_fixture_job(JOB_A, 2, 5000));
+	order = *sched_fixture_order(fixture->starts, 0);
+	sched_fixture_handle_start_result(fixture, &order, WWH_ORDER_DONE);
+	sched_fixture_run(fixture, 100);
+	end = sched_fixture_ended_row(&order, 1, WWH_END_DONE);
+	sched_fixture_answer_poll(fixture, "u1", NULL, 0, &end, 1);
+	sched_fixture_make_durable(fixture);
+	rig_damage(fixture, "P" JOB_A);
+	sched_fixture_take_over(fixture);
+	g_array_set_size(fixture->starts, 0);
+	sched_fixture_announce(fixture, "u1", ENDPOINT_1, false);
+	sched_fixture_run(fixture, 1);
+	sched_fixture_answer_poll(fixture, "u1", NULL, 0, NULL, 0);
+	sched_fixture_make_durable(fixture);
+	sched_fixture_run(fixture, 1);
+	sched_fixture_run(fixture, 1000);
+	assert_int_equal(fixture->starts->len, 0);
+	assert_true(g_hash_table_contains(fixture->records, "J" JOB_A));
 }
--- a/src/test_scheduler/test_final_reports.c
+++ b/src/test_scheduler/test_final_reports.c
@@ -9,15 +9,15 @@
  * Starts one task. A poll is in flight at its upstream, and the other upstream
  * has room for the task as well.
  */
-static rig_order_t start_one_task(rig_t *rig)
+static sched_fixture_order_t start_one_task(sched_fixture_t *fixture)
 {
-	rig_order_t order;
+	sched_fixture_order_t order;
 
-	rig_submit(rig, rig_job(JOB_A, 1, 1000));
-	order = *rig_order(rig->starts, 0);
-	rig_start_ended(rig, &order, WWH_ORDER_DONE);
-	rig_run(rig, 100);
-	(void)rig_poll_of(rig, order.upstream);
+	sched_fixture_submit(fixture, sched_fixture_job(JOB_A, 1, 1000));
+	order = *sched_fixture_order(fixture->starts, 0);
+	sched_fixture_handle_start_result(fixture, &order, WWH_ORDER_DONE);
+	sched_fixture_run(fixture, 100);
+	(void)sched_fixture_newest_poll(fixture, order.upstream);
 	return order;
 }
 
@@ -29,19 +29,20 @@
  */
 void an_end_read_after_the_host_list_counts(void **state)
 {
-	rig_t *rig = *state;
-	rig_order_t order = start_one_task(rig);
-	wwh_ended_t ended = rig_ended(&order, 1, WWH_END_DONE);
+	sched_fixture_t *fixture = *state;
+	sched_fixture_order_t order = start_one_task(fixture);
+	wwh_ended_task_t ended =
+		sched_fixture_ended_row(&order, 1, WWH_END_DONE);
 
-	wwh_scheduler_upstream_terminated(rig->scheduler, order.upstream,
-					  "upkeep", rig->now_ms);
-	rig_run(rig, 20);
-	assert_int_equal(rig->starts->len, 1);
-	rig_answer_poll(rig, order.upstream, NULL, 0, &ended, 1);
-	rig_run(rig, 1000);
-	assert_int_equal(rig->starts->len, 1);
-	rig_durable(rig);
-	assert_int_equal(wwh_scheduler_job_state(rig->scheduler, JOB_A),
+	wwh_scheduler_upstream_terminated(fixture->scheduler, order.upstream,
+					  "upkeep", fixture->now_ms);
+	sched_fixture_run(fixture, 20);
+	assert_int_equal(fixture->starts->len, 1);
+	sched_fixture_answer_poll(fixture, order.upstream, NULL, 0, &ended, 1);
+	sched_fixture_run(fixture, 1000);
+	assert_int_equal(fixture->starts->len, 1);
+	sched_fixture_make_durable(fixture);
+	assert_int_equal(wwh_scheduler_job_state(fixture->scheduler, JOB_A),
 			 WWH_PROGRESS_COMPLETED);
 }
 
@@ -52,45 +53,47 @@
  */
 void an_inherited_end_read_after_the_host_list_counts(void **state)
 {
-	rig_t *rig = *state;
-	rig_order_t order = start_one_task(rig);
-	wwh_ended_t ended = rig_ended(&order, 1, WWH_END_DONE);
+	sched_fixture_t *fixture = *state;
+	sched_fixture_order_t order = start_one_task(fixture);
+	wwh_ended_task_t ended =
+		sched_fixture_ended_row(&order, 1, WWH_END_DONE);
 	const char *other = strcmp(order.upstream, "u1") == 0 ? "u2" : "u1";
 	GHashTable *incarnations = g_hash_table_new(g_str_hash, g_str_equal);
 
-	rig_take_over(rig);
-	rig_run(rig, 20);
-	rig_announce(rig, other, AT_2, false);
-	rig_answer_poll(rig, other, NULL, 0, NULL, 0);
+	sched_fixture_take_over(fixture);
+	sched_fixture_run(fixture, 20);
+	sched_fixture_announce(fixture, other, ENDPOINT_2, false);
+	sched_fixture_answer_poll(fixture, other, NULL, 0, NULL, 0);
 	g_hash_table_add(incarnations, (gpointer)other);
-	wwh_scheduler_incarnations_requested(rig->scheduler);
-	wwh_scheduler_incarnations_listed(rig->scheduler, incarnations,
-					  rig->now_ms);
+	wwh_scheduler_incarnations_requested(fixture->scheduler);
+	wwh_scheduler_incarnations_listed(fixture->scheduler, incarnations,
+					  fixture->now_ms);
 	g_hash_table_destroy(incarnations);
-	rig_run(rig, 20);
-	rig_durable(rig);
-	rig_run(rig, 20);
-	assert_int_equal(rig->starts->len, 1);
-	rig_answer_poll(rig, order.upstream, NULL, 0, &ended, 1);
-	rig_run(rig, 1000);
-	rig_durable(rig);
-	assert_int_equal(rig->starts->len, 1);
-	assert_int_equal(wwh_scheduler_job_state(rig->scheduler, JOB_A),
+	sched_fixture_run(fixture, 20);
+	sched_fixture_make_durable(fixture);
+	sched_fixture_run(fixture, 20);
+	assert_int_equal(fixture->starts->len, 1);
+	sched_fixture_answer_poll(fixture, order.upstream, NULL, 0, &ended, 1);
+	sched_fixture_run(fixture, 1000);
+	sched_fixture_make_durable(fixture);
+	assert_int_equal(fixture->starts->len, 1);
+	assert_int_equal(wwh_scheduler_job_state(fixture->scheduler, JOB_A),
 			 WWH_PROGRESS_COMPLETED);
 }
 
 /* The poll may never be answered, and the task waits meanwhile. */
 void a_final_report_is_awaited_for_a_limited_time(void **state)
 {
-	rig_t *rig = *state;
-	rig_order_t order = start_one_task(rig);
+	sched_fixture_t *fixture = *state;
+	sched_fixture_order_t order = start_one_task(fixture);
 
-	wwh_scheduler_upstream_terminated(rig->scheduler, order.upstream,
-					  "upkeep", rig->now_ms);
-	rig_run(rig, 200);
-	assert_int_equal(rig->starts->len, 2);
-	assert_string_not_equal(rig_order(rig->starts, 1)->upstream,
-				order.upstream);
+	wwh_scheduler_upstream_terminated(fixture->scheduler, order.upstream,
+					  "upkeep", fixture->now_ms);
+	sched_fixture_run(fixture, 200);
+	assert_int_equal(fixture->starts->len, 2);
+	assert_string_not_equal(
+		sched_fixture_order(fixture->starts, 1)->upstream,
+		order.upstream);
 }
 
 /*
@@ -101,40 +104,41 @@
  */
 void an_upstream_record_is_deleted_after_its_ends_are_written(void **state)
 {
-	rig_t *rig = *state;
-	rig_order_t order = start_one_task(rig);
-	wwh_ended_t ended = rig_ended(&order, 1, WWH_END_DONE);
+	sched_fixture_t *fixture = *state;
+	sched_fixture_order_t order = start_one_task(fixture);
+	wwh_ended_task_t ended =
+		sched_fixture_ended_row(&order, 1, WWH_END_DONE);
 	const char *other = strcmp(order.upstream, "u1") == 0 ? "u2" : "u1";
 
-	rig_answer_poll(rig, order.upstream, NULL, 0, &ended, 1);
-	wwh_scheduler_upstream_terminated(rig->scheduler, order.upstream,
-					  "upkeep", rig->now_ms);
-	rig_run(rig, 20);
-	rig_take_over(rig);
-	rig_run(rig, 20);
-	rig_answer_poll(rig, other, NULL, 0, NULL, 0);
-	rig_announce(rig, other, AT_2, false);
-	rig_run(rig, 20);
-	rig_durable(rig);
-	rig_run(rig, 20);
-	assert_int_equal(rig->starts->len, 1);
-	assert_int_equal(wwh_scheduler_job_state(rig->scheduler, JOB_A),
+	sched_fixture_answer_poll(fixture, order.upstream, NULL, 0, &ended, 1);
+	wwh_scheduler_upstream_terminated(fixture->scheduler, order.upstream,
+					  "upkeep", fixture->now_ms);
+	sched_fixture_run(fixture, 20);
+	sched_fixture_take_over(fixture);
+	sched_fixture_run(fixture, 20);
+	sched_fixture_answer_poll(fixture, other, NULL, 0, NULL, 0);
+	sched_fixture_announce(fixture, other, ENDPOINT_2, false);
+	sched_fixture_run(fixture, 20);
+	sched_fixture_make_durable(fixture);
+	sched_fixture_run(fixture, 20);
+	assert_int_equal(fixture->starts->len, 1);
+	assert_int_equal(wwh_scheduler_job_state(fixture->scheduler, JOB_A),
 			 WWH_PROGRESS_COMPLETED);
 }
 
 void a_terminated_upstream_is_removed_when_its_poll_fails(void **state)
 {
-	rig_t *rig = *state;
-	rig_order_t order = start_one_task(rig);
+	sched_fixture_t *fixture = *state;
+	sched_fixture_order_t order = start_one_task(fixture);
 
-	wwh_scheduler_upstream_terminated(rig->scheduler, order.upstream,
-					  "upkeep", rig->now_ms);
-	rig_run(rig, 1);
-	(void)rig_take_poll(rig, order.upstream);
-	wwh_scheduler_handle_poll_failure(rig->scheduler, order.upstream, false,
-					  rig->now_ms);
-	rig_run(rig, 1);
-	assert_int_equal(rig->starts->len, 2);
+	wwh_scheduler_upstream_terminated(fixture->scheduler, order.upstream,
+					  "upkeep", fixture->now_ms);
+	sched_fixture_run(fixture, 1);
+	(void)sched_fixture_pop_poll(fixture, order.upstream);
+	wwh_scheduler_handle_poll_failure(fixture->scheduler, order.upstream,
+					  false, fixture->now_ms);
+	sched_fixture_run(fixture, 1);
+	assert_int_equal(fixture->starts->len, 2);
 }
 
 /*
@@ -144,26 +148,29 @@
  */
 void a_lost_first_answer_is_polled_for_again_soon(void **state)
 {
-	rig_t *rig = *state;
-	rig_order_t order = start_one_task(rig);
+	sched_fixture_t *fixture = *state;
+	sched_fixture_order_t order = start_one_task(fixture);
 	int64_t total_limit_ms = 0;
-	rig_poll_t poll;
+	sched_fixture_poll_t poll;
 
-	rig_take_over(rig);
-	rig_run(rig, 1);
+	sched_fixture_take_over(fixture);
+	sched_fixture_run(fixture, 1);
 	for (int32_t i = 0; i < 5; i++) {
-		poll = rig_take_poll(rig, order.upstream);
+		poll = sched_fixture_pop_poll(fixture, order.upstream);
 		total_limit_ms += poll.limit_ms;
 		if (i == 0)
 			assert_in_range(poll.limit_ms, 100, 200);
-		rig->now_ms += poll.limit_ms;
-		wwh_scheduler_handle_poll_failure(
-			rig->scheduler, order.upstream, false, rig->now_ms);
-		rig_run(rig, 20);
+		fixture->now_ms += poll.limit_ms;
+		wwh_scheduler_handle_poll_failure(fixture->scheduler,
+						  order.upstream, false,
+						  fixture->now_ms);
+		sched_fixture_run(fixture, 20);
 	}
 	assert_in_range(total_limit_ms, 2000, 3000);
-	rig_announce(rig, order.upstream, AT_1, false);
-	rig_answer_poll(rig, order.upstream, NULL, 0, NULL, 0);
-	rig_run(rig, 100);
-	assert_int_equal(rig_poll_of(rig, order.upstream).limit_ms, 700);
+	sched_fixture_announce(fixture, order.upstream, ENDPOINT_1, false);
+	sched_fixture_answer_poll(fixture, order.upstream, NULL, 0, NULL, 0);
+	sched_fixture_run(fixture, 100);
+	assert_int_equal(
+		sched_fixture_newest_poll(fixture, order.upstream).limit_ms,
+		700);
 }
--- a/src/test_scheduler/test_idle.c
+++ b/src/test_scheduler/test_idle.c
@@ -10,7 +10,7 @@
 #define MAX_POLLS_PER_S_MANY 600 /* 500 and a margin for the spread */
 #define MIN_POLLS_PER_S_FEW 19 /* about one per second and upstream */
 
-static void add_upstreams(rig_t *rig, int32_t count)
+static void add_upstreams(sched_fixture_t *fixture, int32_t count)
 {
 	for (int32_t i = 0; i < count; i++) {
 		char id[16];
@@ -19,45 +19,48 @@
 		snprintf(id, sizeof(id), "m%d", i);
 		snprintf(endpoint, sizeof(endpoint), "10.1.%d.%d:1", i / 200,
 			 i % 200);
-		rig_announce(rig, id, endpoint, false);
-		rig_run(rig, 0);
-		rig_answer_poll(rig, id, NULL, 0, NULL, 0);
+		sched_fixture_announce(fixture, id, endpoint, false);
+		sched_fixture_run(fixture, 0);
+		sched_fixture_answer_poll(fixture, id, NULL, 0, NULL, 0);
 	}
-	rig_durable(rig);
+	sched_fixture_make_durable(fixture);
 }
 
 /* Answers the polls whose wait is over; returns their number. */
-static int32_t answer_expired_polls(rig_t *rig)
+static int32_t answer_expired_polls(sched_fixture_t *fixture)
 {
 	int32_t count = 0;
 
-	for (guint i = rig->polls->len; i-- > 0;) {
-		rig_poll_t poll = g_array_index(rig->polls, rig_poll_t, i);
-		wwh_poll_answer_t answer = { .remote_ms = rig->now_ms + 5000,
-					     .ended_in_full = false };
+	for (guint i = fixture->polls->len; i-- > 0;) {
+		sched_fixture_poll_t poll =
+			g_array_index(fixture->polls, sched_fixture_poll_t, i);
+		wwh_poll_answer_t answer = { .remote_ms =
+						     fixture->now_ms + 5000,
+					     .ended_complete = false };
 
-		if (rig->now_ms - poll.sent_ms < poll.wait_ms)
+		if (fixture->now_ms - poll.sent_ms < poll.wait_ms)
 			continue;
-		g_array_remove_index_fast(rig->polls, i);
-		wwh_scheduler_handle_poll_answer(rig->scheduler, poll.upstream,
-						 &answer, poll.sent_ms,
-						 rig->now_ms);
+		g_array_remove_index_fast(fixture->polls, i);
+		wwh_scheduler_handle_poll_answer(fixture->scheduler,
+						 poll.upstream, &answer,
+						 poll.sent_ms, fixture->now_ms);
 		count++;
 	}
 	return count;
 }
 
-static int32_t count_answered_polls(rig_t *rig, int32_t seconds)
+static int32_t count_answered_polls(sched_fixture_t *fixture, int32_t seconds)
 {
 	int32_t count = 0;
 
 	for (int32_t i = 0; i < seconds * SECOND_MS / TICK_MS; i++) {
-		rig->now_ms += TICK_MS;
-		wwh_scheduler_run(rig->scheduler, rig->now_ms,
-				  RIG_WALL_MS + rig->now_ms - 100000);
-		count += answer_expired_polls(rig);
+		fixture->now_ms += TICK_MS;
+		wwh_scheduler_run(fixture->scheduler, fixture->now_ms,
+				  SCHED_FIXTURE_WALL_MS + fixture->now_ms -
+					  100000);
+		count += answer_expired_polls(fixture);
 	}
-	wwh_scheduler_check(rig->scheduler);
+	wwh_scheduler_check(fixture->scheduler);
 	return count;
 }
 
@@ -67,22 +70,22 @@
  */
 void polls_of_many_idle_upstreams_are_rate_limited(void **state)
 {
-	rig_t *rig = *state;
+	sched_fixture_t *fixture = *state;
 
-	add_upstreams(rig, MANY_UPSTREAMS);
-	(void)count_answered_polls(rig, DURATION_S);
-	assert_true(count_answered_polls(rig, DURATION_S) <=
+	add_upstreams(fixture, MANY_UPSTREAMS);
+	(void)count_answered_polls(fixture, DURATION_S);
+	assert_true(count_answered_polls(fixture, DURATION_S) <=
 		    DURATION_S * MAX_POLLS_PER_S_MANY);
 }
 
 /* Guards against late detection of a termination where polls cost little. */
 void few_idle_upstreams_are_polled_continuously(void **state)
 {
-	rig_t *rig = *state;
+	sched_fixture_t *fixture = *state;
 
-	add_upstreams(rig, FEW_UPSTREAMS);
-	(void)count_answered_polls(rig, 1);
-	assert_true(count_answered_polls(rig, DURATION_S) >=
+	add_upstreams(fixture, FEW_UPSTREAMS);
+	(void)count_answered_polls(fixture, 1);
+	assert_true(count_answered_polls(fixture, DURATION_S) >=
 		    DURATION_S * MIN_POLLS_PER_S_FEW);
 }
 
@@ -93,22 +96,24 @@
  */
 void an_idle_upstream_is_used_and_polled_at_once(void **state)
 {
-	rig_t *rig = *state;
+	sched_fixture_t *fixture = *state;
 
-	add_upstreams(rig, MANY_UPSTREAMS);
+	add_upstreams(fixture, MANY_UPSTREAMS);
 	for (int32_t i = 0; i < 20; i++) {
 		char id[WWH_JOB_ID_CHARS + 1];
-		rig_poll_t poll;
+		sched_fixture_poll_t poll;
 
-		(void)count_answered_polls(rig, 1);
+		(void)count_answered_polls(fixture, 1);
 		snprintf(id, sizeof(id), "%016x", i + 1);
-		rig_submit(rig, rig_job(id, 1, 6000));
-		assert_int_equal(rig->starts->len, (guint)i + 1);
-		rig_run(rig, 1);
-		poll = rig_poll_of(rig,
-				   rig_order(rig->starts, (guint)i)->upstream);
-		assert_true(rig->now_ms - poll.sent_ms <= SECOND_MS);
-		rig_start_ended(rig, rig_order(rig->starts, (guint)i),
-				WWH_ORDER_DONE);
+		sched_fixture_submit(fixture, sched_fixture_job(id, 1, 6000));
+		assert_int_equal(fixture->starts->len, (guint)i + 1);
+		sched_fixture_run(fixture, 1);
+		poll = sched_fixture_newest_poll(
+			fixture, sched_fixture_order(fixture->starts, (guint)i)
+					 ->upstream);
+		assert_true(fixture->now_ms - poll.sent_ms <= SECOND_MS);
+		sched_fixture_handle_start_result(
+			fixture, sched_fixture_order(fixture->starts, (guint)i),
+			WWH_ORDER_DONE);
 	}
 }
--- a/src/test_scheduler/test_runs.c
+++ b/src/test_scheduler/test_runs.c
@@ -12,46 +12,50 @@
  */
 void an_unanswered_start_is_settled_before_the_next(void **state)
 {
-	rig_t *rig = *state;
-	rig_order_t order;
+	sched_fixture_t *fixture = *state;
+	sched_fixture_order_t order;
 
-	rig_submit(rig, rig_job(JOB_A, 1, 1000));
-	order = *rig_order(rig->starts, 0);
-	rig_run(rig, 1000);
-	rig_start_ended(rig, &order, WWH_ORDER_UNKNOWN);
+	sched_fixture_submit(fixture, sched_fixture_job(JOB_A, 1, 1000));
+	order = *sched_fixture_order(fixture->starts, 0);
+	sched_fixture_run(fixture, 1000);
+	sched_fixture_handle_start_result(fixture, &order, WWH_ORDER_UNKNOWN);
 	/* a poll that was sent before says nothing */
-	rig_answer_poll(rig, order.upstream, NULL, 0, NULL, 0);
-	rig_run(rig, 500);
-	assert_int_equal(rig->stops->len, 0);
-	rig_answer_poll(rig, order.upstream, NULL, 0, NULL, 0);
-	assert_int_equal(rig->stops->len, 1);
-	rig_run(rig, 500);
-	assert_int_equal(rig->starts->len, 1);
-	wwh_scheduler_stop_ended(rig->scheduler, order.upstream, order.task,
-				 order.run, WWH_ORDER_DONE, rig->now_ms);
+	sched_fixture_answer_poll(fixture, order.upstream, NULL, 0, NULL, 0);
+	sched_fixture_run(fixture, 500);
+	assert_int_equal(fixture->stops->len, 0);
+	sched_fixture_answer_poll(fixture, order.upstream, NULL, 0, NULL, 0);
+	assert_int_equal(fixture->stops->len, 1);
+	sched_fixture_run(fixture, 500);
+	assert_int_equal(fixture->starts->len, 1);
+	wwh_scheduler_handle_stop_result(fixture->scheduler, order.upstream,
+					 order.task, order.run, WWH_ORDER_DONE,
+					 fixture->now_ms);
 	/* this poll was sent before the stop was confirmed */
-	rig_answer_poll(rig, order.upstream, NULL, 0, NULL, 0);
-	rig_run(rig, 500);
-	assert_int_equal(rig->starts->len, 1);
-	rig_answer_poll(rig, order.upstream, NULL, 0, NULL, 0);
-	rig_run(rig, 500);
-	assert_int_equal(rig->starts->len, 2);
-	assert_true(rig_order(rig->starts, 1)->run > order.run);
+	sched_fixture_answer_poll(fixture, order.upstream, NULL, 0, NULL, 0);
+	sched_fixture_run(fixture, 500);
+	assert_int_equal(fixture->starts->len, 1);
+	sched_fixture_answer_poll(fixture, order.upstream, NULL, 0, NULL, 0);
+	sched_fixture_run(fixture, 500);
+	assert_int_equal(fixture->starts->len, 2);
+	assert_true(sched_fixture_order(fixture->starts, 1)->run > order.run);
 }
 
 void an_unanswered_start_that_is_listed_goes_on(void **state)
 {
-	rig_t *rig = *state;
-	wwh_running_t running;
-
-	rig_submit(rig, rig_job(JOB_A, 1, 1000));
-	rig_start_ended(rig, rig_order(rig->starts, 0), WWH_ORDER_UNKNOWN);
-	rig_run(rig, 500);
-	running = rig_running(rig_order(rig->starts, 0), 10);
-	rig_answer_poll(rig, "u1", &running, 1, NULL, 0);
-	rig_run(rig, 5000);
-	assert_int_equal(rig->stops->len, 0);
-	assert_int_equal(rig->starts->len, 1);
+	sched_fixture_t *fixture = *state;
+	wwh_running_task_t running;
+
+	sched_fixture_submit(fixture, sched_fixture_job(JOB_A, 1, 1000));
+	sched_fixture_handle_start_result(
+		fixture, sched_fixture_order(fixture->starts, 0),
+		WWH_ORDER_UNKNOWN);
+	sched_fixture_run(fixture, 500);
+	running = sched_fixture_running_row(
+		sched_fixture_order(fixture->starts, 0), 10);
+	sched_fixture_answer_poll(fixture, "u1", &running, 1, NULL, 0);
+	sched_fixture_run(fixture, 5000);
+	assert_int_equal(fixture->stops->len, 0);
+	assert_int_equal(fixture->starts->len, 1);
 }
 
 /*
@@ -61,24 +65,25 @@
  */
 void a_silent_upstream_keeps_its_tasks_until_its_lease_is_over(void **state)
 {
-	rig_t *rig = *state;
-	rig_order_t order;
+	sched_fixture_t *fixture = *state;
+	sched_fixture_order_t order;
 	int64_t lease_ms;
 	int64_t passed_ms = 0;
 
-	rig_submit(rig, rig_job(JOB_A, 1, 1000));
-	order = *rig_order(rig->starts, 0);
-	rig_start_ended(rig, &order, WWH_ORDER_DONE);
-	rig_add_upstream(rig, "u2", AT_2);
-	lease_ms = order.lease_until_remote_ms - (rig->now_ms + 5000);
-	while (rig->starts->len < 2) {
-		rig_run(rig, 50);
+	sched_fixture_submit(fixture, sched_fixture_job(JOB_A, 1, 1000));
+	order = *sched_fixture_order(fixture->starts, 0);
+	sched_fixture_handle_start_result(fixture, &order, WWH_ORDER_DONE);
+	sched_fixture_add_upstream(fixture, "u2", ENDPOINT_2);
+	lease_ms = order.lease_until_remote_ms - (fixture->now_ms + 5000);
+	while (fixture->starts->len < 2) {
+		sched_fixture_run(fixture, 50);
 		passed_ms += 50;
-		answer_all_but(rig, "u1");
+		answer_all_but(fixture, "u1");
 		assert_true(passed_ms < 2 * lease_ms);
 	}
 	assert_true(passed_ms >= lease_ms * 100 / 98);
-	assert_string_equal(rig_order(rig->starts, 1)->upstream, "u2");
+	assert_string_equal(sched_fixture_order(fixture->starts, 1)->upstream,
+			    "u2");
 }
 
 /*
@@ -87,31 +92,33 @@
  */
 void a_new_holder_asks_each_upstream_before_it_starts(void **state)
 {
-	rig_t *rig = *state;
-	wwh_running_t running;
-	rig_order_t order;
-
-	rig_submit(rig, rig_job(JOB_A, 1, 1000));
-	order = *rig_order(rig->starts, 0);
-	rig_take_over(rig);
-	rig_add_upstream(rig, "u2", AT_2);
-	rig_run(rig, 100);
-	assert_int_equal(rig->starts->len, 1);
-	running = rig_running(&order, 40);
-	rig_answer_poll(rig, "u1", &running, 1, NULL, 0);
-	rig_run(rig, 1000);
-	assert_int_equal(rig->starts->len, 1);
-	assert_int_equal(rig->stops->len, 0);
-	assert_int_equal(wwh_scheduler_counts(rig->scheduler).tasks_out, 1);
+	sched_fixture_t *fixture = *state;
+	wwh_running_task_t running;
+	sched_fixture_order_t order;
+
+	sched_fixture_submit(fixture, sched_fixture_job(JOB_A, 1, 1000));
+	order = *sched_fixture_order(fixture->starts, 0);
+	sched_fixture_take_over(fixture);
+	sched_fixture_add_upstream(fixture, "u2", ENDPOINT_2);
+	sched_fixture_run(fixture, 100);
+	assert_int_equal(fixture->starts->len, 1);
+	running = sched_fixture_running_row(&order, 40);
+	sched_fixture_answer_poll(fixture, "u1", &running, 1, NULL, 0);
+	sched_fixture_run(fixture, 1000);
+	assert_int_equal(fixture->starts->len, 1);
+	assert_int_equal(fixture->stops->len, 0);
+	assert_int_equal(
+		wwh_scheduler_counts(fixture->scheduler).tasks_outstanding, 1);
 }
 
 /* The record of upstream id, as a version wrote it that kept no lease. */
-static void forget_kept_lease(rig_t *rig, const char *id, const char *endpoint)
+static void forget_kept_lease(sched_fixture_t *fixture, const char *id,
+			      const char *endpoint)
 {
 	const uint8_t two_fields = 0x92;
 	const uint8_t short_string = 0xa0;
 	GByteArray *value = g_byte_array_new();
-	const char *texts[] = { endpoint, RIG_POOL };
+	const char *texts[] = { endpoint, SCHED_FIXTURE_POOL };
 
 	g_byte_array_append(value, &two_fields, 1);
 	for (size_t i = 0; i < G_N_ELEMENTS(texts); i++) {
@@ -121,7 +128,7 @@
 		g_byte_array_append(value, (const uint8_t *)texts[i],
 				    (guint)strlen(texts[i]));
 	}
-	g_hash_table_replace(rig->records, g_strconcat("U", id, NULL),
+	g_hash_table_replace(fixture->records, g_strconcat("U", id, NULL),
 			     g_byte_array_free_to_bytes(value));
 }
 
@@ -129,19 +136,19 @@
  * How long a new holder waits for an upstream that never answers it, and of
  * which it isn't known what was asked for.
  */
-static int64_t silence_ms(rig_t *rig, int64_t lease_max_ms)
+static int64_t silence_ms(sched_fixture_t *fixture, int64_t lease_max_ms)
 {
 	int64_t passed_ms = 0;
 
-	rig->options.lease_max_ms = lease_max_ms;
-	rig_submit(rig, rig_job(JOB_A, 1, 1000));
-	forget_kept_lease(rig, "u1", AT_1);
-	rig_take_over(rig);
-	rig_add_upstream(rig, "u2", AT_2);
-	while (rig->starts->len < 2 && passed_ms < 4 * lease_max_ms) {
-		rig_run(rig, 50);
+	fixture->options.lease_max_ms = lease_max_ms;
+	sched_fixture_submit(fixture, sched_fixture_job(JOB_A, 1, 1000));
+	forget_kept_lease(fixture, "u1", ENDPOINT_1);
+	sched_fixture_take_over(fixture);
+	sched_fixture_add_upstream(fixture, "u2", ENDPOINT_2);
+	while (fixture->starts->len < 2 && passed_ms < 4 * lease_max_ms) {
+		sched_fixture_run(fixture, 50);
 		passed_ms += 50;
-		answer_all_but(rig, "u1");
+		answer_all_but(fixture, "u1");
 	}
 	return passed_ms;
 }
@@ -167,36 +174,37 @@
 /* A longer one would be cut short, and the holder would count on it. */
 void no_lease_is_asked_for_beyond_the_longest(void **state)
 {
-	rig_t *rig = *state;
-	const rig_order_t *order;
-
-	rig->options.lease_max_ms = 3000;
-	rig_take_over(rig);
-	rig_announce(rig, "u1", AT_1, false);
-	rig_run(rig, 100);
-	rig_answer_poll(rig, "u1", NULL, 0, NULL, 0);
-	rig_submit(rig, rig_job(JOB_A, 1, 1000));
-	assert_int_equal(rig->starts->len, 1);
-	order = rig_order(rig->starts, 0);
-	assert_true(order->lease_until_remote_ms - (rig->now_ms + 5000) <=
+	sched_fixture_t *fixture = *state;
+	const sched_fixture_order_t *order;
+
+	fixture->options.lease_max_ms = 3000;
+	sched_fixture_take_over(fixture);
+	sched_fixture_announce(fixture, "u1", ENDPOINT_1, false);
+	sched_fixture_run(fixture, 100);
+	sched_fixture_answer_poll(fixture, "u1", NULL, 0, NULL, 0);
+	sched_fixture_submit(fixture, sched_fixture_job(JOB_A, 1, 1000));
+	assert_int_equal(fixture->starts->len, 1);
+	order = sched_fixture_order(fixture->starts, 0);
+	assert_true(order->lease_until_remote_ms - (fixture->now_ms + 5000) <=
 		    3000);
-	assert_true(order->lease_until_remote_ms - (rig->now_ms + 5000) > 0);
+	assert_true(order->lease_until_remote_ms - (fixture->now_ms + 5000) >
+		    0);
 }
 
 void a_new_holder_goes_on_when_all_upstreams_have_answered(void **state)
 {
-	rig_t *rig = *state;
-
-	rig_submit(rig, rig_job(JOB_A, 1, 1000));
-	rig_take_over(rig);
-	rig_announce(rig, "u1", AT_1, false);
-	rig_run(rig, 100);
-	assert_int_equal(rig->starts->len, 1);
-	rig_answer_poll(rig, "u1", NULL, 0, NULL, 0);
-	rig_run(rig, 100);
-	assert_int_equal(rig->starts->len, 2);
-	assert_true(rig_order(rig->starts, 1)->run >
-		    rig_order(rig->starts, 0)->run);
+	sched_fixture_t *fixture = *state;
+
+	sched_fixture_submit(fixture, sched_fixture_job(JOB_A, 1, 1000));
+	sched_fixture_take_over(fixture);
+	sched_fixture_announce(fixture, "u1", ENDPOINT_1, false);
+	sched_fixture_run(fixture, 100);
+	assert_int_equal(fixture->starts->len, 1);
+	sched_fixture_answer_poll(fixture, "u1", NULL, 0, NULL, 0);
+	sched_fixture_run(fixture, 100);
+	assert_int_equal(fixture->starts->len, 2);
+	assert_true(sched_fixture_order(fixture->starts, 1)->run >
+		    sched_fixture_order(fixture->starts, 0)->run);
 }
 
 /* A lasting task is away no longer than this while its pool has room. */
@@ -206,33 +214,34 @@
 #define SHORT_LEASE_MS 4500
 
 /* A job with one lasting task; its only run was stopped where it ran. */
-static void stop_lasting_task(rig_t *rig)
+static void stop_lasting_task(sched_fixture_t *fixture)
 {
-	wwh_job_t *job = rig_job(JOB_A, 1, 1000);
-	rig_order_t order;
-	wwh_ended_t ended;
+	wwh_job_t *job = sched_fixture_job(JOB_A, 1, 1000);
+	sched_fixture_order_t order;
+	wwh_ended_task_t ended;
 
 	job->steps[0].lasting = true;
-	rig_submit(rig, job);
-	order = *rig_order(rig->starts, 0);
-	rig_start_ended(rig, &order, WWH_ORDER_DONE);
-	rig_run(rig, 500);
-	ended = rig_ended(&order, 1, WWH_END_STOPPED);
-	rig_answer_poll(rig, order.upstream, NULL, 0, &ended, 1);
-	rig_durable(rig);
+	sched_fixture_submit(fixture, job);
+	order = *sched_fixture_order(fixture->starts, 0);
+	sched_fixture_handle_start_result(fixture, &order, WWH_ORDER_DONE);
+	sched_fixture_run(fixture, 500);
+	ended = sched_fixture_ended_row(&order, 1, WWH_END_STOPPED);
+	sched_fixture_answer_poll(fixture, order.upstream, NULL, 0, &ended, 1);
+	sched_fixture_make_durable(fixture);
 }
 
 /* Runs until another start is ordered; returns how long that took. */
-static int64_t run_until_next_start(rig_t *rig, const char *silent)
+static int64_t run_until_next_start(sched_fixture_t *fixture,
+				    const char *silent)
 {
-	guint before = rig->starts->len;
+	guint before = fixture->starts->len;
 	int64_t passed_ms = 0;
 
-	while (rig->starts->len == before) {
-		rig_run(rig, 1);
+	while (fixture->starts->len == before) {
+		sched_fixture_run(fixture, 1);
 		passed_ms++;
-		answer_all_but(rig, silent);
-		assert_true(passed_ms < 3 * rig->options.lease_max_ms);
+		answer_all_but(fixture, silent);
+		assert_true(passed_ms < 3 * fixture->options.lease_max_ms);
 	}
 	return passed_ms;
 }
@@ -247,17 +256,17 @@
  */
 void a_lasting_task_waits_for_no_longer_lease_than_was_asked_for(void **state)
 {
-	rig_t *rig = *state;
+	sched_fixture_t *fixture = *state;
 	int64_t passed_ms;
 
-	rig->options.lease_ms = SHORT_LEASE_MS;
-	rig_take_over(rig);
-	rig_add_upstream(rig, "u1", AT_1);
-	rig_add_upstream(rig, "u2", AT_2);
-	stop_lasting_task(rig);
-	rig_take_over(rig);
-	rig_announce(rig, "u2", AT_2, false);
-	passed_ms = run_until_next_start(rig, "u1");
+	fixture->options.lease_ms = SHORT_LEASE_MS;
+	sched_fixture_take_over(fixture);
+	sched_fixture_add_upstream(fixture, "u1", ENDPOINT_1);
+	sched_fixture_add_upstream(fixture, "u2", ENDPOINT_2);
+	stop_lasting_task(fixture);
+	sched_fixture_take_over(fixture);
+	sched_fixture_announce(fixture, "u2", ENDPOINT_2, false);
+	passed_ms = run_until_next_start(fixture, "u1");
 	/*
 	 * The lease on a slow clock, dated by a reading that was 3.2 s old, and
 	 * asked for until that holder is told.
@@ -274,15 +283,15 @@
  */
 void a_record_without_a_lease_stands_for_the_longest(void **state)
 {
-	rig_t *rig = *state;
-
-	rig->options.lease_ms = SHORT_LEASE_MS;
-	rig_submit(rig, rig_job(JOB_A, 1, 1000));
-	forget_kept_lease(rig, "u1", AT_1);
-	rig_take_over(rig);
-	rig_add_upstream(rig, "u2", AT_2);
-	assert_true(run_until_next_start(rig, "u1") >=
-		    rig->options.lease_max_ms * 100 / 98 +
+	sched_fixture_t *fixture = *state;
+
+	fixture->options.lease_ms = SHORT_LEASE_MS;
+	sched_fixture_submit(fixture, sched_fixture_job(JOB_A, 1, 1000));
+	forget_kept_lease(fixture, "u1", ENDPOINT_1);
+	sched_fixture_take_over(fixture);
+	sched_fixture_add_upstream(fixture, "u2", ENDPOINT_2);
+	assert_true(run_until_next_start(fixture, "u1") >=
+		    fixture->options.lease_max_ms * 100 / 98 +
 			    WWH_OVERTAKEN_HOLDER_MS);
 }
 
@@ -294,49 +303,51 @@
  */
 void a_holder_asks_for_no_longer_lease_than_is_on_record(void **state)
 {
-	rig_t *rig = *state;
-	int64_t longer_ms = rig->options.lease_ms;
-	const rig_order_t *order;
-
-	rig->options.lease_ms = SHORT_LEASE_MS;
-	rig_take_over(rig);
-	rig_add_upstream(rig, "u1", AT_1);
-	rig->options.lease_ms = longer_ms;
-	rig_take_over(rig);
-	rig_add_upstream(rig, "u1", AT_1);
-	rig_submit(rig, rig_job(JOB_A, 1, 1000));
-	order = rig_order(rig->starts, 0);
-	assert_true(order->lease_until_remote_ms - (rig->now_ms + 5000) <=
+	sched_fixture_t *fixture = *state;
+	int64_t longer_ms = fixture->options.lease_ms;
+	const sched_fixture_order_t *order;
+
+	fixture->options.lease_ms = SHORT_LEASE_MS;
+	sched_fixture_take_over(fixture);
+	sched_fixture_add_upstream(fixture, "u1", ENDPOINT_1);
+	fixture->options.lease_ms = longer_ms;
+	sched_fixture_take_over(fixture);
+	sched_fixture_add_upstream(fixture, "u1", ENDPOINT_1);
+	sched_fixture_submit(fixture, sched_fixture_job(JOB_A, 1, 1000));
+	order = sched_fixture_order(fixture->starts, 0);
+	assert_true(order->lease_until_remote_ms - (fixture->now_ms + 5000) <=
 		    SHORT_LEASE_MS);
-	rig_start_ended(rig, order, WWH_ORDER_DONE);
+	sched_fixture_handle_start_result(fixture, order, WWH_ORDER_DONE);
 	for (int32_t i = 0; i < 40; i++) {
-		wwh_running_t running = rig_running(order, i);
+		wwh_running_task_t running =
+			sched_fixture_running_row(order, i);
 
-		rig_run(rig, 100);
-		assert_true(rig_poll_of(rig, "u1").lease_until_remote_ms -
-				    (rig->now_ms + 5000) <=
+		sched_fixture_run(fixture, 100);
+		assert_true(sched_fixture_newest_poll(fixture, "u1")
+					    .lease_until_remote_ms -
+				    (fixture->now_ms + 5000) <=
 			    SHORT_LEASE_MS);
-		rig_answer_poll(rig, "u1", &running, 1, NULL, 0);
+		sched_fixture_answer_poll(fixture, "u1", &running, 1, NULL, 0);
 	}
 }
 
 /* What runs without being wanted is stopped, and stopped again. */
 void an_orphan_run_is_stopped_until_it_is_gone(void **state)
 {
-	rig_t *rig = *state;
-	wwh_running_t orphan = {
+	sched_fixture_t *fixture = *state;
+	wwh_running_task_t orphan = {
 		.task = JOB_B ".0.0.0", .run = 3, .checkpoint = "", .percent = 5
 	};
 
 	for (int32_t i = 0; i < 3; i++) {
-		rig_run(rig, 1500);
-		rig_answer_poll(rig, "u1", &orphan, 1, NULL, 0);
-		assert_int_equal(rig->stops->len, i + 1);
+		sched_fixture_run(fixture, 1500);
+		sched_fixture_answer_poll(fixture, "u1", &orphan, 1, NULL, 0);
+		assert_int_equal(fixture->stops->len, i + 1);
 	}
-	assert_int_equal(rig_order(rig->stops, 0)->run, 3);
+	assert_int_equal(sched_fixture_order(fixture->stops, 0)->run, 3);
 	/* and nothing new is put where its room isn't known */
-	rig_submit(rig, rig_job(JOB_A, 1, 1000));
-	assert_int_equal(rig->starts->len, 0);
+	sched_fixture_submit(fixture, sched_fixture_job(JOB_A, 1, 1000));
+	assert_int_equal(fixture->starts->len, 0);
 }
 
 /*
@@ -345,45 +356,50 @@
  */
 void a_task_that_stands_still_is_started_elsewhere(void **state)
 {
-	rig_t *rig = *state;
-	wwh_running_t running;
-	rig_order_t order;
-
-	rig_submit(rig, rig_job(JOB_A, 1, 1000));
-	order = *rig_order(rig->starts, 0);
-	rig_start_ended(rig, &order, WWH_ORDER_DONE);
-	for (int32_t i = 0; i < 4 && rig->stops->len == 0; i++) {
-		rig_run(rig, 700);
-		running = rig_running(&order, 12);
-		rig_answer_poll(rig, "u1", &running, 1, NULL, 0);
+	sched_fixture_t *fixture = *state;
+	wwh_running_task_t running;
+	sched_fixture_order_t order;
+
+	sched_fixture_submit(fixture, sched_fixture_job(JOB_A, 1, 1000));
+	order = *sched_fixture_order(fixture->starts, 0);
+	sched_fixture_handle_start_result(fixture, &order, WWH_ORDER_DONE);
+	for (int32_t i = 0; i < 4 && fixture->stops->len == 0; i++) {
+		sched_fixture_run(fixture, 700);
+		running = sched_fixture_running_row(&order, 12);
+		sched_fixture_answer_poll(fixture, "u1", &running, 1, NULL, 0);
 	}
-	assert_int_equal(rig->stops->len, 1);
-	rig_add_upstream(rig, "u2", AT_2);
-	assert_int_equal(rig->starts->len, 1);
+	assert_int_equal(fixture->stops->len, 1);
+	sched_fixture_add_upstream(fixture, "u2", ENDPOINT_2);
+	assert_int_equal(fixture->starts->len, 1);
 	{
-		wwh_ended_t ended = rig_ended(&order, 1, WWH_END_STOPPED);
+		wwh_ended_task_t ended =
+			sched_fixture_ended_row(&order, 1, WWH_END_STOPPED);
 
-		rig_run(rig, 500);
-		rig_answer_poll(rig, "u1", NULL, 0, &ended, 1);
+		sched_fixture_run(fixture, 500);
+		sched_fixture_answer_poll(fixture, "u1", NULL, 0, &ended, 1);
 	}
-	rig_run(rig, 1);
-	assert_int_equal(rig->starts->len, 2);
-	assert_string_equal(rig_order(rig->starts, 1)->upstream, "u2");
+	sched_fixture_run(fixture, 1);
+	assert_int_equal(fixture->starts->len, 2);
+	assert_string_equal(sched_fixture_order(fixture->starts, 1)->upstream,
+			    "u2");
 }
 
 void a_task_that_goes_on_slowly_is_left_alone(void **state)
 {
-	rig_t *rig = *state;
-	wwh_running_t running;
+	sched_fixture_t *fixture = *state;
+	wwh_running_task_t running;
 
-	rig_submit(rig, rig_job(JOB_A, 1, 1000));
-	rig_start_ended(rig, rig_order(rig->starts, 0), WWH_ORDER_DONE);
+	sched_fixture_submit(fixture, sched_fixture_job(JOB_A, 1, 1000));
+	sched_fixture_handle_start_result(
+		fixture, sched_fixture_order(fixture->starts, 0),
+		WWH_ORDER_DONE);
 	for (int32_t i = 1; i < 20; i++) {
-		rig_run(rig, 1000);
-		running = rig_running(rig_order(rig->starts, 0), i);
-		rig_answer_poll(rig, "u1", &running, 1, NULL, 0);
+		sched_fixture_run(fixture, 1000);
+		running = sched_fixture_running_row(
+			sched_fixture_order(fixture->starts, 0), i);
+		sched_fixture_answer_poll(fixture, "u1", &running, 1, NULL, 0);
 	}
-	assert_int_equal(rig->stops->len, 0);
+	assert_int_equal(fixture->stops->len, 0);
 }
 
 /*
@@ -394,23 +410,23 @@
  */
 void a_longer_lease_of_the_holder_before_counts_to_its_end(void **state)
 {
-	rig_t *rig = *state;
-	int64_t ordered_ms = rig->now_ms;
-	wwh_running_t running;
-	rig_order_t order;
-
-	rig_submit(rig, rig_job(JOB_A, 1, 1000));
-	order = *rig_order(rig->starts, 0);
-	rig_start_ended(rig, &order, WWH_ORDER_DONE);
-	rig->options.lease_ms = SHORT_LEASE_MS;
-	rig_take_over(rig);
-	rig_announce(rig, "u1", AT_1, false);
-	rig_run(rig, 1);
-	running = rig_running(&order, 10);
-	rig_answer_poll(rig, "u1", &running, 1, NULL, 0);
-	rig_add_upstream(rig, "u2", AT_2);
-	(void)run_until_next_start(rig, "u1");
-	assert_true(rig->now_ms - ordered_ms >=
+	sched_fixture_t *fixture = *state;
+	int64_t ordered_ms = fixture->now_ms;
+	wwh_running_task_t running;
+	sched_fixture_order_t order;
+
+	sched_fixture_submit(fixture, sched_fixture_job(JOB_A, 1, 1000));
+	order = *sched_fixture_order(fixture->starts, 0);
+	sched_fixture_handle_start_result(fixture, &order, WWH_ORDER_DONE);
+	fixture->options.lease_ms = SHORT_LEASE_MS;
+	sched_fixture_take_over(fixture);
+	sched_fixture_announce(fixture, "u1", ENDPOINT_1, false);
+	sched_fixture_run(fixture, 1);
+	running = sched_fixture_running_row(&order, 10);
+	sched_fixture_answer_poll(fixture, "u1", &running, 1, NULL, 0);
+	sched_fixture_add_upstream(fixture, "u2", ENDPOINT_2);
+	(void)run_until_next_start(fixture, "u1");
+	assert_true(fixture->now_ms - ordered_ms >=
 		    (order.lease_until_remote_ms - (ordered_ms + 5000)) * 100 /
 			    98);
 }
@@ -423,40 +439,45 @@
  */
 void a_lease_that_an_overtaken_holder_extends_is_waited_for(void **state)
 {
-	rig_t *rig = *state;
+	sched_fixture_t *fixture = *state;
 	int64_t taken_over_ms;
 	int64_t lease_until_ms = 0;
-	wwh_running_t running;
-	rig_order_t order;
+	wwh_running_task_t running;
+	sched_fixture_order_t order;
 	const char *idle;
 
-	rig->options.lease_ms = SHORT_LEASE_MS;
-	rig_take_over(rig);
-	rig_add_upstream(rig, "u1", AT_1);
-	rig_add_upstream(rig, "u2", AT_2);
-	rig_submit(rig, rig_job(JOB_A, 1, 1000));
-	order = *rig_order(rig->starts, 0);
-	rig_start_ended(rig, &order, WWH_ORDER_DONE);
-	running = rig_running(&order, 10);
+	fixture->options.lease_ms = SHORT_LEASE_MS;
+	sched_fixture_take_over(fixture);
+	sched_fixture_add_upstream(fixture, "u1", ENDPOINT_1);
+	sched_fixture_add_upstream(fixture, "u2", ENDPOINT_2);
+	sched_fixture_submit(fixture, sched_fixture_job(JOB_A, 1, 1000));
+	order = *sched_fixture_order(fixture->starts, 0);
+	sched_fixture_handle_start_result(fixture, &order, WWH_ORDER_DONE);
+	running = sched_fixture_running_row(&order, 10);
 	idle = strcmp(order.upstream, "u1") == 0 ? "u2" : "u1";
-	rig_run(rig, 100);
-	rig_answer_poll(rig, idle, NULL, 0, NULL, 0);
-	rig_run(rig, 100);
+	sched_fixture_run(fixture, 100);
+	sched_fixture_answer_poll(fixture, idle, NULL, 0, NULL, 0);
+	sched_fixture_run(fixture, 100);
 	/* its poll at the idle one has just gone out */
-	taken_over_ms = rig->now_ms;
-	while (rig->now_ms < taken_over_ms + rig_poll_of(rig, idle).wait_ms) {
+	taken_over_ms = fixture->now_ms;
+	while (fixture->now_ms <
+	       taken_over_ms +
+		       sched_fixture_newest_poll(fixture, idle).wait_ms) {
 		running.percent++;
-		rig_answer_poll(rig, order.upstream, &running, 1, NULL, 0);
-		rig_run(rig, 100);
+		sched_fixture_answer_poll(fixture, order.upstream, &running, 1,
+					  NULL, 0);
+		sched_fixture_run(fixture, 100);
 		lease_until_ms =
-			rig_poll_of(rig, order.upstream).lease_until_remote_ms -
+			sched_fixture_newest_poll(fixture, order.upstream)
+				.lease_until_remote_ms -
 			5000;
 	}
-	rig->now_ms = taken_over_ms;
-	rig_take_over(rig);
-	rig_announce(rig, idle, idle[1] == '1' ? AT_1 : AT_2, false);
-	(void)run_until_next_start(rig, order.upstream);
-	assert_true(rig->now_ms >= lease_until_ms);
+	fixture->now_ms = taken_over_ms;
+	sched_fixture_take_over(fixture);
+	sched_fixture_announce(fixture, idle,
+			       idle[1] == '1' ? ENDPOINT_1 : ENDPOINT_2, false);
+	(void)run_until_next_start(fixture, order.upstream);
+	assert_true(fixture->now_ms >= lease_until_ms);
 }
 
 /*
@@ -467,16 +488,18 @@
  */
 void an_old_announcement_ends_no_newer_incarnation(void **state)
 {
-	rig_t *rig = *state;
-
-	rig_submit(rig, rig_job(JOB_A, 1, 1000));
-	rig_start_ended(rig, rig_order(rig->starts, 0), WWH_ORDER_DONE);
-	rig_take_over(rig);
-	rig_announce(rig, "u1", AT_1, false);
-	rig_announce(rig, "u0", AT_1, false);
-	rig_add_upstream(rig, "u2", AT_2);
-	rig_run(rig, 500);
-	assert_int_equal(rig->starts->len, 1);
+	sched_fixture_t *fixture = *state;
+
+	sched_fixture_submit(fixture, sched_fixture_job(JOB_A, 1, 1000));
+	sched_fixture_handle_start_result(
+		fixture, sched_fixture_order(fixture->starts, 0),
+		WWH_ORDER_DONE);
+	sched_fixture_take_over(fixture);
+	sched_fixture_announce(fixture, "u1", ENDPOINT_1, false);
+	sched_fixture_announce(fixture, "u0", ENDPOINT_1, false);
+	sched_fixture_add_upstream(fixture, "u2", ENDPOINT_2);
+	sched_fixture_run(fixture, 500);
+	assert_int_equal(fixture->starts->len, 1);
 }
 
 /*
@@ -487,40 +510,41 @@
  */
 void a_failing_lasting_task_keeps_no_other_away(void **state)
 {
-	rig_t *rig = *state;
-	wwh_job_t *failing = rig_job(JOB_A, 1, 1000);
-	wwh_job_t *sound = rig_job(JOB_B, 1, 1000);
+	sched_fixture_t *fixture = *state;
+	wwh_job_t *failing = sched_fixture_job(JOB_A, 1, 1000);
+	wwh_job_t *sound = sched_fixture_job(JOB_B, 1, 1000);
 	int32_t failures = 0;
 	guint started = 0;
 
 	failing->steps[0].lasting = true;
 	sound->steps[0].lasting = true;
-	rig_submit(rig, failing);
+	sched_fixture_submit(fixture, failing);
 	for (int32_t i = 0; i < 600 && failures < 12; i++) {
-		const rig_order_t *order =
-			rig_order(rig->starts, rig->starts->len - 1);
-		wwh_ended_t ended =
-			rig_ended(order, rig->starts->len, WWH_END_FAILED);
-
-		if (failures < (int32_t)rig->starts->len) {
-			rig_start_ended(rig, order, WWH_ORDER_DONE);
-			rig_run(rig, 300);
-			rig_answer_poll(rig, order->upstream, NULL, 0, &ended,
-					1);
+		const sched_fixture_order_t *order = sched_fixture_order(
+			fixture->starts, fixture->starts->len - 1);
+		wwh_ended_task_t ended = sched_fixture_ended_row(
+			order, fixture->starts->len, WWH_END_FAILED);
+
+		if (failures < (int32_t)fixture->starts->len) {
+			sched_fixture_handle_start_result(fixture, order,
+							  WWH_ORDER_DONE);
+			sched_fixture_run(fixture, 300);
+			sched_fixture_answer_poll(fixture, order->upstream,
+						  NULL, 0, &ended, 1);
 			failures++;
 		}
-		rig_run(rig, 50);
-		rig_durable(rig);
-		answer_all_but(rig, "");
+		sched_fixture_run(fixture, 50);
+		sched_fixture_make_durable(fixture);
+		answer_all_but(fixture, "");
 	}
 	assert_int_equal(failures, 12);
-	rig_submit(rig, sound);
+	sched_fixture_submit(fixture, sound);
 	for (int32_t i = 0; i < AWAY_LIMIT_MS / 50; i++) {
-		rig_run(rig, 50);
-		answer_all_but(rig, "");
+		sched_fixture_run(fixture, 50);
+		answer_all_but(fixture, "");
 	}
-	for (guint i = 0; i < rig->starts->len; i++)
-		started += g_str_has_prefix(rig_order(rig->starts, i)->task,
-					    JOB_B);
+	for (guint i = 0; i < fixture->starts->len; i++)
+		started += g_str_has_prefix(
+			sched_fixture_order(fixture->starts, i)->task, JOB_B);
 	assert_int_equal(started, 1);
 }
--- a/src/test_scheduler/test_scheduler.c
+++ b/src/test_scheduler/test_scheduler.c
@@ -7,18 +7,19 @@
 #include "test_scheduler.h"
 
 /* With upstreams that have answered and may be given work. */
-static rig_t *rig_of(int32_t upstreams)
+static sched_fixture_t *rig_of(int32_t upstreams)
 {
-	static const char *const endpoints[] = { AT_1, AT_2, AT_3 };
-	rig_t *rig = rig_new();
+	static const char *const endpoints[] = { ENDPOINT_1, ENDPOINT_2,
+						 ENDPOINT_3 };
+	sched_fixture_t *fixture = sched_fixture_new();
 
 	for (int32_t i = 0; i < upstreams; i++) {
 		char id[8];
 
 		snprintf(id, sizeof(id), "u%d", i + 1);
-		rig_add_upstream(rig, id, endpoints[i]);
+		sched_fixture_add_upstream(fixture, id, endpoints[i]);
 	}
-	return rig;
+	return fixture;
 }
 
 int rig_with_0(void **state)
@@ -47,77 +48,81 @@
 
 int rig_tear_down(void **state)
 {
-	rig_delete(*state);
+	sched_fixture_delete(*state);
 	return 0;
 }
 
 /* Polls at silent get no answer, all others find nothing new. */
-void answer_all_but(rig_t *rig, const char *silent)
+void answer_all_but(sched_fixture_t *fixture, const char *silent)
 {
-	guint count = rig->polls->len;
+	guint count = fixture->polls->len;
 
 	for (guint i = 0; i < count; i++) {
-		rig_poll_t poll = g_array_index(rig->polls, rig_poll_t, 0);
+		sched_fixture_poll_t poll =
+			g_array_index(fixture->polls, sched_fixture_poll_t, 0);
 
 		if (strcmp(poll.upstream, silent) != 0) {
-			rig_answer_poll(rig, poll.upstream, NULL, 0, NULL, 0);
+			sched_fixture_answer_poll(fixture, poll.upstream, NULL,
+						  0, NULL, 0);
 			continue;
 		}
-		g_array_remove_index(rig->polls, 0);
-		wwh_scheduler_handle_poll_failure(rig->scheduler, silent, false,
-						  rig->now_ms);
+		g_array_remove_index(fixture->polls, 0);
+		wwh_scheduler_handle_poll_failure(fixture->scheduler, silent,
+						  false, fixture->now_ms);
 	}
 }
 
 static void a_job_runs_to_its_end(void **state)
 {
-	rig_t *rig = *state;
-	rig_order_t order;
-	wwh_ended_t ended;
+	sched_fixture_t *fixture = *state;
+	sched_fixture_order_t order;
+	wwh_ended_task_t ended;
 
-	rig_submit(rig, rig_job(JOB_A, 1, 1000));
-	assert_int_equal(rig->starts->len, 1);
-	order = *rig_order(rig->starts, 0);
+	sched_fixture_submit(fixture, sched_fixture_job(JOB_A, 1, 1000));
+	assert_int_equal(fixture->starts->len, 1);
+	order = *sched_fixture_order(fixture->starts, 0);
 	assert_string_equal(order.task, JOB_A ".0.0.0");
 	assert_int_equal(order.run, 1);
-	rig_start_ended(rig, &order, WWH_ORDER_DONE);
-	assert_int_equal(wwh_scheduler_job_state(rig->scheduler, JOB_A),
+	sched_fixture_handle_start_result(fixture, &order, WWH_ORDER_DONE);
+	assert_int_equal(wwh_scheduler_job_state(fixture->scheduler, JOB_A),
 			 WWH_PROGRESS_ACTIVE);
-	rig_run(rig, 500);
-	ended = rig_ended(&order, 1, WWH_END_DONE);
-	rig_answer_poll(rig, "u1", NULL, 0, &ended, 1);
-	rig_durable(rig);
-	assert_int_equal(wwh_scheduler_job_state(rig->scheduler, JOB_A),
+	sched_fixture_run(fixture, 500);
+	ended = sched_fixture_ended_row(&order, 1, WWH_END_DONE);
+	sched_fixture_answer_poll(fixture, "u1", NULL, 0, &ended, 1);
+	sched_fixture_make_durable(fixture);
+	assert_int_equal(wwh_scheduler_job_state(fixture->scheduler, JOB_A),
 			 WWH_PROGRESS_COMPLETED);
 }
 
 static void nothing_starts_before_the_job_is_durable(void **state)
 {
-	rig_t *rig = *state;
+	sched_fixture_t *fixture = *state;
 	int64_t record;
 
-	(void)wwh_scheduler_submit(rig->scheduler, rig_job(JOB_A, 1, 1000),
-				   rig->now_ms, &record);
-	rig_run(rig, 500);
-	assert_int_equal(rig->starts->len, 0);
-	wwh_scheduler_set_durable(rig->scheduler, record);
-	rig_run(rig, 1);
-	assert_int_equal(rig->starts->len, 1);
+	(void)wwh_scheduler_submit(fixture->scheduler,
+				   sched_fixture_job(JOB_A, 1, 1000),
+				   fixture->now_ms, &record);
+	sched_fixture_run(fixture, 500);
+	assert_int_equal(fixture->starts->len, 0);
+	wwh_scheduler_set_durable(fixture->scheduler, record);
+	sched_fixture_run(fixture, 1);
+	assert_int_equal(fixture->starts->len, 1);
 }
 
 static void a_completed_job_is_shown_once_it_is_durable(void **state)
 {
-	rig_t *rig = *state;
-	wwh_ended_t ended;
+	sched_fixture_t *fixture = *state;
+	wwh_ended_task_t ended;
 
-	rig_submit(rig, rig_job(JOB_A, 1, 1000));
-	rig_run(rig, 500);
-	ended = rig_ended(rig_order(rig->starts, 0), 1, WWH_END_DONE);
-	rig_answer_poll(rig, "u1", NULL, 0, &ended, 1);
-	assert_int_equal(wwh_scheduler_job_state(rig->scheduler, JOB_A),
+	sched_fixture_submit(fixture, sched_fixture_job(JOB_A, 1, 1000));
+	sched_fixture_run(fixture, 500);
+	ended = sched_fixture_ended_row(sched_fixture_order(fixture->starts, 0),
+					1, WWH_END_DONE);
+	sched_fixture_answer_poll(fixture, "u1", NULL, 0, &ended, 1);
+	assert_int_equal(wwh_scheduler_job_state(fixture->scheduler, JOB_A),
 			 WWH_PROGRESS_ACTIVE);
-	rig_durable(rig);
-	assert_int_equal(wwh_scheduler_job_state(rig->scheduler, JOB_A),
+	sched_fixture_make_durable(fixture);
+	assert_int_equal(wwh_scheduler_job_state(fixture->scheduler, JOB_A),
 			 WWH_PROGRESS_COMPLETED);
 }
 
@@ -129,29 +134,31 @@
  */
 static void an_end_is_covered_only_by_its_own_record(void **state)
 {
-	rig_t *rig = *state;
-	wwh_ended_t ended;
-	rig_poll_t poll;
+	sched_fixture_t *fixture = *state;
+	wwh_ended_task_t ended;
+	sched_fixture_poll_t poll;
 	int64_t record;
 
-	rig_submit(rig, rig_job(JOB_A, 1, 1000));
-	(void)wwh_scheduler_submit(rig->scheduler, rig_job(JOB_B, 1, 1000),
-				   rig->now_ms, &record);
-	rig_run(rig, 500);
-	ended = rig_ended(rig_order(rig->starts, 0), 1, WWH_END_DONE);
-	rig_answer_poll(rig, "u1", NULL, 0, &ended, 1);
-	wwh_scheduler_set_durable(rig->scheduler, record);
-	rig_run(rig, 500);
-	poll = rig_answer_poll(rig, "u1", NULL, 0, &ended, 1);
+	sched_fixture_submit(fixture, sched_fixture_job(JOB_A, 1, 1000));
+	(void)wwh_scheduler_submit(fixture->scheduler,
+				   sched_fixture_job(JOB_B, 1, 1000),
+				   fixture->now_ms, &record);
+	sched_fixture_run(fixture, 500);
+	ended = sched_fixture_ended_row(sched_fixture_order(fixture->starts, 0),
+					1, WWH_END_DONE);
+	sched_fixture_answer_poll(fixture, "u1", NULL, 0, &ended, 1);
+	wwh_scheduler_set_durable(fixture->scheduler, record);
+	sched_fixture_run(fixture, 500);
+	poll = sched_fixture_answer_poll(fixture, "u1", NULL, 0, &ended, 1);
 	assert_int_equal(poll.acked_upto, 0);
 	/* its record is on its way to the store, and not there yet */
-	(void)wwh_scheduler_flush(rig->scheduler, rig->now_ms);
-	rig_run(rig, 500);
-	poll = rig_answer_poll(rig, "u1", NULL, 0, &ended, 1);
+	(void)wwh_scheduler_flush(fixture->scheduler, fixture->now_ms);
+	sched_fixture_run(fixture, 500);
+	poll = sched_fixture_answer_poll(fixture, "u1", NULL, 0, &ended, 1);
 	assert_int_equal(poll.acked_upto, 0);
-	rig_durable(rig);
-	rig_run(rig, 500);
-	poll = rig_answer_poll(rig, "u1", NULL, 0, NULL, 0);
+	sched_fixture_make_durable(fixture);
+	sched_fixture_run(fixture, 500);
+	poll = sched_fixture_answer_poll(fixture, "u1", NULL, 0, NULL, 0);
 	assert_int_equal(poll.acked_upto, 1);
 }
 
@@ -161,21 +168,21 @@
  */
 static void ends_without_progress_are_acknowledged_too(void **state)
 {
-	rig_t *rig = *state;
-	wwh_ended_t ended = { .number = 1,
-			      .task = JOB_B ".0.0.0",
-			      .run = 1,
-			      .kind = WWH_END_STOPPED,
-			      .checkpoint = "" };
-	rig_poll_t poll;
+	sched_fixture_t *fixture = *state;
+	wwh_ended_task_t ended = { .number = 1,
+				   .task = JOB_B ".0.0.0",
+				   .run = 1,
+				   .kind = WWH_END_STOPPED,
+				   .checkpoint = "" };
+	sched_fixture_poll_t poll;
 
-	rig_run(rig, 500);
-	rig_answer_poll(rig, "u1", NULL, 0, &ended, 1);
-	assert_true(wwh_scheduler_unflushed(rig->scheduler));
-	rig_durable(rig);
-	assert_false(wwh_scheduler_unflushed(rig->scheduler));
-	rig_run(rig, 500);
-	poll = rig_answer_poll(rig, "u1", NULL, 0, NULL, 0);
+	sched_fixture_run(fixture, 500);
+	sched_fixture_answer_poll(fixture, "u1", NULL, 0, &ended, 1);
+	assert_true(wwh_scheduler_has_unflushed(fixture->scheduler));
+	sched_fixture_make_durable(fixture);
+	assert_false(wwh_scheduler_has_unflushed(fixture->scheduler));
+	sched_fixture_run(fixture, 500);
+	poll = sched_fixture_answer_poll(fixture, "u1", NULL, 0, NULL, 0);
 	assert_int_equal(poll.acked_upto, 1);
 }
 
@@ -186,43 +193,45 @@
  */
 static void ended_jobs_are_answered_for_after_a_change_of_holder(void **state)
 {
-	rig_t *rig = *state;
-	wwh_ended_t ended;
+	sched_fixture_t *fixture = *state;
+	wwh_ended_task_t ended;
 
-	rig->now_ms += 10 * rig->options.forget_ms;
-	rig_add_upstream(rig, "u1", AT_1);
-	rig_submit(rig, rig_job(JOB_A, 1, 1000));
-	rig_run(rig, 500);
-	ended = rig_ended(rig_order(rig->starts, 0), 1, WWH_END_DONE);
-	rig_answer_poll(rig, "u1", NULL, 0, &ended, 1);
-	rig_durable(rig);
-	rig_take_over(rig);
-	rig_run(rig, 1500);
-	assert_int_equal(wwh_scheduler_job_state(rig->scheduler, JOB_A),
+	fixture->now_ms += 10 * fixture->options.ended_job_retention_ms;
+	sched_fixture_add_upstream(fixture, "u1", ENDPOINT_1);
+	sched_fixture_submit(fixture, sched_fixture_job(JOB_A, 1, 1000));
+	sched_fixture_run(fixture, 500);
+	ended = sched_fixture_ended_row(sched_fixture_order(fixture->starts, 0),
+					1, WWH_END_DONE);
+	sched_fixture_answer_poll(fixture, "u1", NULL, 0, &ended, 1);
+	sched_fixture_make_durable(fixture);
+	sched_fixture_take_over(fixture);
+	sched_fixture_run(fixture, 1500);
+	assert_int_equal(wwh_scheduler_job_state(fixture->scheduler, JOB_A),
 			 WWH_PROGRESS_COMPLETED);
-	rig_run(rig, rig->options.forget_ms + 1500);
-	assert_int_equal(wwh_scheduler_job_state(rig->scheduler, JOB_A),
+	sched_fixture_run(fixture,
+			  fixture->options.ended_job_retention_ms + 1500);
+	assert_int_equal(wwh_scheduler_job_state(fixture->scheduler, JOB_A),
 			 WWH_PROGRESS_UNKNOWN);
 }
 
 static void the_same_id_is_the_same_job(void **state)
 {
-	rig_t *rig = *state;
+	sched_fixture_t *fixture = *state;
 	int64_t first;
 	int64_t second;
 
-	assert_int_equal(wwh_scheduler_submit(rig->scheduler,
-					      rig_job(JOB_A, 1, 1000),
-					      rig->now_ms, &first),
+	assert_int_equal(wwh_scheduler_submit(fixture->scheduler,
+					      sched_fixture_job(JOB_A, 1, 1000),
+					      fixture->now_ms, &first),
 			 WWH_SUBMIT_ACCEPTED);
-	assert_int_equal(wwh_scheduler_submit(rig->scheduler,
-					      rig_job(JOB_A, 7, 1000),
-					      rig->now_ms, &second),
+	assert_int_equal(wwh_scheduler_submit(fixture->scheduler,
+					      sched_fixture_job(JOB_A, 7, 1000),
+					      fixture->now_ms, &second),
 			 WWH_SUBMIT_KNOWN);
 	assert_int_equal(first, second);
-	rig_durable(rig);
-	rig_run(rig, 1);
-	assert_int_equal(rig->starts->len, 1);
+	sched_fixture_make_durable(fixture);
+	sched_fixture_run(fixture, 1);
+	assert_int_equal(fixture->starts->len, 1);
 }
 
 /*
@@ -232,23 +241,28 @@
  */
 static void a_job_is_taken_back_while_nothing_hangs_on_it(void **state)
 {
-	rig_t *rig = *state;
+	sched_fixture_t *fixture = *state;
 	int64_t record;
 
-	(void)wwh_scheduler_submit(rig->scheduler, rig_job(JOB_A, 1, 1000),
-				   rig->now_ms, &record);
-	assert_true(wwh_scheduler_untouched(rig->scheduler, JOB_A));
-	wwh_scheduler_take_back(rig->scheduler, JOB_A);
-	wwh_scheduler_check(rig->scheduler);
-	assert_int_equal(wwh_scheduler_job_state(rig->scheduler, JOB_A),
+	(void)wwh_scheduler_submit(fixture->scheduler,
+				   sched_fixture_job(JOB_A, 1, 1000),
+				   fixture->now_ms, &record);
+	assert_true(
+		wwh_scheduler_job_is_discardable(fixture->scheduler, JOB_A));
+	wwh_scheduler_discard_job(fixture->scheduler, JOB_A);
+	wwh_scheduler_check(fixture->scheduler);
+	assert_int_equal(wwh_scheduler_job_state(fixture->scheduler, JOB_A),
 			 WWH_PROGRESS_UNKNOWN);
-	rig_submit(rig, rig_job(JOB_A, 1, 1000));
-	assert_false(wwh_scheduler_untouched(rig->scheduler, JOB_A));
-	(void)wwh_scheduler_submit(rig->scheduler, rig_job(JOB_B, 1, 1000),
-				   rig->now_ms, &record);
-	assert_true(wwh_scheduler_cancel(rig->scheduler, JOB_B, rig->now_ms,
-					 &record));
-	assert_false(wwh_scheduler_untouched(rig->scheduler, JOB_B));
+	sched_fixture_submit(fixture, sched_fixture_job(JOB_A, 1, 1000));
+	assert_false(
+		wwh_scheduler_job_is_discardable(fixture->scheduler, JOB_A));
+	(void)wwh_scheduler_submit(fixture->scheduler,
+				   sched_fixture_job(JOB_B, 1, 1000),
+				   fixture->now_ms, &record);
+	assert_true(wwh_scheduler_cancel(fixture->scheduler, JOB_B,
+					 fixture->now_ms, &record));
+	assert_false(
+		wwh_scheduler_job_is_discardable(fixture->scheduler, JOB_B));
 }
 
 int main(void)
--- a/src/test_scheduler/test_scheduler.h
+++ b/src/test_scheduler/test_scheduler.h
@@ -10,11 +10,11 @@
 
 #define JOB_A "00000000000000aa"
 #define JOB_B "00000000000000bb"
-#define AT_1 "10.0.0.1:1"
-#define AT_2 "10.0.0.2:1"
-#define AT_3 "10.0.0.3:1"
+#define ENDPOINT_1 "10.0.0.1:1"
+#define ENDPOINT_2 "10.0.0.2:1"
+#define ENDPOINT_3 "10.0.0.3:1"
 
-/* A test whose *state is a rig with so many upstreams, u1 and on. */
+/* A test whose *state is a fixture with so many upstreams, u1 and on. */
 #define RIG_TEST(name, upstreams)                                              \
 	cmocka_unit_test_setup_teardown(name, rig_with_##upstreams,            \
 					rig_tear_down)
@@ -26,7 +26,7 @@
 int rig_tear_down(void **state);
 
 /* Polls at silent get no answer, all others find nothing new. */
-void answer_all_but(rig_t *rig, const char *silent);
+void answer_all_but(sched_fixture_t *fixture, const char *silent);
 
 #define JOB_TESTS                                                              \
 	RIG_TEST(a_step_waits_for_all_tasks_of_those_before_it, 1),            \
--- a/src/test_scheduler/test_upstreams.c
+++ b/src/test_scheduler/test_upstreams.c
@@ -9,12 +9,12 @@
 
 /* The tasks of a serving job by upstream: index 0 is u1, index 1 is u2. */
 typedef struct {
-	wwh_running_t rows[2][SERVING_MAX];
+	wwh_running_task_t rows[2][SERVING_MAX];
 	int32_t counts[2];
 } serving_t;
 
 /* Submits a job with lasting tasks and confirms the start of each. */
-static serving_t start_serving(rig_t *rig, wwh_job_t *job,
+static serving_t start_serving(sched_fixture_t *fixture, wwh_job_t *job,
 			       int32_t max_unavailable)
 {
 	guint count = (guint)job->steps[0].task_count;
@@ -22,26 +22,29 @@
 
 	job->steps[0].lasting = true;
 	job->steps[0].max_unavailable = max_unavailable;
-	rig_submit(rig, job);
-	assert_int_equal(rig->starts->len, count);
+	sched_fixture_submit(fixture, job);
+	assert_int_equal(fixture->starts->len, count);
 	for (guint i = 0; i < count; i++) {
-		rig_order_t *order = rig_order(rig->starts, i);
+		sched_fixture_order_t *order =
+			sched_fixture_order(fixture->starts, i);
 		int32_t at = strcmp(order->upstream, "u2") == 0;
 
-		rig_start_ended(rig, order, WWH_ORDER_DONE);
+		sched_fixture_handle_start_result(fixture, order,
+						  WWH_ORDER_DONE);
 		serving.rows[at][serving.counts[at]++] =
-			rig_running(order, 100);
+			sched_fixture_running_row(order, 100);
 	}
 	return serving;
 }
 
 /* Both upstreams report all tasks as available. */
-static void answer_all_available(rig_t *rig, const serving_t *serving)
+static void answer_all_available(sched_fixture_t *fixture,
+				 const serving_t *serving)
 {
-	rig_answer_poll(rig, "u1", serving->rows[0], serving->counts[0], NULL,
-			0);
-	rig_answer_poll(rig, "u2", serving->rows[1], serving->counts[1], NULL,
-			0);
+	sched_fixture_answer_poll(fixture, "u1", serving->rows[0],
+				  serving->counts[0], NULL, 0);
+	sched_fixture_answer_poll(fixture, "u2", serving->rows[1],
+				  serving->counts[1], NULL, 0);
 }
 
 /*
@@ -51,18 +54,18 @@
  */
 void a_host_that_has_not_answered_is_not_taken_down(void **state)
 {
-	rig_t *rig = *state;
-	wwh_job_t *job = rig_job(JOB_A, 2, 1000);
+	sched_fixture_t *fixture = *state;
+	wwh_job_t *job = sched_fixture_job(JOB_A, 2, 1000);
 
 	job->steps[0].lasting = true;
 	job->steps[0].max_unavailable = 1;
-	rig_submit(rig, job);
-	assert_int_equal(rig->starts->len, 2);
-	rig_take_over(rig);
-	rig_announce(rig, "u1", AT_1, false);
-	rig_run(rig, 100);
-	assert_false(
-		wwh_scheduler_cordon(rig->scheduler, "u1", true, rig->now_ms));
+	sched_fixture_submit(fixture, job);
+	assert_int_equal(fixture->starts->len, 2);
+	sched_fixture_take_over(fixture);
+	sched_fixture_announce(fixture, "u1", ENDPOINT_1, false);
+	sched_fixture_run(fixture, 100);
+	assert_false(wwh_scheduler_cordon(fixture->scheduler, "u1", true,
+					  fixture->now_ms));
 }
 
 /*
@@ -74,20 +77,21 @@
  */
 void a_host_stays_until_its_ends_are_durable(void **state)
 {
-	rig_t *rig = *state;
-	wwh_ended_t ended;
-
-	rig_submit(rig, rig_job(JOB_A, 1, 1000));
-	rig_run(rig, 500);
-	ended = rig_ended(rig_order(rig->starts, 0), 1, WWH_END_DONE);
-	rig_answer_poll(rig, "u1", NULL, 0, &ended, 1);
-	assert_false(
-		wwh_scheduler_cordon(rig->scheduler, "u1", false, rig->now_ms));
-	assert_false(
-		wwh_scheduler_cordon(rig->scheduler, "u1", true, rig->now_ms));
-	rig_durable(rig);
-	assert_true(
-		wwh_scheduler_cordon(rig->scheduler, "u1", false, rig->now_ms));
+	sched_fixture_t *fixture = *state;
+	wwh_ended_task_t ended;
+
+	sched_fixture_submit(fixture, sched_fixture_job(JOB_A, 1, 1000));
+	sched_fixture_run(fixture, 500);
+	ended = sched_fixture_ended_row(sched_fixture_order(fixture->starts, 0),
+					1, WWH_END_DONE);
+	sched_fixture_answer_poll(fixture, "u1", NULL, 0, &ended, 1);
+	assert_false(wwh_scheduler_cordon(fixture->scheduler, "u1", false,
+					  fixture->now_ms));
+	assert_false(wwh_scheduler_cordon(fixture->scheduler, "u1", true,
+					  fixture->now_ms));
+	sched_fixture_make_durable(fixture);
+	assert_true(wwh_scheduler_cordon(fixture->scheduler, "u1", false,
+					 fixture->now_ms));
 }
 
 /*
@@ -97,30 +101,33 @@
  */
 void hosts_taken_down_together_share_what_a_step_may_miss(void **state)
 {
-	rig_t *rig = *state;
-	wwh_job_t *job = rig_job(JOB_A, 3, 1000);
+	sched_fixture_t *fixture = *state;
+	wwh_job_t *job = sched_fixture_job(JOB_A, 3, 1000);
 	char upstreams[3][32];
 
 	job->steps[0].lasting = true;
 	job->steps[0].max_per_upstream = 1;
 	job->steps[0].max_unavailable = 1;
-	rig_submit(rig, job);
-	assert_int_equal(rig->starts->len, 3);
-	rig_run(rig, 500);
+	sched_fixture_submit(fixture, job);
+	assert_int_equal(fixture->starts->len, 3);
+	sched_fixture_run(fixture, 500);
 	for (guint i = 0; i < 3; i++) {
-		rig_order_t *order = rig_order(rig->starts, i);
-		wwh_running_t running = rig_running(order, 100);
+		sched_fixture_order_t *order =
+			sched_fixture_order(fixture->starts, i);
+		wwh_running_task_t running =
+			sched_fixture_running_row(order, 100);
 
 		g_strlcpy(upstreams[i], order->upstream, sizeof(upstreams[i]));
-		rig_answer_poll(rig, upstreams[i], &running, 1, NULL, 0);
+		sched_fixture_answer_poll(fixture, upstreams[i], &running, 1,
+					  NULL, 0);
 	}
-	assert_true(wwh_scheduler_cordon(rig->scheduler, upstreams[0], true,
-					 rig->now_ms));
-	assert_false(wwh_scheduler_cordon(rig->scheduler, upstreams[1], true,
-					  rig->now_ms));
-	wwh_scheduler_uncordon(rig->scheduler, upstreams[0]);
-	assert_true(wwh_scheduler_cordon(rig->scheduler, upstreams[1], true,
-					 rig->now_ms));
+	assert_true(wwh_scheduler_cordon(fixture->scheduler, upstreams[0], true,
+					 fixture->now_ms));
+	assert_false(wwh_scheduler_cordon(fixture->scheduler, upstreams[1],
+					  true, fixture->now_ms));
+	wwh_scheduler_uncordon(fixture->scheduler, upstreams[0]);
+	assert_true(wwh_scheduler_cordon(fixture->scheduler, upstreams[1], true,
+					 fixture->now_ms));
 }
 
 /*
@@ -130,38 +137,43 @@
  */
 void a_cordoned_host_relocates_lasting_tasks_one_by_one(void **state)
 {
-	rig_t *rig = *state;
-	serving_t serving = start_serving(rig, rig_job(JOB_A, 4, 1000), 1);
-	rig_order_t *stopped;
-	wwh_ended_t ended;
+	sched_fixture_t *fixture = *state;
+	serving_t serving =
+		start_serving(fixture, sched_fixture_job(JOB_A, 4, 1000), 1);
+	sched_fixture_order_t *stopped;
+	wwh_ended_task_t ended;
 
 	assert_int_equal(serving.counts[0], 2);
-	rig_run(rig, 500);
-	answer_all_available(rig, &serving);
-	assert_false(
-		wwh_scheduler_cordon(rig->scheduler, "u1", true, rig->now_ms));
-	rig_run(rig, 100);
+	sched_fixture_run(fixture, 500);
+	answer_all_available(fixture, &serving);
+	assert_false(wwh_scheduler_cordon(fixture->scheduler, "u1", true,
+					  fixture->now_ms));
+	sched_fixture_run(fixture, 100);
 	/* one stop only, as the step may miss one task */
-	assert_int_equal(rig->stops->len, 1);
-	stopped = rig_order(rig->stops, 0);
+	assert_int_equal(fixture->stops->len, 1);
+	stopped = sched_fixture_order(fixture->stops, 0);
 	assert_string_equal(stopped->upstream, "u1");
-	ended = rig_ended(stopped, 1, WWH_END_STOPPED);
+	ended = sched_fixture_ended_row(stopped, 1, WWH_END_STOPPED);
 	if (strcmp(serving.rows[0][0].task, stopped->task) == 0)
 		serving.rows[0][0] = serving.rows[0][1];
-	rig_answer_poll(rig, "u1", serving.rows[0], 1, &ended, 1);
-	rig_run(rig, 100);
-	assert_int_equal(rig->starts->len, 5);
-	assert_string_equal(rig_order(rig->starts, 4)->upstream, "u2");
+	sched_fixture_answer_poll(fixture, "u1", serving.rows[0], 1, &ended, 1);
+	sched_fixture_run(fixture, 100);
+	assert_int_equal(fixture->starts->len, 5);
+	assert_string_equal(sched_fixture_order(fixture->starts, 4)->upstream,
+			    "u2");
 	/* the new run isn't available yet: the step can't miss u1's task */
-	assert_false(
-		wwh_scheduler_cordon(rig->scheduler, "u1", true, rig->now_ms));
-	rig_start_ended(rig, rig_order(rig->starts, 4), WWH_ORDER_DONE);
-	serving.rows[1][2] = rig_running(rig_order(rig->starts, 4), 100);
-	rig_run(rig, 500);
-	rig_answer_poll(rig, "u2", serving.rows[1], 3, NULL, 0);
-	assert_true(
-		wwh_scheduler_cordon(rig->scheduler, "u1", true, rig->now_ms));
-	assert_int_equal(rig->stops->len, 1);
+	assert_false(wwh_scheduler_cordon(fixture->scheduler, "u1", true,
+					  fixture->now_ms));
+	sched_fixture_handle_start_result(
+		fixture, sched_fixture_order(fixture->starts, 4),
+		WWH_ORDER_DONE);
+	serving.rows[1][2] = sched_fixture_running_row(
+		sched_fixture_order(fixture->starts, 4), 100);
+	sched_fixture_run(fixture, 500);
+	sched_fixture_answer_poll(fixture, "u2", serving.rows[1], 3, NULL, 0);
+	assert_true(wwh_scheduler_cordon(fixture->scheduler, "u1", true,
+					 fixture->now_ms));
+	assert_int_equal(fixture->stops->len, 1);
 }
 
 /*
@@ -172,24 +184,26 @@
  */
 void a_stop_by_the_previous_holder_counts_until_its_limit(void **state)
 {
-	rig_t *rig = *state;
-	serving_t serving = start_serving(rig, rig_job(JOB_A, 4, 1000), 1);
-
-	rig_take_over(rig);
-	rig_announce(rig, "u1", AT_1, false);
-	rig_announce(rig, "u2", AT_2, false);
-	rig_run(rig, 1);
-	answer_all_available(rig, &serving);
-	rig_run(rig, 1);
-	rig_durable(rig);
-	(void)wwh_scheduler_cordon(rig->scheduler, "u1", true, rig->now_ms);
-	rig_run(rig, 100);
-	assert_int_equal(rig->stops->len, 0);
+	sched_fixture_t *fixture = *state;
+	serving_t serving =
+		start_serving(fixture, sched_fixture_job(JOB_A, 4, 1000), 1);
+
+	sched_fixture_take_over(fixture);
+	sched_fixture_announce(fixture, "u1", ENDPOINT_1, false);
+	sched_fixture_announce(fixture, "u2", ENDPOINT_2, false);
+	sched_fixture_run(fixture, 1);
+	answer_all_available(fixture, &serving);
+	sched_fixture_run(fixture, 1);
+	sched_fixture_make_durable(fixture);
+	(void)wwh_scheduler_cordon(fixture->scheduler, "u1", true,
+				   fixture->now_ms);
+	sched_fixture_run(fixture, 100);
+	assert_int_equal(fixture->stops->len, 0);
 	/* the tasks are listed again after the time limit of a stop */
-	rig_run(rig, rig->options.stop_limit_ms);
-	answer_all_available(rig, &serving);
-	rig_run(rig, 1);
-	assert_int_equal(rig->stops->len, 1);
+	sched_fixture_run(fixture, fixture->options.stop_limit_ms);
+	answer_all_available(fixture, &serving);
+	sched_fixture_run(fixture, 1);
+	assert_int_equal(fixture->stops->len, 1);
 }
 
 /*
@@ -198,44 +212,47 @@
  */
 void a_serving_gang_is_not_split(void **state)
 {
-	rig_t *rig = *state;
-	wwh_job_t *job = rig_job(JOB_A, SERVING_MAX, 1000);
+	sched_fixture_t *fixture = *state;
+	wwh_job_t *job = sched_fixture_job(JOB_A, SERVING_MAX, 1000);
 	serving_t serving;
 	const char *smaller_upstream;
 
 	job->steps[0].gang = true;
-	serving = start_serving(rig, job, SERVING_MAX / 2);
-	rig_run(rig, 500);
-	answer_all_available(rig, &serving);
+	serving = start_serving(fixture, job, SERVING_MAX / 2);
+	sched_fixture_run(fixture, 500);
+	answer_all_available(fixture, &serving);
 	smaller_upstream = serving.counts[0] < serving.counts[1] ? "u1" : "u2";
 	assert_true(MIN(serving.counts[0], serving.counts[1]) <=
 		    SERVING_MAX / 2);
-	assert_false(wwh_scheduler_cordon(rig->scheduler, smaller_upstream,
-					  true, rig->now_ms));
-	rig_run(rig, 100);
-	assert_int_equal(rig->stops->len, 0);
+	assert_false(wwh_scheduler_cordon(fixture->scheduler, smaller_upstream,
+					  true, fixture->now_ms));
+	sched_fixture_run(fixture, 100);
+	assert_int_equal(fixture->stops->len, 0);
 }
 
 /* A stopped task would only be unavailable, as it can't start elsewhere. */
 void a_cordoned_host_keeps_tasks_that_fit_nowhere_else(void **state)
 {
-	rig_t *rig = *state;
-	wwh_job_t *job = rig_job(JOB_A, 2, 1000);
-	wwh_running_t rows[2];
+	sched_fixture_t *fixture = *state;
+	wwh_job_t *job = sched_fixture_job(JOB_A, 2, 1000);
+	wwh_running_task_t rows[2];
 
 	job->steps[0].lasting = true;
 	job->steps[0].max_unavailable = 1;
-	rig_submit(rig, job);
+	sched_fixture_submit(fixture, job);
 	for (guint i = 0; i < 2; i++) {
-		rig_start_ended(rig, rig_order(rig->starts, i), WWH_ORDER_DONE);
-		rows[i] = rig_running(rig_order(rig->starts, i), 100);
+		sched_fixture_handle_start_result(
+			fixture, sched_fixture_order(fixture->starts, i),
+			WWH_ORDER_DONE);
+		rows[i] = sched_fixture_running_row(
+			sched_fixture_order(fixture->starts, i), 100);
 	}
-	rig_run(rig, 500);
-	rig_answer_poll(rig, "u1", rows, 2, NULL, 0);
-	assert_false(
-		wwh_scheduler_cordon(rig->scheduler, "u1", true, rig->now_ms));
-	rig_run(rig, 100);
-	assert_int_equal(rig->stops->len, 0);
+	sched_fixture_run(fixture, 500);
+	sched_fixture_answer_poll(fixture, "u1", rows, 2, NULL, 0);
+	assert_false(wwh_scheduler_cordon(fixture->scheduler, "u1", true,
+					  fixture->now_ms));
+	sched_fixture_run(fixture, 100);
+	assert_int_equal(fixture->stops->len, 0);
 }
 
 /*
@@ -244,129 +261,140 @@
  */
 void fillers_are_slowed_for_serving_tasks(void **state)
 {
-	rig_t *rig = *state;
-	wwh_job_t *serving = rig_job(JOB_A, 1, 1000);
-	wwh_job_t *filler = rig_job(JOB_B, 1, 1000);
-	wwh_running_t rows[2];
+	sched_fixture_t *fixture = *state;
+	wwh_job_t *serving = sched_fixture_job(JOB_A, 1, 1000);
+	wwh_job_t *filler = sched_fixture_job(JOB_B, 1, 1000);
+	wwh_running_task_t rows[2];
 
 	serving->steps[0].lasting = true;
 	serving->steps[0].latency_target_ms = 200;
 	filler->steps[0].filler = true;
-	rig_submit(rig, serving);
-	rig_submit(rig, filler);
-	assert_int_equal(rig->starts->len, 2);
+	sched_fixture_submit(fixture, serving);
+	sched_fixture_submit(fixture, filler);
+	assert_int_equal(fixture->starts->len, 2);
 	for (guint i = 0; i < 2; i++) {
-		rows[i] = rig_running(rig_order(rig->starts, i), 100);
-		rig_start_ended(rig, rig_order(rig->starts, i), WWH_ORDER_DONE);
+		rows[i] = sched_fixture_running_row(
+			sched_fixture_order(fixture->starts, i), 100);
+		sched_fixture_handle_start_result(
+			fixture, sched_fixture_order(fixture->starts, i),
+			WWH_ORDER_DONE);
 	}
 	rows[0].tail_ms = 300;
-	rig_run(rig, 1000);
-	rig_answer_poll(rig, "u1", rows, 2, NULL, 0);
-	assert_int_equal(rig->paces, 1);
-	assert_int_equal(rig->last_pace, 0);
-	wwh_scheduler_pace_ended(rig->scheduler, "u1", rows[1].task, 1,
-				 WWH_ORDER_DONE, rig->now_ms);
+	sched_fixture_run(fixture, 1000);
+	sched_fixture_answer_poll(fixture, "u1", rows, 2, NULL, 0);
+	assert_int_equal(fixture->pace_count, 1);
+	assert_int_equal(fixture->last_pace, 0);
+	wwh_scheduler_handle_pace_result(fixture->scheduler, "u1", rows[1].task,
+					 1, WWH_ORDER_DONE, fixture->now_ms);
 	rows[0].tail_ms = 50;
 	for (int32_t pace = 25; pace <= 100; pace += 25) {
-		rig_run(rig, 1000);
+		sched_fixture_run(fixture, 1000);
 		rows[1].percent = pace;
-		rig_answer_poll(rig, "u1", rows, 2, NULL, 0);
-		assert_int_equal(rig->last_pace, pace);
-		wwh_scheduler_pace_ended(rig->scheduler, "u1", rows[1].task, 1,
-					 WWH_ORDER_DONE, rig->now_ms);
+		sched_fixture_answer_poll(fixture, "u1", rows, 2, NULL, 0);
+		assert_int_equal(fixture->last_pace, pace);
+		wwh_scheduler_handle_pace_result(
+			fixture->scheduler, "u1", rows[1].task, 1,
+			WWH_ORDER_DONE, fixture->now_ms);
 	}
-	rig_run(rig, 1000);
-	rig_answer_poll(rig, "u1", rows, 2, NULL, 0);
-	assert_int_equal(rig->paces, 5);
+	sched_fixture_run(fixture, 1000);
+	sched_fixture_answer_poll(fixture, "u1", rows, 2, NULL, 0);
+	assert_int_equal(fixture->pace_count, 5);
 }
 
 /* A queue's policy admits only some upstreams, with tickets that expire. */
 void advice_is_requested_before_a_start_and_renewed(void **state)
 {
-	rig_t *rig = *state;
-	wwh_job_t *job = rig_job(JOB_A, 12, 1000);
+	sched_fixture_t *fixture = *state;
+	wwh_job_t *job = sched_fixture_job(JOB_A, 12, 1000);
 	wwh_advice_ticket_t admitted = { .upstream = "u2", .ticket = "t" };
 
 	job->queue.advice_valid_ms = 3000;
-	rig_submit(rig, job);
-	assert_int_equal(rig->starts->len, 0);
-	assert_int_equal(rig->advices, 1);
-	assert_int_equal(rig->advised_upstreams, 2);
-	assert_string_equal(rig->advised_step, JOB_A ".0.0");
-	wwh_scheduler_advised(rig->scheduler, JOB_A ".0.0", &admitted, 1, 3000,
-			      rig->now_ms);
-	rig_run(rig, 1);
-	assert_int_equal(rig->starts->len, 8);
+	sched_fixture_submit(fixture, job);
+	assert_int_equal(fixture->starts->len, 0);
+	assert_int_equal(fixture->advice_count, 1);
+	assert_int_equal(fixture->advised_upstreams, 2);
+	assert_string_equal(fixture->advised_step, JOB_A ".0.0");
+	wwh_scheduler_handle_advice(fixture->scheduler, JOB_A ".0.0", &admitted,
+				    1, 3000, fixture->now_ms);
+	sched_fixture_run(fixture, 1);
+	assert_int_equal(fixture->starts->len, 8);
 	for (guint i = 0; i < 8; i++)
-		assert_string_equal(rig_order(rig->starts, i)->upstream, "u2");
+		assert_string_equal(
+			sched_fixture_order(fixture->starts, i)->upstream,
+			"u2");
 	/* the admitted upstreams stay the same: only the ticket is renewed */
-	rig_run(rig, 3500);
-	answer_all_but(rig, "");
-	rig_run(rig, 1000);
-	assert_int_equal(rig->advices, 2);
-	assert_int_equal(rig->advised_upstreams, 1);
+	sched_fixture_run(fixture, 3500);
+	answer_all_but(fixture, "");
+	sched_fixture_run(fixture, 1000);
+	assert_int_equal(fixture->advice_count, 2);
+	assert_int_equal(fixture->advised_upstreams, 1);
 }
 
 void a_leaving_upstream_gets_no_new_tasks(void **state)
 {
-	rig_t *rig = *state;
+	sched_fixture_t *fixture = *state;
 
-	rig_announce(rig, "u1", AT_1, true);
-	rig_submit(rig, rig_job(JOB_A, 1, 1000));
-	rig_run(rig, 500);
-	assert_int_equal(rig->starts->len, 0);
+	sched_fixture_announce(fixture, "u1", ENDPOINT_1, true);
+	sched_fixture_submit(fixture, sched_fixture_job(JOB_A, 1, 1000));
+	sched_fixture_run(fixture, 500);
+	assert_int_equal(fixture->starts->len, 0);
 }
 
 /* Guards against starts that are based on outdated announcements. */
 void nothing_starts_while_starts_are_held(void **state)
 {
-	rig_t *rig = *state;
-
-	wwh_scheduler_hold_starts(rig->scheduler, true);
-	rig_submit(rig, rig_job(JOB_A, 1, 1000));
-	rig_run(rig, 500);
-	assert_int_equal(rig->starts->len, 0);
-	wwh_scheduler_hold_starts(rig->scheduler, false);
-	rig_run(rig, 1);
-	assert_int_equal(rig->starts->len, 1);
+	sched_fixture_t *fixture = *state;
+
+	wwh_scheduler_hold_starts(fixture->scheduler, true);
+	sched_fixture_submit(fixture, sched_fixture_job(JOB_A, 1, 1000));
+	sched_fixture_run(fixture, 500);
+	assert_int_equal(fixture->starts->len, 0);
+	wwh_scheduler_hold_starts(fixture->scheduler, false);
+	sched_fixture_run(fixture, 1);
+	assert_int_equal(fixture->starts->len, 1);
 }
 
-static void limit_cpu(rig_t *rig, int64_t millicores)
+static void limit_cpu(sched_fixture_t *fixture, int64_t millicores)
 {
 	wwh_load_t limit = { .cpu_millicores = millicores };
 
-	wwh_scheduler_clear_limits(rig->scheduler);
-	wwh_scheduler_limit_workspace(rig->scheduler, "w", &limit);
+	wwh_scheduler_clear_limits(fixture->scheduler);
+	wwh_scheduler_limit_workspace(fixture->scheduler, "w", &limit);
 }
 
 /* Guards against a workspace whose running tasks exceed its limit. */
 void a_workspace_starts_no_more_than_its_limit(void **state)
 {
-	rig_t *rig = *state;
-	wwh_job_t *job = rig_job(JOB_A, 5, 1000);
-	wwh_running_t running[2];
-	wwh_ended_t ended;
+	sched_fixture_t *fixture = *state;
+	wwh_job_t *job = sched_fixture_job(JOB_A, 5, 1000);
+	wwh_running_task_t running[2];
+	wwh_ended_task_t ended;
 
 	job->workspace = g_strdup("w");
-	limit_cpu(rig, 2000);
-	rig_submit(rig, job);
-	assert_int_equal(rig->starts->len, 2);
+	limit_cpu(fixture, 2000);
+	sched_fixture_submit(fixture, job);
+	assert_int_equal(fixture->starts->len, 2);
 	/* a job of another workspace isn't delayed by it */
-	rig_submit(rig, rig_job(JOB_B, 1, 1000));
-	assert_int_equal(rig->starts->len, 3);
+	sched_fixture_submit(fixture, sched_fixture_job(JOB_B, 1, 1000));
+	assert_int_equal(fixture->starts->len, 3);
 	/* an ended task makes room for another; a lower limit makes none */
 	for (guint i = 0; i < 3; i++)
-		rig_start_ended(rig, rig_order(rig->starts, i), WWH_ORDER_DONE);
-	ended = rig_ended(rig_order(rig->starts, 0), 1, WWH_END_DONE);
-	running[0] = rig_running(rig_order(rig->starts, 1), 50);
-	running[1] = rig_running(rig_order(rig->starts, 2), 50);
-	rig_run(rig, 300);
-	rig_answer_poll(rig, "u1", running, 2, &ended, 1);
-	rig_run(rig, 300);
-	assert_int_equal(rig->starts->len, 4);
-	limit_cpu(rig, 1000);
-	rig_run(rig, 300);
-	assert_int_equal(rig->starts->len, 4);
+		sched_fixture_handle_start_result(
+			fixture, sched_fixture_order(fixture->starts, i),
+			WWH_ORDER_DONE);
+	ended = sched_fixture_ended_row(sched_fixture_order(fixture->starts, 0),
+					1, WWH_END_DONE);
+	running[0] = sched_fixture_running_row(
+		sched_fixture_order(fixture->starts, 1), 50);
+	running[1] = sched_fixture_running_row(
+		sched_fixture_order(fixture->starts, 2), 50);
+	sched_fixture_run(fixture, 300);
+	sched_fixture_answer_poll(fixture, "u1", running, 2, &ended, 1);
+	sched_fixture_run(fixture, 300);
+	assert_int_equal(fixture->starts->len, 4);
+	limit_cpu(fixture, 1000);
+	sched_fixture_run(fixture, 300);
+	assert_int_equal(fixture->starts->len, 4);
 }
 
 /*
@@ -375,25 +403,25 @@
  */
 void tasks_of_the_previous_holder_count_for_the_limit(void **state)
 {
-	rig_t *rig = *state;
-	wwh_job_t *first = rig_job(JOB_A, 2, 1000);
-	wwh_job_t *next = rig_job(JOB_B, 2, 1000);
+	sched_fixture_t *fixture = *state;
+	wwh_job_t *first = sched_fixture_job(JOB_A, 2, 1000);
+	wwh_job_t *next = sched_fixture_job(JOB_B, 2, 1000);
 
 	first->workspace = g_strdup("w");
 	next->workspace = g_strdup("w");
-	limit_cpu(rig, 2000);
-	rig_submit(rig, first);
-	assert_int_equal(rig->starts->len, 2);
-	rig_take_over(rig);
-	limit_cpu(rig, 2000);
-	rig_add_upstream(rig, "u2", AT_2);
-	rig_submit(rig, next);
-	rig_run(rig, 100);
-	assert_int_equal(rig->starts->len, 2);
+	limit_cpu(fixture, 2000);
+	sched_fixture_submit(fixture, first);
+	assert_int_equal(fixture->starts->len, 2);
+	sched_fixture_take_over(fixture);
+	limit_cpu(fixture, 2000);
+	sched_fixture_add_upstream(fixture, "u2", ENDPOINT_2);
+	sched_fixture_submit(fixture, next);
+	sched_fixture_run(fixture, 100);
+	assert_int_equal(fixture->starts->len, 2);
 	/* no task runs on u1: tasks start again up to the limit */
-	rig_answer_poll(rig, "u1", NULL, 0, NULL, 0);
-	rig_run(rig, 300);
-	assert_int_equal(rig->starts->len, 4);
+	sched_fixture_answer_poll(fixture, "u1", NULL, 0, NULL, 0);
+	sched_fixture_run(fixture, 300);
+	assert_int_equal(fixture->starts->len, 4);
 }
 
 /*
@@ -404,25 +432,27 @@
  */
 void a_refused_ticket_is_requested_again(void **state)
 {
-	rig_t *rig = *state;
-	wwh_job_t *job = rig_job(JOB_A, 1, 1000);
+	sched_fixture_t *fixture = *state;
+	wwh_job_t *job = sched_fixture_job(JOB_A, 1, 1000);
 	wwh_advice_ticket_t admitted = { .upstream = "u1", .ticket = "t" };
 
 	job->steps[0].lasting = true;
 	job->queue.advice_valid_ms = 3000;
-	rig_submit(rig, job);
-	assert_int_equal(rig->advices, 1);
-	wwh_scheduler_advised(rig->scheduler, JOB_A ".0.0", &admitted, 1, 3000,
-			      rig->now_ms);
-	rig_run(rig, 1);
-	assert_int_equal(rig->starts->len, 1);
-	rig_start_ended(rig, rig_order(rig->starts, 0), WWH_ORDER_NO_TICKET);
+	sched_fixture_submit(fixture, job);
+	assert_int_equal(fixture->advice_count, 1);
+	wwh_scheduler_handle_advice(fixture->scheduler, JOB_A ".0.0", &admitted,
+				    1, 3000, fixture->now_ms);
+	sched_fixture_run(fixture, 1);
+	assert_int_equal(fixture->starts->len, 1);
+	sched_fixture_handle_start_result(
+		fixture, sched_fixture_order(fixture->starts, 0),
+		WWH_ORDER_NO_TICKET);
 	for (int32_t i = 0; i < 20; i++) {
-		rig_run(rig, 500);
-		answer_all_but(rig, "");
+		sched_fixture_run(fixture, 500);
+		answer_all_but(fixture, "");
 	}
-	assert_int_equal(rig->advices, 2);
-	assert_int_equal(rig->advised_upstreams, 1);
+	assert_int_equal(fixture->advice_count, 2);
+	assert_int_equal(fixture->advised_upstreams, 1);
 }
 
 /* Number of upstreams of a large pool, named "u1" to "u300". */
@@ -437,16 +467,16 @@
 }
 
 /* Adds MANY_UPSTREAMS upstreams, and then a new holder takes over. */
-static void take_over_many_upstreams(rig_t *rig)
+static void take_over_many_upstreams(sched_fixture_t *fixture)
 {
 	for (int32_t i = 1; i <= MANY_UPSTREAMS; i++) {
 		char endpoint[32];
 
 		snprintf(endpoint, sizeof(endpoint), "10.1.0.1:%d", i);
-		rig_add_upstream(rig, upstream_name(i), endpoint);
+		sched_fixture_add_upstream(fixture, upstream_name(i), endpoint);
 	}
-	rig_take_over(rig);
-	rig_run(rig, 1);
+	sched_fixture_take_over(fixture);
+	sched_fixture_run(fixture, 1);
 }
 
 /*
@@ -455,17 +485,19 @@
  */
 void first_polls_are_sent_as_answers_come(void **state)
 {
-	rig_t *rig = *state;
+	sched_fixture_t *fixture = *state;
 	int32_t polled = 0;
 
-	take_over_many_upstreams(rig);
-	while (rig->polls->len > 0) {
-		rig_poll_t poll = g_array_index(rig->polls, rig_poll_t, 0);
+	take_over_many_upstreams(fixture);
+	while (fixture->polls->len > 0) {
+		sched_fixture_poll_t poll =
+			g_array_index(fixture->polls, sched_fixture_poll_t, 0);
 
-		assert_in_range(rig->polls->len, 1, MANY_UPSTREAMS / 2);
-		rig_answer_poll(rig, poll.upstream, NULL, 0, NULL, 0);
+		assert_in_range(fixture->polls->len, 1, MANY_UPSTREAMS / 2);
+		sched_fixture_answer_poll(fixture, poll.upstream, NULL, 0, NULL,
+					  0);
 		polled++;
-		rig_run(rig, 0);
+		sched_fixture_run(fixture, 0);
 	}
 	assert_int_equal(polled, MANY_UPSTREAMS);
 }
@@ -476,27 +508,27 @@
  */
 void silent_upstreams_hold_back_no_first_poll(void **state)
 {
-	rig_t *rig = *state;
+	sched_fixture_t *fixture = *state;
 	GHashTable *polled =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 
-	take_over_many_upstreams(rig);
+	take_over_many_upstreams(fixture);
 	for (int32_t round = 0;
 	     round < 4 && g_hash_table_size(polled) < MANY_UPSTREAMS; round++) {
-		while (rig->polls->len > 0) {
-			rig_poll_t poll =
-				g_array_index(rig->polls, rig_poll_t, 0);
+		while (fixture->polls->len > 0) {
+			sched_fixture_poll_t poll = g_array_index(
+				fixture->polls, sched_fixture_poll_t, 0);
 
 			assert_true(g_hash_table_add(polled,
 						     g_strdup(poll.upstream)));
-			(void)rig_take_poll(rig, poll.upstream);
-			wwh_scheduler_handle_poll_failure(rig->scheduler,
+			(void)sched_fixture_pop_poll(fixture, poll.upstream);
+			wwh_scheduler_handle_poll_failure(fixture->scheduler,
 							  poll.upstream, false,
-							  rig->now_ms);
+							  fixture->now_ms);
 			if (g_hash_table_size(polled) == MANY_UPSTREAMS)
 				break;
 		}
-		rig_run(rig, 150);
+		sched_fixture_run(fixture, 150);
 	}
 	assert_int_equal(g_hash_table_size(polled), MANY_UPSTREAMS);
 	g_hash_table_destroy(polled);
--- a/src/test_wire/test_wire.c
+++ b/src/test_wire/test_wire.c
@@ -342,7 +342,7 @@
 	bool all;
 
 	assert_int_equal(wire_upstream_polled(&answer, &poll), WWH_ORDER_DONE);
-	all = poll.rows.ended_in_full;
+	all = poll.rows.ended_complete;
 	*rows = poll.rows.running_count + poll.rows.ended_count;
 	wire_upstream_poll_clear(&poll);
 	g_free(body);
