--- a/src/libwaxwinghollow/job_holder_orders.c
+++ b/src/libwaxwinghollow/job_holder_orders.c
@@ -43,7 +43,7 @@
 		order, holder->options.epoch, ORDER_TIMEOUT_MS);
 
 	/* don't send it after a wait in which the upstream may have left */
-	call->send_limit_ms =
+	call->send_timeout_ms =
 		MAX(holder->starts_allowed_until_ms - holder->now_ms, 1);
 	wwh_counter_add(holder->starts, 1);
 	wwh_http_calls_send(
--- a/src/libwaxwinghollow/shard_journal.c
+++ b/src/libwaxwinghollow/shard_journal.c
@@ -248,7 +248,7 @@
 		&writer, g_byte_array_ref(journal->batch),
 		append_timeout_ms(journal));
 
-	call->taken_first = true;
+	call->has_priority = true;
 	journal->in_flight = true;
 	journal->sent_us = g_get_monotonic_time();
 	journal->sent_ms = now_ms;
