--- a/src/test_node_file/test_node_file.c
+++ b/src/test_node_file/test_node_file.c
@@ -1,6 +1,6 @@
 /*
  * The platform's settings file: optional and unknown names, and an error for
- * each line that can't be read.
+ * each malformed line.
  */
 
 #include <setjmp.h>
@@ -15,7 +15,7 @@
 
 #include "node_file.h"
 
-#define NEEDED                                                                 \
+#define REQUIRED_SETTINGS                                                      \
 	"node=edge-1\nip=10.1.0.9\nlisten.frontend=10.1.0.9:8624\n"            \
 	"listen.readiness=10.1.0.9:8622\ninternalPorts=7060,7075\n"            \
 	"platform.address=10.200.1.7:8621\n"
@@ -60,7 +60,7 @@
 
 	(void)state;
 	assert_int_equal(
-		load(NEEDED
+		load(REQUIRED_SETTINGS
 		     "zone=hall-a\ncloud.address=10.2.0.1:86\n"
 		     "advice=10.2.0.2:87\nbounds.noticeMs=4600\n"
 		     "bounds.holdMaxMs=9000\nbounds.moveS=1.5\n"
@@ -88,7 +88,7 @@
 	g_string_free(errors.text, TRUE);
 }
 
-/* Optional names may be missing, or empty where the deployment has none. */
+/* Optional settings may be missing, or empty if the deployment has none. */
 static void optional_names_have_defaults(void **state)
 {
 	wwh_host_settings_t settings;
@@ -97,9 +97,9 @@
 
 	(void)state;
 	wwh_host_settings_init(&defaults);
-	assert_int_equal(
-		load(NEEDED "advice=\nbounds.stopMs=\n", &settings, &errors),
-		WWH_STATUS_OK);
+	assert_int_equal(load(REQUIRED_SETTINGS "advice=\nbounds.stopMs=\n",
+			      &settings, &errors),
+			 WWH_STATUS_OK);
 	assert_null(settings.advice);
 	assert_null(settings.hosts);
 	assert_int_equal(settings.stop_limit_ms, defaults.stop_limit_ms);
@@ -117,17 +117,26 @@
 		const char *text;
 		const char *error;
 	} cases[] = {
-		{ NEEDED "no equals sign\n", "7 no equals sign: expected" },
-		{ NEEDED "bounds.graceS=six\n", "7 bounds.graceS: expected" },
-		{ NEEDED "bounds.graceS=-1\n", "7 bounds.graceS: expected" },
-		{ NEEDED "bounds.graceS=nan\n", "7 bounds.graceS: expected" },
-		{ NEEDED "bounds.fencingRequired=1\n",
+		{ REQUIRED_SETTINGS "no equals sign\n",
+		  "7 no equals sign: expected" },
+		{ REQUIRED_SETTINGS "bounds.graceS=six\n",
+		  "7 bounds.graceS: expected" },
+		{ REQUIRED_SETTINGS "bounds.graceS=-1\n",
+		  "7 bounds.graceS: expected" },
+		{ REQUIRED_SETTINGS "bounds.graceS=nan\n",
+		  "7 bounds.graceS: expected" },
+		{ REQUIRED_SETTINGS "bounds.fencingRequired=1\n",
 		  "7 bounds.fencingRequired: expected" },
-		{ NEEDED "cloud.address=10.2.0.1\n", "7 cloud.address: " },
-		{ NEEDED "cloud.address=10.2.0.1:0\n", "7 cloud.address: " },
-		{ NEEDED "cloud.address=host:80\n", "7 cloud.address: " },
-		{ NEEDED "listen.frontend=:8624\n", "7 listen.frontend: " },
-		{ NEEDED "internalPorts=70600\n", "7 internalPorts: " },
+		{ REQUIRED_SETTINGS "cloud.address=10.2.0.1\n",
+		  "7 cloud.address: " },
+		{ REQUIRED_SETTINGS "cloud.address=10.2.0.1:0\n",
+		  "7 cloud.address: " },
+		{ REQUIRED_SETTINGS "cloud.address=host:80\n",
+		  "7 cloud.address: " },
+		{ REQUIRED_SETTINGS "listen.frontend=:8624\n",
+		  "7 listen.frontend: " },
+		{ REQUIRED_SETTINGS "internalPorts=70600\n",
+		  "7 internalPorts: " },
 		{ "node=edge-1\n", "0 platform.address: is missing" },
 		{ "", "0 node: is missing" },
 	};
@@ -145,7 +154,7 @@
 	}
 }
 
-static void a_file_that_is_not_there_is_an_error(void **state)
+static void a_missing_file_is_an_error(void **state)
 {
 	wwh_host_settings_t settings;
 	errors_t errors = { .text = g_string_new(NULL) };
@@ -164,7 +173,7 @@
 		cmocka_unit_test(a_full_file_is_read),
 		cmocka_unit_test(optional_names_have_defaults),
 		cmocka_unit_test(each_error_names_its_line),
-		cmocka_unit_test(a_file_that_is_not_there_is_an_error),
+		cmocka_unit_test(a_missing_file_is_an_error),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
