--- a/src/libwaxwinghollow/job_holder.c
+++ b/src/libwaxwinghollow/job_holder.c
@@ -329,9 +329,9 @@
 
 	/* one that couldn't be read is replaced now */
 	if (value == NULL)
-		wwh_bad_records_gone(holder->bad_records, whole);
+		wwh_bad_records_mark_removed(holder->bad_records, whole);
 	else
-		wwh_bad_records_whole(holder->bad_records, whole);
+		wwh_bad_records_mark_readable(holder->bad_records, whole);
 	g_free(whole);
 	return number;
 }
@@ -470,8 +470,8 @@
 				holder->scheduler, kind, key + 1, data, size,
 				holder->now_ms, holder->wall_ms, &message);
 		if (!ok)
-			wwh_bad_records_found(holder->bad_records, key,
-					      message.text);
+			wwh_bad_records_mark_unreadable(holder->bad_records,
+							key, message.text);
 	}
 }
 
--- a/src/libwaxwinghollow/job_holder_hosts.c
+++ b/src/libwaxwinghollow/job_holder_hosts.c
@@ -131,7 +131,7 @@
 		list_page(holder);
 	} else {
 		if (ok)
-			wwh_bad_records_listed(holder->bad_hosts,
+			wwh_bad_records_retain(holder->bad_hosts,
 					       holder->bad_listed);
 		wwh_host_duties_list_end(holder->duties, ok, holder->now_ms);
 	}
@@ -145,10 +145,10 @@
 
 	if (host->unreadable != NULL) {
 		g_hash_table_add(holder->bad_listed, g_strdup(name));
-		wwh_bad_records_found(holder->bad_hosts, name,
-				      host->unreadable);
+		wwh_bad_records_mark_unreadable(holder->bad_hosts, name,
+						host->unreadable);
 	} else {
-		wwh_bad_records_whole(holder->bad_hosts, name);
+		wwh_bad_records_mark_readable(holder->bad_hosts, name);
 	}
 	wwh_host_duties_list_host(holder->duties, host);
 }
--- a/src/libwaxwinghollow/job_service_events.c
+++ b/src/libwaxwinghollow/job_service_events.c
@@ -80,7 +80,7 @@
 	wwh_job_service_t *service = data;
 
 	if (value == NULL)
-		wwh_bad_records_gone(service->bad_orders, key);
+		wwh_bad_records_mark_removed(service->bad_orders, key);
 	else if (wire_operator_is_config(key))
 		take_config(service, key, value, size);
 	else if (wire_operator_is_wave(key))
@@ -92,7 +92,7 @@
 	wwh_job_service_t *service = data;
 	char *key = g_strdup_printf("(offset %" G_GINT64_FORMAT ")", offset);
 
-	wwh_bad_records_found(service->bad_orders, key, why);
+	wwh_bad_records_mark_unreadable(service->bad_orders, key, why);
 	g_free(key);
 }
 
@@ -104,11 +104,12 @@
 	wwh_wave_order_t *order = wire_operator_wave(key, value, size, &why);
 
 	if (order == NULL) {
-		wwh_bad_records_found(service->bad_orders, key, why.text);
+		wwh_bad_records_mark_unreadable(service->bad_orders, key,
+						why.text);
 		return;
 	}
 	wwh_wave_order_delete(order);
-	wwh_bad_records_whole(service->bad_orders, key);
+	wwh_bad_records_mark_readable(service->bad_orders, key);
 	g_hash_table_replace(service->waves, g_strdup(key),
 			     g_bytes_new(value, size));
 	if (service->holder != NULL)
@@ -128,10 +129,11 @@
 	bool newer;
 
 	if (config == NULL) {
-		wwh_bad_records_found(service->bad_orders, key, why.text);
+		wwh_bad_records_mark_unreadable(service->bad_orders, key,
+						why.text);
 		return;
 	}
-	wwh_bad_records_whole(service->bad_orders, key);
+	wwh_bad_records_mark_readable(service->bad_orders, key);
 	g_mutex_lock(&service->lock);
 	newer = service->config == NULL ||
 		config->version > service->config->version;
--- a/src/test_bad_records/test_bad_records.c
+++ b/src/test_bad_records/test_bad_records.c
@@ -1,4 +1,4 @@
-/* Which lines are logged of records that can't be read, and what is counted. */
+/* Log lines and counters of records that can't be read. */
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -61,9 +61,9 @@
 	return 0;
 }
 
-/* How many lines of that event were written; text holds the last one. */
-static int32_t lines_of(fixture_t *fixture, const char *event, char *text,
-			size_t size)
+/* The number of unread log lines of the event; copies the last one to text. */
+static int32_t count_lines(fixture_t *fixture, const char *event, char *text,
+			   size_t size)
 {
 	static char all[1 << 17];
 	ssize_t length = read(fixture->pipe[0], all, sizeof(all) - 1);
@@ -83,63 +83,65 @@
 	return count;
 }
 
-static int64_t counted(fixture_t *fixture, const char *name)
+static int64_t counter_value(fixture_t *fixture, const char *name)
 {
 	return wwh_counter_value(wwh_counters_get(fixture->counters, name));
 }
 
 /*
- * An upstream's entry can't be read, and its writer rewrites it each second.
- * A line for each time would fill the log; there is one, and one more when the
- * reason is another, and one when it is mended.
+ * An upstream rewrites its unreadable entry each second, and a line per rewrite
+ * would fill the log. One line is logged for the first report, one when the
+ * reason changes and one when the entry becomes readable.
  */
-static void a_bad_record_has_a_line_for_each_change(void **state)
+static void a_bad_record_is_logged_on_each_change(void **state)
 {
 	fixture_t *fixture = *state;
 	char line[512];
 
 	for (int32_t i = 0; i < 100; i++)
-		wwh_bad_records_found(fixture->records, "u1", "no address");
-	assert_int_equal(
-		lines_of(fixture, "\"record-unreadable\"", line, sizeof(line)),
-		1);
+		wwh_bad_records_mark_unreadable(fixture->records, "u1",
+						"no address");
+	assert_int_equal(count_lines(fixture, "\"record-unreadable\"", line,
+				     sizeof(line)),
+			 1);
 	assert_non_null(strstr(line, "\"id\":\"u1\""));
 	assert_non_null(strstr(line, "list=upstreams why=no address"));
-	wwh_bad_records_found(fixture->records, "u1", "no state");
+	wwh_bad_records_mark_unreadable(fixture->records, "u1", "no state");
+	assert_int_equal(count_lines(fixture, "\"record-unreadable\"", line,
+				     sizeof(line)),
+			 1);
+	assert_int_equal(counter_value(fixture, "records.unreadable"), 2);
+	assert_int_equal(counter_value(fixture, "records.unreadable_now"), 1);
+	wwh_bad_records_mark_readable(fixture->records, "u1");
+	wwh_bad_records_mark_readable(fixture->records, "u1");
+	wwh_bad_records_mark_readable(fixture->records, "u2");
 	assert_int_equal(
-		lines_of(fixture, "\"record-unreadable\"", line, sizeof(line)),
+		count_lines(fixture, "\"record-mended\"", line, sizeof(line)),
 		1);
-	assert_int_equal(counted(fixture, "records.unreadable"), 2);
-	assert_int_equal(counted(fixture, "records.unreadable_now"), 1);
-	wwh_bad_records_whole(fixture->records, "u1");
-	wwh_bad_records_whole(fixture->records, "u1");
-	wwh_bad_records_whole(fixture->records, "u2");
-	assert_int_equal(
-		lines_of(fixture, "\"record-mended\"", line, sizeof(line)), 1);
-	assert_int_equal(counted(fixture, "records.unreadable_now"), 0);
+	assert_int_equal(counter_value(fixture, "records.unreadable_now"), 0);
 }
 
-static void a_bad_record_that_is_dropped_is_gone(void **state)
+static void a_removed_bad_record_is_logged_as_gone(void **state)
 {
 	fixture_t *fixture = *state;
 	GHashTable *listed =
 		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, NULL);
 	char line[512];
 
-	wwh_bad_records_found(fixture->records, "h1", "x");
-	wwh_bad_records_found(fixture->records, "h2", "x");
-	wwh_bad_records_found(fixture->records, "h3", "x");
-	wwh_bad_records_gone(fixture->records, "h1");
+	wwh_bad_records_mark_unreadable(fixture->records, "h1", "x");
+	wwh_bad_records_mark_unreadable(fixture->records, "h2", "x");
+	wwh_bad_records_mark_unreadable(fixture->records, "h3", "x");
+	wwh_bad_records_mark_removed(fixture->records, "h1");
 	g_hash_table_add(listed, "h3");
-	wwh_bad_records_listed(fixture->records, listed);
+	wwh_bad_records_retain(fixture->records, listed);
 	assert_int_equal(
-		lines_of(fixture, "\"record-gone\"", line, sizeof(line)), 2);
-	assert_int_equal(counted(fixture, "records.unreadable_now"), 1);
+		count_lines(fixture, "\"record-gone\"", line, sizeof(line)), 2);
+	assert_int_equal(counter_value(fixture, "records.unreadable_now"), 1);
 	g_hash_table_destroy(listed);
 }
 
-/* Another writer may leave any number of them, under any keys. */
-static void lines_and_memory_are_bounded(void **state)
+/* Other programs may write any number of unreadable records, with any keys. */
+static void log_lines_and_memory_are_bounded(void **state)
 {
 	fixture_t *fixture = *state;
 	char *key = g_strnfill(3000, '\xff');
@@ -149,22 +151,22 @@
 		char name[32];
 
 		g_snprintf(name, sizeof(name), "u%d", i);
-		wwh_bad_records_found(fixture->records, name, "x");
+		wwh_bad_records_mark_unreadable(fixture->records, name, "x");
 	}
-	assert_int_equal(
-		lines_of(fixture, "\"record-unreadable\"", line, sizeof(line)),
-		WWH_BAD_RECORDS_MAX);
-	wwh_bad_records_found(fixture->records, "u9999", "x");
-	assert_int_equal(lines_of(fixture, "\"records-unreadable-more\"", line,
-				  sizeof(line)),
+	assert_int_equal(count_lines(fixture, "\"record-unreadable\"", line,
+				     sizeof(line)),
+			 WWH_BAD_RECORDS_MAX);
+	wwh_bad_records_mark_unreadable(fixture->records, "u9999", "x");
+	assert_int_equal(count_lines(fixture, "\"records-unreadable-more\"",
+				     line, sizeof(line)),
 			 0);
-	assert_int_equal(counted(fixture, "records.unreadable_now"),
+	assert_int_equal(counter_value(fixture, "records.unreadable_now"),
 			 WWH_BAD_RECORDS_MAX);
-	wwh_bad_records_gone(fixture->records, "u0");
-	wwh_bad_records_found(fixture->records, key, "x");
-	assert_int_equal(
-		lines_of(fixture, "\"record-unreadable\"", line, sizeof(line)),
-		1);
+	wwh_bad_records_mark_removed(fixture->records, "u0");
+	wwh_bad_records_mark_unreadable(fixture->records, key, "x");
+	assert_int_equal(count_lines(fixture, "\"record-unreadable\"", line,
+				     sizeof(line)),
+			 1);
 	assert_true(strlen(line) < 400);
 	assert_true(g_utf8_validate(line, -1, NULL));
 	g_free(key);
@@ -174,13 +176,13 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test_setup_teardown(
-			a_bad_record_has_a_line_for_each_change, set_up,
+			a_bad_record_is_logged_on_each_change, set_up,
 			tear_down),
 		cmocka_unit_test_setup_teardown(
-			a_bad_record_that_is_dropped_is_gone, set_up,
+			a_removed_bad_record_is_logged_as_gone, set_up,
 			tear_down),
-		cmocka_unit_test_setup_teardown(lines_and_memory_are_bounded,
-						set_up, tear_down),
+		cmocka_unit_test_setup_teardown(
+			log_lines_and_memory_are_bounded, set_up, tear_down),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
