--- a/src/libwaxwinghollow/job_holder.c
+++ b/src/libwaxwinghollow/job_holder.c
@@ -171,7 +171,8 @@
 void wwh_job_holder_wave(wwh_job_holder_t *holder, const char *key,
 			 const uint8_t *value, size_t size)
 {
-	wwh_wave_order_t *order = wire_operator_wave(key, value, size, NULL);
+	wwh_wave_order_t *order =
+		wire_operator_parse_wave(key, value, size, NULL);
 
 	if (order != NULL)
 		wwh_host_duties_wave(holder->duties, order, holder->now_ms);
--- a/src/libwaxwinghollow/job_holder_hosts.c
+++ b/src/libwaxwinghollow/job_holder_hosts.c
@@ -74,7 +74,7 @@
 	gsize size;
 	const uint8_t *data = g_bytes_get_data(state, &size);
 
-	wire_store_pack(body, key, data, size);
+	wire_store_pack_record(body, key, data, size);
 	g_ptr_array_add(holder->reports, body);
 	g_bytes_unref(state);
 	g_free(key);
@@ -124,7 +124,7 @@
 		return;
 	}
 	job_holder_tick(holder);
-	ok = wire_hosts_listed(answer, &next, take_host, holder);
+	ok = wire_hosts_list_answer(answer, &next, take_host, holder);
 	g_free(holder->list_page);
 	holder->list_page = next;
 	if (ok && next != NULL) {
@@ -157,7 +157,7 @@
 {
 	duty_t *duty = data;
 	wwh_job_holder_t *holder = duty->holder;
-	wwh_duty_result_t result = wire_hosts_result(answer);
+	wwh_duty_result_t result = wire_hosts_duty_answer(answer);
 
 	holder->host_orders_out--;
 	job_holder_tick(holder);
@@ -177,7 +177,7 @@
 {
 	duty_t *duty = data;
 	wwh_job_holder_t *holder = duty->holder;
-	wwh_duty_result_t result = wire_hosts_result(answer);
+	wwh_duty_result_t result = wire_hosts_duty_answer(answer);
 
 	holder->host_orders_out--;
 	job_holder_tick(holder);
--- a/src/libwaxwinghollow/job_holder_upstreams.c
+++ b/src/libwaxwinghollow/job_holder_upstreams.c
@@ -60,7 +60,7 @@
 						 holder->now_ms);
 		return;
 	}
-	if (!wire_operator_upstream(key, value, size, &info, &why)) {
+	if (!wire_operator_parse_upstream(key, value, size, &info, &why)) {
 		g_hash_table_remove(holder->unnamed, key);
 		refuse(holder, key, why.text);
 		return;
--- a/src/libwaxwinghollow/job_service_access.c
+++ b/src/libwaxwinghollow/job_service_access.c
@@ -22,7 +22,7 @@
 					  SECOND_MS);
 		return false;
 	}
-	key = wire_caller_key(call->http->headers);
+	key = wire_caller_api_key(call->http->headers);
 	access = wwh_api_keys_check(call->config->api_keys, key,
 				    &call->workspace);
 	g_free(key);
--- a/src/libwaxwinghollow/job_service_events.c
+++ b/src/libwaxwinghollow/job_service_events.c
@@ -81,9 +81,9 @@
 
 	if (value == NULL)
 		wwh_bad_records_mark_removed(service->bad_orders, key);
-	else if (wire_operator_is_config(key))
+	else if (wire_operator_is_config_key(key))
 		take_config(service, key, value, size);
-	else if (wire_operator_is_wave(key))
+	else if (wire_operator_is_wave_key(key))
 		take_wave(service, key, value, size);
 }
 
@@ -101,7 +101,8 @@
 		      const uint8_t *value, size_t size)
 {
 	wwh_message_t why;
-	wwh_wave_order_t *order = wire_operator_wave(key, value, size, &why);
+	wwh_wave_order_t *order =
+		wire_operator_parse_wave(key, value, size, &why);
 
 	if (order == NULL) {
 		wwh_bad_records_mark_unreadable(service->bad_orders, key,
@@ -124,7 +125,7 @@
 			const uint8_t *value, size_t size)
 {
 	wwh_message_t why = { "version isn't a number above 0" };
-	wwh_job_config_t *config = wire_operator_config(
+	wwh_job_config_t *config = wire_operator_parse_config(
 		value, size, service->settings.checks_keys, &why);
 	bool newer;
 
--- a/src/libwaxwinghollow/job_service_http.c
+++ b/src/libwaxwinghollow/job_service_http.c
@@ -100,7 +100,7 @@
 		wwh_listener_answer_error(response, WWH_ERROR_BAD_REQUEST, 0);
 		return;
 	}
-	request->limit_ms = wire_caller_patience_ms(
+	request->limit_ms = wire_caller_timeout_ms(
 		call->http->headers, timeout_ms > 0 ? timeout_ms : PATIENCE_MS);
 	answer = job_service_ask(service, request);
 	wwh_histogram_add(service->answer_ms[request->kind],
@@ -256,8 +256,8 @@
 	} else if (strcmp(http->method, "DELETE") == 0) {
 		request = job_request_new(JOB_REQUEST_CANCEL);
 	} else if (strcmp(http->method, "POST") == 0) {
-		wwh_job_t *job = wire_caller_job(rest, rules, http->body,
-						 http->body_size, message);
+		wwh_job_t *job = wire_caller_parse_job(
+			rest, rules, http->body, http->body_size, message);
 
 		if (job == NULL)
 			return NULL;
@@ -293,9 +293,9 @@
 		return;
 	}
 	if (request->kind == JOB_REQUEST_STATE)
-		text = wire_caller_state(answer->state);
+		text = wire_caller_state_body(answer->state);
 	else if (request->kind == JOB_REQUEST_PENDING)
-		text = wire_caller_pending(answer->pending);
+		text = wire_caller_pending_body(answer->pending);
 	else
 		text = g_strdup("{}");
 	answer_text(response, STATUS_OK, "application/json", text);
--- a/src/libwaxwinghollow/shard_claim_text.c
+++ b/src/libwaxwinghollow/shard_claim_text.c
@@ -21,7 +21,7 @@
 		g_clear_pointer(address, g_free);
 		return true;
 	}
-	if (wire_fields_endpoint(*address))
+	if (wire_fields_is_endpoint(*address))
 		return true;
 	g_clear_pointer(address, g_free);
 	return false;
--- a/src/libwaxwinghollow/shard_claim_watch.c
+++ b/src/libwaxwinghollow/shard_claim_watch.c
@@ -341,7 +341,7 @@
 	    claim->now_ms - claim->proof_failed_ms < PROBE_SOON_MS)
 		return;
 	body = g_byte_array_new();
-	wire_store_pack(body, PROOF_KEY, NULL, 0);
+	wire_store_pack_record(body, PROOF_KEY, NULL, 0);
 	call = wire_store_append(claim->store, claim->topic,
 				 claim->options.journal_part, &plain, body,
 				 PROOF_LIMIT_MS);
--- a/src/libwaxwinghollow/shard_journal.c
+++ b/src/libwaxwinghollow/shard_journal.c
@@ -226,7 +226,7 @@
 			journal->urgent = true;
 			return;
 		}
-		wire_store_pack(journal->batch, entry->key, value, size);
+		wire_store_pack_record(journal->batch, entry->key, value, size);
 		journal->batch_last = entry->number;
 		entry_delete(g_queue_pop_head(journal->waiting));
 	}
--- a/src/test_wire/test_fields.c
+++ b/src/test_wire/test_fields.c
@@ -1,6 +1,6 @@
 /*
- * Records of the platform of which another writer has changed a field: each is
- * read whole or not at all.
+ * Records of the platform with an invalid field, as another program may write
+ * them: a record is decoded completely or not at all.
  */
 
 #include "test_wire.h"
@@ -10,8 +10,8 @@
 static bool reads_upstream(const char *text)
 {
 	wwh_upstream_info_t info;
-	bool ok = wire_operator_upstream("u1", (const uint8_t *)text,
-					 strlen(text), &info, NULL);
+	bool ok = wire_operator_parse_upstream("u1", (const uint8_t *)text,
+					       strlen(text), &info, NULL);
 
 	wwh_upstream_info_clear(&info);
 	return ok;
@@ -19,8 +19,8 @@
 
 static bool reads_wave(const char *key, const char *text)
 {
-	wwh_wave_order_t *order = wire_operator_wave(key, (const uint8_t *)text,
-						     strlen(text), NULL);
+	wwh_wave_order_t *order = wire_operator_parse_wave(
+		key, (const uint8_t *)text, strlen(text), NULL);
 	bool ok = order != NULL;
 
 	wwh_wave_order_delete(order);
@@ -29,7 +29,7 @@
 
 static bool reads_config(const char *text)
 {
-	wwh_job_config_t *config = wire_operator_config(
+	wwh_job_config_t *config = wire_operator_parse_config(
 		(const uint8_t *)text, strlen(text), false, NULL);
 	bool ok = config != NULL;
 
@@ -37,8 +37,9 @@
 	return ok;
 }
 
-/* text with the first old in it replaced; fails when it holds none. */
-static char *edited(const char *text, const char *old, const char *new_text)
+/* Copies text with the first old replaced; fails if text has none. */
+static char *replace_first(const char *text, const char *old,
+			   const char *new_text)
 {
 	const char *at = strstr(text, old);
 
@@ -47,18 +48,18 @@
 			       at + strlen(old));
 }
 
-static const char whole_upstream[] =
+static const char valid_upstream[] =
 	"{\"service\":\"desk\",\"address\":\"10.0.0.1:80\",\"zone\":\"a\","
 	"\"version\":\"v1\",\"slots\":8,\"state\":\"ready\",\"coldLeftMs\":0,"
 	"\"capacity\":{\"cpu\":8000,\"memMb\":16000,\"gpu\":0},"
 	"\"labels\":[\"a\",\"r1\"],\"clockMs\":5,\"sequence\":4}";
 
 /*
- * Another writer has changed one field of an upstream's entry. It was taken
- * for an upstream that is ready, with no room or at no endpoint, and tasks
- * were sent there. Such an entry says nothing that may be acted on.
+ * Guards against an upstream's entry with one invalid field that is accepted as
+ * a ready upstream, with no room or without an endpoint, so that tasks are sent
+ * there.
  */
-void an_upstream_with_a_bad_field_is_not_read(void **state)
+void an_upstream_with_a_bad_field_is_rejected(void **state)
 {
 	static const char *const edits[][2] = {
 		{ "\"service\":\"desk\",", "" },
@@ -104,12 +105,13 @@
 	};
 
 	(void)state;
-	assert_true(reads_upstream(whole_upstream));
+	assert_true(reads_upstream(valid_upstream));
 	for (size_t i = 0; i < G_N_ELEMENTS(edits); i++) {
-		char *text = edited(whole_upstream, edits[i][0], edits[i][1]);
+		char *text =
+			replace_first(valid_upstream, edits[i][0], edits[i][1]);
 
 		if (reads_upstream(text))
-			fail_msg("taken: %s", text);
+			fail_msg("accepted: %s", text);
 		g_free(text);
 	}
 	assert_false(reads_upstream(""));
@@ -117,11 +119,11 @@
 	assert_false(reads_upstream("[]"));
 }
 
-/* What may be left out where it is zero still makes a whole entry. */
+/* Writers may omit these fields when they are 0; the entry is still valid. */
 void zero_fields_of_an_upstream_may_be_left_out(void **state)
 {
-	char *first = edited(whole_upstream, "\"coldLeftMs\":0,", "");
-	char *both = edited(first, ",\"gpu\":0", "");
+	char *first = replace_first(valid_upstream, "\"coldLeftMs\":0,", "");
+	char *both = replace_first(first, ",\"gpu\":0", "");
 
 	(void)state;
 	assert_true(reads_upstream(both));
@@ -129,16 +131,16 @@
 	g_free(both);
 }
 
-static const char whole_wave[] =
+static const char valid_wave[] =
 	"{\"wave\":1,\"machines\":[\"m1\",\"m2\"],\"durationS\":20,"
 	"\"maxCount\":1}";
 
 /*
- * A wave's order has lost its list of hosts, or its number. It was begun as a
- * wave of no hosts, or as another one, and at once reported as completed,
- * though no host had its upkeep.
+ * Guards against an order of a wave without its list of hosts or its number
+ * that is started as a wave of no hosts, or as another wave, and is reported as
+ * completed at once although no host had its upkeep.
  */
-void a_wave_with_a_bad_field_is_not_read(void **state)
+void a_wave_with_a_bad_field_is_rejected(void **state)
 {
 	static const char *const edits[][2] = {
 		{ "\"wave\":1,", "" },
@@ -158,18 +160,19 @@
 	};
 
 	(void)state;
-	assert_true(reads_wave("wave/1", whole_wave));
+	assert_true(reads_wave("wave/1", valid_wave));
 	for (size_t i = 0; i < G_N_ELEMENTS(edits); i++) {
-		char *text = edited(whole_wave, edits[i][0], edits[i][1]);
+		char *text =
+			replace_first(valid_wave, edits[i][0], edits[i][1]);
 
 		if (reads_wave("wave/1", text))
-			fail_msg("taken: %s", text);
+			fail_msg("accepted: %s", text);
 		g_free(text);
 	}
-	assert_false(reads_wave("wave/2", whole_wave));
+	assert_false(reads_wave("wave/2", valid_wave));
 }
 
-static const char whole_config[] =
+static const char valid_config[] =
 	"{\"version\":7,\"routes\":[{\"name\":\"r1\",\"host\":\"h\","
 	"\"pathPrefix\":\"/a/\",\"timeoutMs\":3000,\"targetLatencyMs\":600,"
 	"\"priority\":1,\"service\":\"desk\",\"maxAttempts\":3,"
@@ -177,11 +180,11 @@
 	"\"limits\":{\"maxBodyBytes\":262144}}";
 
 /*
- * One queue of a configuration can't be read. The rest was put in force
- * without it, and its callers were told that there is no such queue. The
- * version before goes on instead.
+ * Guards against a configuration with one unreadable queue that takes effect
+ * without that queue, so that its callers are answered that the queue doesn't
+ * exist. The previous version stays in force instead.
  */
-void a_configuration_with_a_bad_row_is_not_read(void **state)
+void a_configuration_with_a_bad_row_is_rejected(void **state)
 {
 	static const char *const edits[][2] = {
 		{ "\"version\":7", "\"version\":\"7\"" },
@@ -203,12 +206,13 @@
 	};
 
 	(void)state;
-	assert_true(reads_config(whole_config));
+	assert_true(reads_config(valid_config));
 	for (size_t i = 0; i < G_N_ELEMENTS(edits); i++) {
-		char *text = edited(whole_config, edits[i][0], edits[i][1]);
+		char *text =
+			replace_first(valid_config, edits[i][0], edits[i][1]);
 
 		if (reads_config(text))
-			fail_msg("taken: %s", text);
+			fail_msg("accepted: %s", text);
 		g_free(text);
 	}
 }
--- a/src/test_wire/test_keys.c
+++ b/src/test_wire/test_keys.c
@@ -1,4 +1,4 @@
-/* API keys as requests carry them and as configurations list them. */
+/* API keys in requests and in configurations. */
 
 #include "test_wire.h"
 
@@ -10,8 +10,8 @@
 	"\"desk\",\"public\":false}],\"services\":[{\"name\":\"desk\"}"        \
 	"]" tenants "}"
 
-/* The key of a request with these values of Authorization, up to a NULL. */
-static char *key_of(const char *first, const char *second)
+/* Decodes the key of a request with these Authorization headers; NULL: none. */
+static char *parse_key(const char *first, const char *second)
 {
 	wwh_headers_t *headers = wwh_headers_new();
 	char *key;
@@ -21,7 +21,7 @@
 		wwh_headers_add(headers, "authorization", first);
 	if (second != NULL)
 		wwh_headers_add(headers, "Authorization", second);
-	key = wire_caller_key(headers);
+	key = wire_caller_api_key(headers);
 	wwh_headers_delete(headers);
 	return key;
 }
@@ -33,40 +33,40 @@
 		"abc",	    "Bearer abc",   "Token a b",       "Token abc ",
 		" Token a", "Token \t abc", "Basic Token abc",
 	};
-	char *key = key_of("Token abc", NULL);
+	char *key = parse_key("Token abc", NULL);
 
 	(void)state;
 	assert_string_equal(key, "abc");
 	g_free(key);
-	key = key_of("token  \xff\xfe", NULL);
+	key = parse_key("token  \xff\xfe", NULL);
 	assert_string_equal(key, "\xff\xfe");
 	g_free(key);
-	assert_null(key_of(NULL, NULL));
-	assert_null(key_of("Token abc", "Token abc"));
+	assert_null(parse_key(NULL, NULL));
+	assert_null(parse_key("Token abc", "Token abc"));
 	for (size_t i = 0; i < G_N_ELEMENTS(wrong); i++)
-		assert_null(key_of(wrong[i], NULL));
+		assert_null(parse_key(wrong[i], NULL));
 }
 
-/* Guards against a header that takes a process's time and memory. */
-void a_huge_header_is_no_key(void **state)
+/* Guards against headers that cost the process much time and memory. */
+void an_oversized_key_is_rejected(void **state)
 {
 	char *huge = g_strnfill(64 * 1024, 'a');
 	char *value = g_strconcat("Token ", huge, NULL);
 
 	(void)state;
-	assert_null(key_of(value, NULL));
+	assert_null(parse_key(value, NULL));
 	g_free(value);
 	g_free(huge);
 }
 
-static wwh_job_config_t *config_of(const char *text, bool checks_keys)
+static wwh_job_config_t *parse_config(const char *text, bool checks_keys)
 {
-	return wire_operator_config((const uint8_t *)text, strlen(text),
-				    checks_keys, NULL);
+	return wire_operator_parse_config((const uint8_t *)text, strlen(text),
+					  checks_keys, NULL);
 }
 
-/* Guards against a damaged configuration that lets all callers in. */
-void a_configuration_without_its_keys_is_not_read(void **state)
+/* Guards against a malformed configuration that admits all callers. */
+void a_configuration_without_its_keys_is_rejected(void **state)
 {
 	static const char *const bad[] = {
 		CONFIG(""),
@@ -88,16 +88,16 @@
 
 	(void)state;
 	for (size_t i = 0; i < G_N_ELEMENTS(bad); i++)
-		assert_null(config_of(bad[i], true));
+		assert_null(parse_config(bad[i], true));
 }
 
 void a_configuration_lists_workspaces_with_their_keys(void **state)
 {
-	static const char whole[] = CONFIG(
+	static const char valid[] = CONFIG(
 		",\"tenants\":[{\"name\":\"a\",\"apiKeys\":[\"k\",\"l\"]},"
 		"{\"name\":\"b\",\"apiKeys\":[],"
 		"\"maxCount\":{\"cpu\":9000,\"gpu\":2}}]");
-	wwh_job_config_t *config = config_of(whole, true);
+	wwh_job_config_t *config = parse_config(valid, true);
 	const wwh_workspace_limit_t *limit;
 	const char *workspace;
 
@@ -116,7 +116,7 @@
 	assert_int_equal(limit->limit.memory_mb, 0);
 	assert_int_equal(limit->limit.gpus, 2);
 	wwh_job_config_unref(config);
-	config = config_of(CONFIG(""), false);
+	config = parse_config(CONFIG(""), false);
 	assert_null(config->api_keys);
 	wwh_job_config_unref(config);
 }
