--- a/include/waxwinghollow/shift.h
+++ b/include/waxwinghollow/shift.h
@@ -34,7 +34,7 @@
 #include <stdint.h>
 
 #define WWH_SHIFT_RAMP_MS 10000
-#define WWH_SHIFT_RETURN_MS 2000
+#define WWH_SHIFT_RETURN_DELAY_MS 2000
 #define WWH_SHIFT_NO_RAMP (INT64_MIN / 4) /* a from_ms that is long past */
 
 /* The part of the limit, 0.1 to 1, that is in use since from_ms. */
@@ -54,6 +54,6 @@
 void wwh_shift_bucket_resize(wwh_shift_bucket_t *bucket, double burst);
 
 /* Takes one permit; false when there is none. */
-bool wwh_shift_bucket_take(wwh_shift_bucket_t *bucket, int64_t now_ms);
+bool wwh_shift_bucket_try_acquire(wwh_shift_bucket_t *bucket, int64_t now_ms);
 
 #endif
--- a/src/libwaxwinghollow/dispatch_setup.c
+++ b/src/libwaxwinghollow/dispatch_setup.c
@@ -133,8 +133,9 @@
 	record->state = state;
 	if (!took_work && wwh_minion_takes_work(record)) {
 		wwh_ejection_init(&record->ejection, now_ms);
-		record->blocked_until_ms = MAX(record->blocked_until_ms,
-					       now_ms + WWH_SHIFT_RETURN_MS);
+		record->blocked_until_ms =
+			MAX(record->blocked_until_ms,
+			    now_ms + WWH_SHIFT_RETURN_DELAY_MS);
 	}
 	if (record->service == NULL)
 		return;
--- a/src/libwaxwinghollow/ejection.c
+++ b/src/libwaxwinghollow/ejection.c
@@ -119,7 +119,7 @@
 		return false;
 	if ((out_count(minions, count) + 1) * 2 > count)
 		return false;
-	if (!wwh_shift_bucket_take(bucket, now_ms))
+	if (!wwh_shift_bucket_try_acquire(bucket, now_ms))
 		return false;
 	put_out(ejection, now_ms, slow);
 	return true;
--- a/src/libwaxwinghollow/job_holder_hosts.c
+++ b/src/libwaxwinghollow/job_holder_hosts.c
@@ -162,9 +162,9 @@
 	holder->host_orders_out--;
 	job_holder_tick(holder);
 	if (!holder->deleted && !holder->lost) {
-		wwh_host_duties_upkeep_ended(holder->duties, duty->host,
-					     duty->wave, result,
-					     holder->now_ms);
+		wwh_host_duties_handle_upkeep_result(holder->duties, duty->host,
+						     duty->wave, result,
+						     holder->now_ms);
 		if (result == WWH_DUTY_FENCED)
 			job_holder_lose(holder, "fenced-at-upkeep");
 	}
@@ -182,8 +182,8 @@
 	holder->host_orders_out--;
 	job_holder_tick(holder);
 	if (!holder->deleted && !holder->lost) {
-		wwh_host_duties_move_ended(holder->duties, duty->host, result,
-					   holder->now_ms);
+		wwh_host_duties_handle_move_result(holder->duties, duty->host,
+						   result, holder->now_ms);
 		if (result == WWH_DUTY_FENCED)
 			job_holder_lose(holder, "fenced-at-move");
 	}
--- a/src/libwaxwinghollow/job_holder_orders.c
+++ b/src/libwaxwinghollow/job_holder_orders.c
@@ -42,7 +42,7 @@
 		order, holder->options.epoch, ORDER_LIMIT_MS);
 
 	/* it may wait for a connection until its upstream has left */
-	call->send_limit_ms = MAX(holder->start_until_ms - holder->now_ms, 1);
+	call->send_timeout_ms = MAX(holder->start_until_ms - holder->now_ms, 1);
 	wwh_counter_add(holder->starts, 1);
 	wwh_http_calls_send(
 		holder->options.calls, call, on_started,
--- a/src/libwaxwinghollow/job_service_events.c
+++ b/src/libwaxwinghollow/job_service_events.c
@@ -33,7 +33,7 @@
 static void take_config(wwh_job_service_t *service, const char *key,
 			const uint8_t *value, size_t size);
 static void on_reach(bool reached, const char *why, void *data);
-static void on_held(const wwh_held_t *held, void *data);
+static void on_held(const wwh_shard_holding_t *held, void *data);
 static void on_lost(const char *why, void *data);
 static void on_holder(const char *address, int64_t epoch, void *data);
 static void explain_claim(const char *event, const char *detail, void *data);
@@ -50,9 +50,9 @@
 		.group = GROUP,
 		.self = service->self,
 		.producer = PRODUCER,
-		.reluctant = service->settings.cpu_permille < HOLDER_PERMILLE,
+		.is_standby = service->settings.cpu_permille < HOLDER_PERMILLE,
 		.member_ttl_ms =
-			MAX(MEMBER_TTL_MS, service->settings.member_min_ms),
+			MAX(MEMBER_TTL_MS, service->settings.member_ttl_min_ms),
 		.bad_records = service->bad_claims,
 		.on_held = on_held,
 		.on_holder = on_holder,
@@ -65,7 +65,7 @@
 		.topic = WIRE_TOPIC_OPERATOR,
 		.wait_ms = OPERATOR_WAIT_MS,
 		.on_record = on_operator_record,
-		.on_nameless = on_nameless_record,
+		.on_unreadable_key = on_nameless_record,
 		.on_reach = on_reach,
 		.client_data = service,
 	};
@@ -114,7 +114,7 @@
 	g_hash_table_replace(service->waves, g_strdup(key),
 			     g_bytes_new(value, size));
 	if (service->holder != NULL)
-		wwh_job_holder_wave(service->holder, key, value, size);
+		wwh_job_holder_apply_wave(service->holder, key, value, size);
 }
 
 /*
@@ -165,7 +165,7 @@
 			     "operator", "result=%s", why);
 }
 
-static void on_held(const wwh_held_t *held, void *data)
+static void on_held(const wwh_shard_holding_t *held, void *data)
 {
 	wwh_job_service_t *service = data;
 	wwh_job_holder_options_t options = {
@@ -206,7 +206,8 @@
 	wwh_job_service_t *service = data;
 
 	if (job_service_drop_holder(service, why))
-		wwh_shard_claim_lost(service->claim, job_service_now_ms());
+		wwh_shard_claim_handle_loss(service->claim,
+					    job_service_now_ms());
 }
 
 bool job_service_drop_holder(wwh_job_service_t *service, const char *why)
@@ -251,6 +252,6 @@
 		gsize size;
 		const uint8_t *data = g_bytes_get_data(value, &size);
 
-		wwh_job_holder_wave(service->holder, key, data, size);
+		wwh_job_holder_apply_wave(service->holder, key, data, size);
 	}
 }
--- a/src/libwaxwinghollow/job_service_loop.c
+++ b/src/libwaxwinghollow/job_service_loop.c
@@ -147,9 +147,9 @@
 	gives_up = stopping && !service->ended && now_ms >= service->give_up_ms;
 	g_mutex_unlock(&service->lock);
 	if (service->holder != NULL) {
-		wwh_job_holder_stop_duties(service->holder,
-					   stopping ||
-						   service->asked_for_ms != 0);
+		wwh_job_holder_pause_duties(service->holder,
+					    stopping ||
+						    service->asked_for_ms != 0);
 		wwh_job_holder_set_overloaded(
 			service->holder,
 			wwh_loop_lag_is_overloaded(service->lag));
@@ -160,13 +160,13 @@
 	if (gives_up)
 		job_service_end_requests(service);
 	if (stopping && service->holder != NULL &&
-	    wwh_job_holder_settled(service->holder)) {
+	    wwh_job_holder_is_quiescent(service->holder)) {
 		/* the next holder goes on at once, as nothing is on its way */
 		service->lost_holder = g_steal_pointer(&service->holder);
 	}
 	if (stopping && service->holder == NULL)
-		wwh_shard_claim_give_up(service->claim, now_ms);
-	wwh_shard_claim_leave_to_others(
+		wwh_shard_claim_release(service->claim, now_ms);
+	wwh_shard_claim_set_withdrawn(
 		service->claim, wwh_loop_lag_blames_host(service->lag), now_ms);
 	hand_over(service, now_ms);
 	wwh_shard_claim_run(service->claim, now_ms);
@@ -192,7 +192,7 @@
 static bool is_turned_away(const wwh_job_service_t *service, int64_t now_ms)
 {
 	return service->holder != NULL &&
-	       wwh_job_holder_turned_away(
+	       wwh_job_holder_rejected_by_store(
 		       service->holder, now_ms,
 		       wwh_loop_lag_is_overloaded(service->lag));
 }
@@ -221,11 +221,11 @@
 	}
 	if (service->asked_for_ms == 0)
 		service->asked_for_ms = now_ms;
-	orders_hosts = wwh_job_holder_orders_hosts(service->holder);
+	orders_hosts = wwh_job_holder_host_orders_pending(service->holder);
 	if (orders_hosts && now_ms - service->asked_for_ms < limit_ms)
 		return;
 	(void)job_service_drop_holder(service, "handed-over");
-	wwh_shard_claim_handed_over(service->claim, now_ms);
+	wwh_shard_claim_handle_handover(service->claim, now_ms);
 	service->asked_for_ms = 0;
 	g_mutex_lock(&service->lock);
 	service->asked_for = false;
@@ -244,7 +244,8 @@
 	g_mutex_lock(&service->lock);
 	service->holds = holds;
 	service->claims = claims;
-	service->orders_hosts = holds && wwh_job_holder_orders_hosts(holder);
+	service->orders_hosts =
+		holds && wwh_job_holder_host_orders_pending(holder);
 	service->reaches_store =
 		holds && wwh_job_holder_reaches_store(holder, now_ms);
 	service->yields = yields(service, now_ms);
@@ -305,5 +306,5 @@
 {
 	return service->holder == NULL &&
 	       g_hash_table_size(service->forwards) == 0 &&
-	       wwh_shard_claim_given_up(service->claim);
+	       wwh_shard_claim_is_released(service->claim);
 }
--- a/src/libwaxwinghollow/shift.c
+++ b/src/libwaxwinghollow/shift.c
@@ -29,7 +29,7 @@
 	bucket->burst = burst;
 }
 
-bool wwh_shift_bucket_take(wwh_shift_bucket_t *bucket, int64_t now_ms)
+bool wwh_shift_bucket_try_acquire(wwh_shift_bucket_t *bucket, int64_t now_ms)
 {
 	bucket->permits += (double)(now_ms - bucket->at_ms) * bucket->per_ms;
 	bucket->at_ms = now_ms;
--- a/src/test_fuzz/fuzz_wire.c
+++ b/src/test_fuzz/fuzz_wire.c
@@ -141,7 +141,7 @@
 
 	if (config != NULL) {
 		assert(config->version > 0);
-		(void)wwh_job_config_find(config, "h:1", "/a/b", &rest);
+		(void)wwh_job_config_find_queue(config, "h:1", "/a/b", &rest);
 		wwh_job_config_unref(config);
 	}
 	if (order != NULL) {
--- a/src/test_shift/test_shift.c
+++ b/src/test_shift/test_shift.c
@@ -23,11 +23,11 @@
 	(void)unused;
 	wwh_shift_bucket_init(&bucket, 0, 3, 1);
 	for (int32_t i = 0; i < 3; i++)
-		assert_true(wwh_shift_bucket_take(&bucket, 0));
-	assert_false(wwh_shift_bucket_take(&bucket, 900));
-	assert_true(wwh_shift_bucket_take(&bucket, 1100));
-	assert_false(wwh_shift_bucket_take(&bucket, 1200));
-	assert_true(wwh_shift_bucket_take(&bucket, 100000));
+		assert_true(wwh_shift_bucket_try_acquire(&bucket, 0));
+	assert_false(wwh_shift_bucket_try_acquire(&bucket, 900));
+	assert_true(wwh_shift_bucket_try_acquire(&bucket, 1100));
+	assert_false(wwh_shift_bucket_try_acquire(&bucket, 1200));
+	assert_true(wwh_shift_bucket_try_acquire(&bucket, 100000));
 }
 
 static void a_larger_bucket_has_its_permits_at_once(void **unused)
@@ -38,8 +38,8 @@
 	wwh_shift_bucket_init(&bucket, 0, 1, 1);
 	wwh_shift_bucket_resize(&bucket, 3);
 	for (int32_t i = 0; i < 3; i++)
-		assert_true(wwh_shift_bucket_take(&bucket, 0));
-	assert_false(wwh_shift_bucket_take(&bucket, 0));
+		assert_true(wwh_shift_bucket_try_acquire(&bucket, 0));
+	assert_false(wwh_shift_bucket_try_acquire(&bucket, 0));
 }
 
 int main(void)
