--- a/src/libwaxwinghollow/include/private/csv_source.h
+++ b/src/libwaxwinghollow/include/private/csv_source.h
@@ -3,16 +3,16 @@
 
 /*
  * NAME
- *	csv_source - rows of a CSV file as RFC 4180 has it
+ *	csv_source - reads the rows of a CSV file as specified by RFC 4180
  *
  * USE
  *	Cells are separated by commas, rows by LF or CR LF. A cell in double
- *	quotes may hold commas, line ends and doubled quotes. Blank rows are
- *	left out. A byte order mark at the start is skipped, because
+ *	quotes may contain commas, line ends and doubled quotes. Blank rows
+ *	are skipped, and so is a byte order mark at the start, because
  *	spreadsheets write one.
  *
  * ORDER OF CALLS
- *	wwh_csv_init; wwh_csv_next until it returns NULL.
+ *	wwh_csv_init; wwh_csv_next_row until it returns NULL.
  */
 
 #include <glib.h>
@@ -23,9 +23,9 @@
 
 typedef struct {
 	const char *file;
-	const char *at;
+	const char *position;
 	const char *end;
-	int32_t line; /* of the row that wwh_csv_next gave last */
+	int32_t line; /* first line of the row that was read last */
 	int32_t next_line;
 	wwh_report_t *report;
 } wwh_csv_source_t;
@@ -34,9 +34,9 @@
 		  size_t size, wwh_report_t *report);
 
 /*
- * The cells of the next row (char *, freed with the array); NULL at the end
- * or, after a report, at text that is not CSV.
+ * Returns the cells of the next row (char *, freed with the array). Returns
+ * NULL at the end, or after it reported a syntax error.
  */
-GPtrArray *wwh_csv_next(wwh_csv_source_t *source);
+GPtrArray *wwh_csv_next_row(wwh_csv_source_t *source);
 
 #endif
