--- a/src/libwaxwinghollow/config.c
+++ b/src/libwaxwinghollow/config.c
@@ -8,7 +8,7 @@
 static void unref_items(GPtrArray *items, wwh_item_kind_t kind);
 static const void *item_at(const wwh_config_t *config, wwh_item_kind_t kind,
 			   int32_t index);
-static bool prefix_fits(const char *prefix, const char *path);
+static bool is_path_prefix(const char *prefix, const char *path);
 
 wwh_config_t *wwh_config_new(void)
 {
@@ -159,7 +159,7 @@
 		size_t length = strlen(service->path_prefix);
 
 		if (length > best_length &&
-		    prefix_fits(service->path_prefix, path)) {
+		    is_path_prefix(service->path_prefix, path)) {
 			best = service;
 			best_length = length;
 		}
@@ -203,8 +203,11 @@
 	return g_ptr_array_index(config->items[kind], (guint)index);
 }
 
-/* "/book" fits "/book", "/book/1" and "/book?a=b", but not "/booking". */
-static bool prefix_fits(const char *prefix, const char *path)
+/*
+ * Matches whole path segments: "/book" is a prefix of "/book", "/book/1" and
+ * "/book?a=b", but not of "/booking".
+ */
+static bool is_path_prefix(const char *prefix, const char *path)
 {
 	size_t length = strlen(prefix);
 
--- a/src/libwaxwinghollow/config_change.c
+++ b/src/libwaxwinghollow/config_change.c
@@ -7,20 +7,20 @@
 
 static void diff_kind(const wwh_config_t *from, const wwh_config_t *to,
 		      wwh_item_kind_t kind, wwh_config_change_t *change);
-static int order_at(const GPtrArray *from, guint i, const GPtrArray *to,
-		    guint j, wwh_item_kind_t kind);
+static int compare_at(const GPtrArray *from, guint i, const GPtrArray *to,
+		      guint j, wwh_item_kind_t kind);
 static wwh_config_t *merge(const wwh_config_t *base,
 			   const wwh_config_change_t *change, int64_t version,
 			   wwh_message_t *message);
 static bool merge_kind(const wwh_config_t *base,
-		       const wwh_config_change_t *change, guint *next,
+		       const wwh_config_change_t *change, guint *next_entry,
 		       wwh_item_kind_t kind, wwh_config_t *result,
 		       wwh_message_t *message);
 static bool merge_entry(const wwh_change_entry_t *entry, bool present,
-			GPtrArray *into, wwh_message_t *message);
-static void keep(GPtrArray *into, void *item);
-static void note_error(const char *file, int32_t line, const char *text,
-		       void *client_data);
+			GPtrArray *merged, wwh_message_t *message);
+static void append_ref(GPtrArray *merged, void *item);
+static void store_first_error(const char *file, int32_t line, const char *text,
+			      void *client_data);
 
 wwh_config_change_t *wwh_change_new(void)
 {
@@ -48,8 +48,8 @@
 	return &g_array_index(change->entries, wwh_change_entry_t, index);
 }
 
-int wwh_change_entry_order(const wwh_change_entry_t *a,
-			   const wwh_change_entry_t *b)
+int wwh_change_entry_compare(const wwh_change_entry_t *a,
+			     const wwh_change_entry_t *b)
 {
 	if (a->kind != b->kind)
 		return a->kind < b->kind ? -1 : 1;
@@ -90,7 +90,7 @@
 			      int64_t version, wwh_config_t **result,
 			      wwh_message_t *message)
 {
-	wwh_report_t report = { note_error, message, 0 };
+	wwh_report_t report = { store_first_error, message, 0 };
 
 	*result = NULL;
 	wwh_message_set(message, "%s", "");
@@ -123,23 +123,23 @@
 	return *result == NULL ? WWH_STATUS_BAD_INPUT : WWH_STATUS_OK;
 }
 
-/* NULL and a message when change does not fit base. */
+/* Returns NULL and sets message if change does not fit base. */
 static wwh_config_t *merge(const wwh_config_t *base,
 			   const wwh_config_change_t *change, int64_t version,
 			   wwh_message_t *message)
 {
 	wwh_config_t *config = wwh_config_new();
-	guint next = 0;
+	guint next_entry = 0;
 
 	config->version = version;
 	for (int32_t kind = 0; kind < WWH_ITEM_COUNT; kind++) {
-		if (!merge_kind(base, change, &next, (wwh_item_kind_t)kind,
-				config, message)) {
+		if (!merge_kind(base, change, &next_entry,
+				(wwh_item_kind_t)kind, config, message)) {
 			wwh_config_unref(config);
 			return NULL;
 		}
 	}
-	assert(next == change->entries->len);
+	assert(next_entry == change->entries->len);
 	return config;
 }
 
@@ -152,7 +152,7 @@
 	guint j = 0;
 
 	while (i < old_items->len || j < new_items->len) {
-		int order = order_at(old_items, i, new_items, j, kind);
+		int order = compare_at(old_items, i, new_items, j, kind);
 		void *item;
 
 		if (order < 0) {
@@ -172,9 +172,9 @@
 	}
 }
 
-/* The order of two ids; an array that has ended comes last. */
-static int order_at(const GPtrArray *from, guint i, const GPtrArray *to,
-		    guint j, wwh_item_kind_t kind)
+/* Compares the ids at i and j. An array without further items sorts last. */
+static int compare_at(const GPtrArray *from, guint i, const GPtrArray *to,
+		      guint j, wwh_item_kind_t kind)
 {
 	if (i == from->len)
 		return 1;
@@ -184,18 +184,19 @@
 		      wwh_item_id(kind, g_ptr_array_index(to, j)));
 }
 
-/* Merges the entries from *next on that are of kind. */
+/* Merges the entries of kind, which begin at *next_entry, and advances it. */
 static bool merge_kind(const wwh_config_t *base,
-		       const wwh_config_change_t *change, guint *next,
+		       const wwh_config_change_t *change, guint *next_entry,
 		       wwh_item_kind_t kind, wwh_config_t *result,
 		       wwh_message_t *message)
 {
 	const GPtrArray *items = base->items[kind];
-	GPtrArray *into = result->items[kind];
+	GPtrArray *merged = result->items[kind];
 	guint i = 0;
 
-	while (*next < change->entries->len) {
-		const wwh_change_entry_t *entry = wwh_change_at(change, *next);
+	while (*next_entry < change->entries->len) {
+		const wwh_change_entry_t *entry =
+			wwh_change_at(change, *next_entry);
 		int order = 1;
 
 		if (entry->kind != kind)
@@ -206,20 +207,20 @@
 			order = strcmp(wwh_item_id(kind, item), entry->id);
 			if (order >= 0)
 				break;
-			keep(into, item);
+			append_ref(merged, item);
 		}
-		if (!merge_entry(entry, i < items->len && order == 0, into,
+		if (!merge_entry(entry, i < items->len && order == 0, merged,
 				 message))
 			return false;
 		if (i < items->len && order == 0)
 			i++;
-		++*next;
+		++*next_entry;
 	}
 	for (; i < items->len; i++)
-		keep(into, g_ptr_array_index(items, i));
-	if (into->len > WWH_MAX_ITEMS_PER_KIND) {
+		append_ref(merged, g_ptr_array_index(items, i));
+	if (merged->len > WWH_MAX_ITEMS_PER_KIND) {
 		wwh_message_set(message, "%u %s, expected at most %d",
-				into->len, wwh_item_tables[kind].section,
+				merged->len, wwh_item_tables[kind].section,
 				WWH_MAX_ITEMS_PER_KIND);
 		return false;
 	}
@@ -227,10 +228,10 @@
 }
 
 static bool merge_entry(const wwh_change_entry_t *entry, bool present,
-			GPtrArray *into, wwh_message_t *message)
+			GPtrArray *merged, wwh_message_t *message)
 {
 	if (entry->item != NULL) {
-		keep(into, entry->item);
+		append_ref(merged, entry->item);
 		return true;
 	}
 	if (present)
@@ -242,14 +243,14 @@
 	return false;
 }
 
-static void keep(GPtrArray *into, void *item)
+static void append_ref(GPtrArray *merged, void *item)
 {
-	g_ptr_array_add(into, wwh_item_ref(item));
+	g_ptr_array_add(merged, wwh_item_ref(item));
 }
 
-/* Keeps the first error; client_data is a wwh_message_t, maybe NULL. */
-static void note_error(const char *file, int32_t line, const char *text,
-		       void *client_data)
+/* Stores the first error; client_data is a wwh_message_t * or NULL. */
+static void store_first_error(const char *file, int32_t line, const char *text,
+			      void *client_data)
 {
 	wwh_message_t *message = client_data;
 
@@ -259,9 +260,9 @@
 		wwh_message_set(message, "%s", text);
 }
 
-wwh_config_change_t *wwh_config_pool_change(const wwh_config_t *config,
-					    const char *worker,
-					    const char *pool)
+wwh_config_change_t *wwh_config_change_new_for_pool(const wwh_config_t *config,
+						    const char *worker,
+						    const char *pool)
 {
 	const wwh_worker_t *from = wwh_config_worker(config, worker);
 	wwh_config_change_t *change;
--- a/src/libwaxwinghollow/config_check_pools.c
+++ b/src/libwaxwinghollow/config_check_pools.c
@@ -8,43 +8,43 @@
 	int64_t cores;
 	int64_t memory_mb;
 	int64_t accelerators;
-} fleet_t;
+} resources_t;
 
 static void check_pool_budget(wwh_check_t *check, const wwh_pool_t *pool,
 			      const wwh_worker_t *const *workers, int32_t size);
-static int32_t reserve_beside_one(const wwh_pool_t *pool,
-				  const wwh_worker_t *const *workers,
-				  int32_t size);
-static const char *domain_of(const wwh_pool_t *pool,
-			     const wwh_worker_t *worker);
+static int32_t reserve_with_one_out(const wwh_pool_t *pool,
+				    const wwh_worker_t *const *workers,
+				    int32_t size);
+static const char *domain_name(const wwh_pool_t *pool,
+			       const wwh_worker_t *worker);
 static void check_pool_reserve(wwh_check_t *check, const wwh_pool_t *pool,
 			       const wwh_worker_t *const *workers,
 			       int32_t size);
 static GPtrArray *workers_by_pool(const wwh_config_t *config);
-static gint compare_pools(gconstpointer a, gconstpointer b);
-static const char *pool_of(const GPtrArray *workers, guint index);
-static const wwh_window_t *window_of(const wwh_config_t *config,
-				     const wwh_pool_t *pool);
+static gint compare_pool_ids(gconstpointer a, gconstpointer b);
+static const char *pool_id_at(const GPtrArray *workers, guint index);
+static const wwh_window_t *find_window(const wwh_config_t *config,
+				       const wwh_pool_t *pool);
 static void check_quotas(wwh_check_t *check);
 static void check_quota(wwh_check_t *check, const wwh_team_t *team,
-			const char *what, int64_t quota, int64_t fleet);
+			const char *resource, int64_t quota, int64_t available);
 
 void wwh_check_pools(wwh_check_t *check)
 {
 	GPtrArray *workers = workers_by_pool(check->config);
-	guint at = 0;
+	guint position = 0;
 
 	for (int32_t i = 0; i < wwh_config_pool_count(check->config); i++) {
 		const wwh_pool_t *pool = wwh_config_pool_at(check->config, i);
 		const wwh_worker_t *const *members;
-		guint start = at;
+		guint start = position;
 		int32_t size;
 
-		while (at < workers->len &&
-		       strcmp(pool_of(workers, at), pool->id) == 0)
-			at++;
-		size = (int32_t)(at - start);
-		/* A pool may be listed before its workers come. */
+		while (position < workers->len &&
+		       strcmp(pool_id_at(workers, position), pool->id) == 0)
+			position++;
+		size = (int32_t)(position - start);
+		/* A pool may be defined before it has workers. */
 		if (size == 0)
 			continue;
 		members = (const wwh_worker_t *const *)workers->pdata + start;
@@ -55,7 +55,7 @@
 	check_quotas(check);
 }
 
-/* Pools and these workers are in the order of the pools' ids. */
+/* Returns the workers sorted by pool id, the order of the pools. */
 static GPtrArray *workers_by_pool(const wwh_config_t *config)
 {
 	GPtrArray *workers = g_ptr_array_new();
@@ -63,11 +63,11 @@
 	for (int32_t i = 0; i < wwh_config_worker_count(config); i++)
 		g_ptr_array_add(workers,
 				(gpointer)wwh_config_worker_at(config, i));
-	g_ptr_array_sort(workers, compare_pools);
+	g_ptr_array_sort(workers, compare_pool_ids);
 	return workers;
 }
 
-static gint compare_pools(gconstpointer a, gconstpointer b)
+static gint compare_pool_ids(gconstpointer a, gconstpointer b)
 {
 	const wwh_worker_t *const *first = a;
 	const wwh_worker_t *const *second = b;
@@ -75,7 +75,7 @@
 	return strcmp((*first)->pool, (*second)->pool);
 }
 
-static const char *pool_of(const GPtrArray *workers, guint index)
+static const char *pool_id_at(const GPtrArray *workers, guint index)
 {
 	const wwh_worker_t *worker = g_ptr_array_index(workers, index);
 
@@ -83,23 +83,23 @@
 }
 
 /*
- * A wave takes out at least one worker while the worst domain of the reserve
- * could still fail within the budget (budget.h). A smaller budget would leave
- * every wave planned and none begun.
+ * A wave can begin only if the budget covers one worker and, in addition, the
+ * loss of the largest domain of the reserve (budget.h). With a smaller budget,
+ * waves would be planned but never begin.
  */
 static void check_pool_budget(wwh_check_t *check, const wwh_pool_t *pool,
 			      const wwh_worker_t *const *workers, int32_t size)
 {
-	const wwh_window_t *window = window_of(check->config, pool);
+	const wwh_window_t *window = find_window(check->config, pool);
 	int32_t budget = wwh_budget_limit(pool, size);
 	int32_t reserve;
 
 	if (window == NULL)
 		return;
-	reserve = reserve_beside_one(pool, workers, size);
+	reserve = reserve_with_one_out(pool, workers, size);
 	if (budget > reserve)
 		return;
-	wwh_check_refuse(
+	wwh_check_report_error(
 		check, pool,
 		"pool '%s' of %d workers may lose %d (lose_count %d, "
 		"lose_percent %d) but waves are due in window '%s', expected "
@@ -111,12 +111,13 @@
 }
 
 /*
- * Workers of the worst domain while one worker is out that was chosen to make
- * it small: from the worst domain itself, unless another is as large.
+ * Returns the smallest reserve that is needed while one worker is out: the size
+ * of the largest domain, less one if it is the only one of that size, because
+ * the worker can then be taken from it.
  */
-static int32_t reserve_beside_one(const wwh_pool_t *pool,
-				  const wwh_worker_t *const *workers,
-				  int32_t size)
+static int32_t reserve_with_one_out(const wwh_pool_t *pool,
+				    const wwh_worker_t *const *workers,
+				    int32_t size)
 {
 	GHashTable *counts;
 	int32_t worst = 0;
@@ -126,7 +127,7 @@
 		return MIN(size - 1, 1);
 	counts = g_hash_table_new(g_str_hash, g_str_equal);
 	for (int32_t i = 0; i < size; i++) {
-		const char *domain = domain_of(pool, workers[i]);
+		const char *domain = domain_name(pool, workers[i]);
 		int32_t count =
 			GPOINTER_TO_INT(g_hash_table_lookup(counts, domain));
 
@@ -142,36 +143,37 @@
 	return worst_domains == 1 ? worst - 1 : worst;
 }
 
-static const char *domain_of(const wwh_pool_t *pool, const wwh_worker_t *worker)
+static const char *domain_name(const wwh_pool_t *pool,
+			       const wwh_worker_t *worker)
 {
 	return pool->reserve == WWH_DOMAIN_RACK ? worker->rack : worker->zone;
 }
 
 /*
- * A pool that is to survive the loss of a rack or zone has workers left then
- * only when it is not all in one.
+ * A pool survives the loss of a rack or zone only if its workers are in at
+ * least two of them.
  */
 static void check_pool_reserve(wwh_check_t *check, const wwh_pool_t *pool,
 			       const wwh_worker_t *const *workers, int32_t size)
 {
 	const char *name = wwh_domain_names[pool->reserve];
-	const char *first = domain_of(pool, workers[0]);
+	const char *first = domain_name(pool, workers[0]);
 
 	if (pool->reserve == WWH_DOMAIN_WORKER)
 		return;
 	for (int32_t i = 1; i < size; i++) {
-		if (strcmp(domain_of(pool, workers[i]), first) != 0)
+		if (strcmp(domain_name(pool, workers[i]), first) != 0)
 			return;
 	}
-	wwh_check_refuse(
+	wwh_check_report_error(
 		check, pool,
 		"pool '%s' is to survive the loss of a %s but all its %d "
 		"workers are in %s '%s', expected two at least",
 		pool->id, name, size, name, first);
 }
 
-static const wwh_window_t *window_of(const wwh_config_t *config,
-				     const wwh_pool_t *pool)
+static const wwh_window_t *find_window(const wwh_config_t *config,
+				       const wwh_pool_t *pool)
 {
 	for (int32_t i = 0; i < wwh_config_window_count(config); i++) {
 		const wwh_window_t *window = wwh_config_window_at(config, i);
@@ -185,9 +187,9 @@
 
 static void check_quotas(wwh_check_t *check)
 {
-	fleet_t fleet = { 0 };
+	resources_t fleet = { 0 };
 
-	/* Rules may be checked before there is an inventory. */
+	/* Rules may be checked without an inventory. */
 	if (wwh_config_worker_count(check->config) == 0)
 		return;
 	for (int32_t i = 0; i < wwh_config_worker_count(check->config); i++) {
@@ -210,14 +212,14 @@
 }
 
 static void check_quota(wwh_check_t *check, const wwh_team_t *team,
-			const char *what, int64_t quota, int64_t fleet)
+			const char *resource, int64_t quota, int64_t available)
 {
-	if (quota <= fleet)
+	if (quota <= available)
 		return;
-	wwh_check_refuse(check, team,
-			 "team '%s' has a quota of %" G_GINT64_FORMAT
-			 " %s but the fleet has %" G_GINT64_FORMAT
-			 ", expected at most "
-			 "that",
-			 team->id, quota, what, fleet);
+	wwh_check_report_error(check, team,
+			       "team '%s' has a quota of %" G_GINT64_FORMAT
+			       " %s but the fleet has %" G_GINT64_FORMAT
+			       ", expected at most "
+			       "that",
+			       team->id, quota, resource, available);
 }
--- a/src/libwaxwinghollow/config_codec.c
+++ b/src/libwaxwinghollow/config_codec.c
@@ -7,9 +7,9 @@
 #include "private/msgpack_bounds.h"
 
 /*
- * [version of the format, [entry, ...]]; an entry is [kind, id] for an item
- * that is removed and [kind, [member, ...]] for one that is set, the members
- * in the order of the kind's table.
+ * A change is encoded as [FORMAT_VERSION, [entry, ...]]. An entry is [kind, id]
+ * if it removes an item and [kind, [member, ...]] if it sets one, with the
+ * members in the order of the kind's table.
  */
 #define FORMAT_VERSION 1
 #define ENTRY_PARTS 2
@@ -28,8 +28,8 @@
 			wwh_config_change_t *change, wwh_message_t *message);
 static bool decode_field(const msgpack_object *object, const wwh_field_t *field,
 			 void *item);
-static char *text_of(const msgpack_object *object);
-static bool in_order(const wwh_config_change_t *change);
+static char *copy_text(const msgpack_object *object);
+static bool is_last_entry_in_order(const wwh_config_change_t *change);
 
 GBytes *wwh_config_change_encode(const wwh_config_change_t *change)
 {
@@ -61,8 +61,8 @@
 	*change = NULL;
 	if (!wwh_msgpack_bounded(data, size, MAX_DEPTH)) {
 		wwh_message_set(message,
-				"change is not whole msgpack, expected one "
-				"value of %zu bytes",
+				"change of %zu bytes is malformed, expected "
+				"one complete MessagePack value",
 				size);
 		return WWH_STATUS_BAD_INPUT;
 	}
@@ -73,8 +73,10 @@
 		decoded = wwh_change_new();
 		ok = decode_root(&unpacked.data, decoded, message);
 	} else {
-		wwh_message_set(message, "change can't be unpacked, expected "
-					 "msgpack of moderate depth");
+		wwh_message_set(message,
+				"change of %zu bytes can't be unpacked, "
+				"expected one complete MessagePack value",
+				size);
 	}
 	msgpack_unpacked_destroy(&unpacked);
 	if (!ok) {
@@ -174,7 +176,7 @@
 	} else if (!decode_item(&parts[1], kind, change, message)) {
 		return false;
 	}
-	if (in_order(change))
+	if (is_last_entry_in_order(change))
 		return true;
 	wwh_message_set(message,
 			"entry %u is out of order, expected the order of kind "
@@ -186,7 +188,7 @@
 static bool decode_removed(const msgpack_object *object, wwh_item_kind_t kind,
 			   wwh_config_change_t *change, wwh_message_t *message)
 {
-	char *id = text_of(object);
+	char *id = copy_text(object);
 	bool ok = id != NULL;
 
 	if (ok && kind == WWH_ITEM_RULES)
@@ -197,11 +199,11 @@
 	if (ok)
 		wwh_change_add(change, kind, id, NULL);
 	else
-		wwh_message_set(message,
-				"entry %u removes a %s of a bad id, expected "
-				"letters, digits and . _ - :",
-				change->entries->len,
-				wwh_item_kind_names[kind]);
+		wwh_message_set(
+			message,
+			"entry %u removes a %s with a malformed id, expected "
+			"letters, digits and . _ - :",
+			change->entries->len, wwh_item_kind_names[kind]);
 	g_free(id);
 	return ok;
 }
@@ -248,7 +250,7 @@
 	bool ok;
 
 	if (wwh_field_is_text(field)) {
-		text = text_of(object);
+		text = copy_text(object);
 		ok = text != NULL && wwh_field_allows_text(field, text);
 		if (ok)
 			wwh_field_set_text(field, item, text);
@@ -268,8 +270,8 @@
 	return true;
 }
 
-/* NULL when it is not a string or holds a zero byte; to be freed. */
-static char *text_of(const msgpack_object *object)
+/* Returns NULL if object is not a string or has a zero byte; to be freed. */
+static char *copy_text(const msgpack_object *object)
 {
 	if (object->type != MSGPACK_OBJECT_STR)
 		return NULL;
@@ -279,11 +281,11 @@
 	return g_strndup(object->via.str.ptr, object->via.str.size);
 }
 
-static bool in_order(const wwh_config_change_t *change)
+static bool is_last_entry_in_order(const wwh_config_change_t *change)
 {
 	guint count = change->entries->len;
 
 	return count < 2 ||
-	       wwh_change_entry_order(wwh_change_at(change, count - 2),
-				      wwh_change_at(change, count - 1)) < 0;
+	       wwh_change_entry_compare(wwh_change_at(change, count - 2),
+					wwh_change_at(change, count - 1)) < 0;
 }
--- a/src/libwaxwinghollow/config_items.c
+++ b/src/libwaxwinghollow/config_items.c
@@ -6,7 +6,7 @@
 
 #define COUNT(table) ((int32_t)(sizeof(table) / sizeof((table)[0])))
 
-/* Members of numbers: type, bounds and default. */
+/* Table rows: numbers with bounds and default; texts, required or optional. */
 #define NUMBER(type_, struct_, member, min, max, default_)                     \
 	{                                                                      \
 		.name = #member, .type = (type_),                              \
--- a/src/libwaxwinghollow/config_load.c
+++ b/src/libwaxwinghollow/config_load.c
@@ -7,10 +7,10 @@
 #include "private/config_items.h"
 #include "private/json_source.h"
 
-/* What one load collects. */
+/* The state of one load. */
 typedef struct {
 	wwh_config_t *config;
-	GHashTable *places; /* item to wwh_item_place_t * */
+	GHashTable *locations; /* item to wwh_item_location_t * */
 	const char *inventory_file;
 	bool rules_given;
 	wwh_report_t report;
@@ -37,7 +37,7 @@
 			   const wwh_item_kind_t *kinds, int32_t kind_count);
 static void add_csv_item(wwh_item_kind_t kind, void *item, int32_t line,
 			 void *client_data);
-static void finish(loader_t *loader);
+static void sort_and_check(loader_t *loader);
 static void add_item(loader_t *loader, wwh_item_kind_t kind, void *item,
 		     const char *file, int32_t line);
 static gint compare_ids(gconstpointer a, gconstpointer b, gpointer client_data);
@@ -81,8 +81,8 @@
 		if (config->items[kind]->len > 0)
 			return WWH_STATUS_BAD_ARGUMENT;
 	}
-	loader.places = g_hash_table_new_full(NULL, NULL, NULL, g_free);
-	if (inventory->text != NULL && wwh_text_is_json(inventory))
+	loader.locations = g_hash_table_new_full(NULL, NULL, NULL, g_free);
+	if (inventory->text != NULL && wwh_config_text_is_json(inventory))
 		load_json(&loader, inventory, inventory_kinds,
 			  G_N_ELEMENTS(inventory_kinds));
 	else if (inventory->text != NULL)
@@ -91,8 +91,8 @@
 	if (rules->text != NULL)
 		load_json(&loader, rules, rules_kinds,
 			  G_N_ELEMENTS(rules_kinds));
-	finish(&loader);
-	g_hash_table_destroy(loader.places);
+	sort_and_check(&loader);
+	g_hash_table_destroy(loader.locations);
 	return wwh_report_status(&loader.report);
 }
 
@@ -115,8 +115,11 @@
 	return true;
 }
 
-/* JSON begins with a brace or a comment; no header of a CSV file does. */
-bool wwh_text_is_json(const wwh_config_text_t *text)
+/*
+ * JSON begins with a brace or a comment, which no CSV header does. A text of
+ * white space only is read as JSON.
+ */
+bool wwh_config_text_is_json(const wwh_config_text_t *text)
 {
 	for (size_t i = 0; i < text->size; i++) {
 		if (!g_ascii_isspace(text->text[i]))
@@ -148,19 +151,20 @@
 
 	for (int32_t i = 0; i < kind_count; i++)
 		names[i] = wwh_item_tables[kinds[i]].section;
-	for (GList *at = members; at != NULL; at = at->next) {
+	for (GList *member = members; member != NULL; member = member->next) {
 		bool known = false;
 		char *suggestion;
 
 		for (int32_t i = 0; i < kind_count; i++)
-			known = known || strcmp(names[i], at->data) == 0;
+			known = known || strcmp(names[i], member->data) == 0;
 		if (known)
 			continue;
-		suggestion = wwh_names_suggest(names, kind_count, at->data);
+		suggestion = wwh_names_suggest(names, kind_count, member->data);
 		wwh_report_error(
 			&loader->report, wwh_json_source_file(source),
-			wwh_json_source_member_line(source, root, at->data),
-			"unknown key '%s', %s", (char *)at->data, suggestion);
+			wwh_json_source_member_line(source, root, member->data),
+			"unknown key '%s', %s", (char *)member->data,
+			suggestion);
 		g_free(suggestion);
 	}
 	g_list_free(members);
@@ -224,18 +228,18 @@
 static void add_item(loader_t *loader, wwh_item_kind_t kind, void *item,
 		     const char *file, int32_t line)
 {
-	wwh_item_place_t *place;
+	wwh_item_location_t *location;
 
-	/* An item without a usable id can't be named in further errors. */
+	/* Further errors could not name an item without a valid id. */
 	if (*wwh_item_id(kind, item) == '\0') {
 		wwh_item_unref(kind, item);
 		return;
 	}
-	place = g_new0(wwh_item_place_t, 1);
-	place->file = g_intern_string(file);
-	place->line = line;
+	location = g_new0(wwh_item_location_t, 1);
+	location->file = g_intern_string(file);
+	location->line = line;
 	g_ptr_array_add(loader->config->items[kind], item);
-	g_hash_table_insert(loader->places, item, place);
+	g_hash_table_insert(loader->locations, item, location);
 }
 
 static void add_csv_item(wwh_item_kind_t kind, void *item, int32_t line,
@@ -246,7 +250,7 @@
 	add_item(loader, kind, item, loader->inventory_file, line);
 }
 
-static void finish(loader_t *loader)
+static void sort_and_check(loader_t *loader)
 {
 	wwh_config_t *config = loader->config;
 
@@ -264,11 +268,14 @@
 					 WWH_MAX_ITEMS_PER_KIND);
 	}
 	fill_minion_zones(config);
-	wwh_config_check(config, loader->places, loader->rules_given,
+	wwh_config_check(config, loader->locations, loader->rules_given,
 			 &loader->report);
 }
 
-/* Stable, so that of two items with one id the first in the file is first. */
+/*
+ * Compares ids only: the sort is stable, so items with the same id keep their
+ * order in the file.
+ */
 static gint compare_ids(gconstpointer a, gconstpointer b, gpointer client_data)
 {
 	wwh_item_kind_t kind = (wwh_item_kind_t)GPOINTER_TO_INT(client_data);
@@ -277,7 +284,7 @@
 		      wwh_item_id(kind, *(void *const *)b));
 }
 
-/* A minion that names no zone is in the zone of its worker. */
+/* A minion without a zone is in the zone of its worker. */
 static void fill_minion_zones(wwh_config_t *config)
 {
 	for (int32_t i = 0; i < wwh_config_minion_count(config); i++) {
--- a/src/libwaxwinghollow/include/private/config_change.h
+++ b/src/libwaxwinghollow/include/private/config_change.h
@@ -6,8 +6,8 @@
  *	config_change - entries of a difference between configurations
  *
  * USE
- *	Entries stand in the order of kind and id, each pair once; decoding
- *	refuses any other order, so that a change has one encoding only.
+ *	Entries are sorted by kind and id, and each pair occurs once. Decoding
+ *	rejects any other order, so that a change has only one encoding.
  */
 
 #include "private/config_items.h"
@@ -15,7 +15,7 @@
 typedef struct {
 	wwh_item_kind_t kind;
 	char *id;
-	void *item; /* NULL: removed */
+	void *item; /* NULL if the change removes the item */
 } wwh_change_entry_t;
 
 struct wwh_config_change {
@@ -23,12 +23,13 @@
 };
 
 wwh_config_change_t *wwh_change_new(void);
-/* Copies id, takes over item. */
+/* Appends an entry. Copies id and takes ownership of item. */
 void wwh_change_add(wwh_config_change_t *change, wwh_item_kind_t kind,
 		    const char *id, void *item);
 const wwh_change_entry_t *wwh_change_at(const wwh_config_change_t *change,
 					guint index);
-int wwh_change_entry_order(const wwh_change_entry_t *a,
-			   const wwh_change_entry_t *b);
+/* Compares kind and id, as strcmp does. */
+int wwh_change_entry_compare(const wwh_change_entry_t *a,
+			     const wwh_change_entry_t *b);
 
 #endif
--- a/src/test_config/test_bad_inputs.c
+++ b/src/test_config/test_bad_inputs.c
@@ -13,7 +13,7 @@
 #define CSV_HEADER "id,address,rack,zone,region,pool\n"
 
 typedef struct {
-	const char *what;
+	const char *description;
 	const char *inventory;
 	const char *rules;
 	const char *errors;
@@ -28,9 +28,9 @@
 	{ "unknown section", "{\n\"worker\": []}", "{\n\n\"pool\": []}",
 	  "inv:2: unknown key 'worker', expected 'workers'\n"
 	  "rules:3: unknown key 'pool', expected 'pools'\n" },
-	{ "section that is no list", "{\"workers\":\n 1}", NULL,
+	{ "section that is not a list", "{\"workers\":\n 1}", NULL,
 	  "inv:2: 'workers' is not a list, expected [...]\n" },
-	{ "item that is no object", "{\"workers\": [\n1, null]}", NULL,
+	{ "item that is not an object", "{\"workers\": [\n1, null]}", NULL,
 	  "inv:2: an item of 'workers' is not an object, expected {...}\n"
 	  "inv:2: an item of 'workers' is not an object, expected {...}\n" },
 	{ "unknown key, missing keys",
@@ -65,7 +65,7 @@
 	  "1099511627776\n"
 	  "inv:10: 'accelerators' is 1.5, expected a whole number from 0 to "
 	  "100000\n" },
-	{ "number beyond 64 bits, in a string and not",
+	{ "number beyond 64 bits, as a string and as a number",
 	  "{\"workers\": \"99999999999999999999\"}",
 	  "{\"pools\": [{\"id\": \"p\",\n"
 	  "\"lose_count\": -18446744073709551615}]}",
@@ -78,10 +78,11 @@
 	{ "hexadecimal number", NULL, "{\"rules\": 0x10}",
 	  "rules:1: not JSON with comments: a number with a letter in it, "
 	  "expected decimal\n" },
-	{ "quote that is not JSON's", NULL, "{\n'rules': {}}",
+	{ "single quotes", NULL, "{\n'rules': {}}",
 	  "rules:2: not JSON with comments: a ' or $ outside of a string, "
 	  "expected \"...\"\n" },
-	{ "nesting", NULL, "{\"pools\": [[[[[[[[\n[[[[[[[[[[[[[[[[[[[[",
+	{ "nesting too deep", NULL,
+	  "{\"pools\": [[[[[[[[\n[[[[[[[[[[[[[[[[[[[[",
 	  "rules:2: not JSON with comments: values nested more than 16 deep, "
 	  "expected fewer\n" },
 	{ "numbers out of range", NULL,
@@ -91,7 +92,7 @@
 	  "1000000\n"
 	  "rules:2: 'key_window_s' is 999999999999999999, expected a whole "
 	  "number from 1 to 604800\n" },
-	{ "key twice", "{}",
+	{ "duplicate key", "{}",
 	  "{\"pools\": [\n{\"id\": \"p\",\n\"lose_count\": 1,\n"
 	  "\"lose_count\": 2}]}",
 	  "rules:4: key 'lose_count' stands twice, first at line 3, expected "
@@ -124,7 +125,7 @@
 	  "{}",
 	  "inv:2: unknown service 's', expected one of 'services'\n"
 	  "inv:2: unknown worker 'w', expected one of 'workers'\n" },
-	{ "minion in another zone than its worker",
+	{ "minion in a zone other than its worker's",
 	  "kind,id,address,port,rack,zone,region,pool,service,worker\n"
 	  ",w1,10.0.0.1,,r1,a,ie,p,,\n"
 	  "minion,m1,10.0.0.1,81,,b,,,s,w1\n"
@@ -137,7 +138,7 @@
 	  "inv:4: minion 'm2' has neither worker nor zone, expected one\n"
 	  "inv:5: address 10.0.0.1 port 81 is also minion 'm1' (line 3), "
 	  "expected one minion an address and port\n" },
-	{ "service of unknown pool and team, prefix twice", NULL,
+	{ "service of unknown pool and team, duplicate prefix", NULL,
 	  "{\"services\": [\n"
 	  "{\"id\": \"s1\", \"path_prefix\": \"/s\", \"pool\": \"p\"},\n"
 	  "{\"id\": \"s2\", \"path_prefix\": \"/s\", \"pool\": \"p\",\n"
@@ -147,7 +148,7 @@
 	  "rules:3: unknown team 't', expected one of 'teams'\n"
 	  "rules:3: path_prefix /s is also service 's1' (line 2), expected one "
 	  "service a prefix\n" },
-	{ "path prefixes", NULL,
+	{ "malformed path prefixes", NULL,
 	  "{\"pools\": [" POOL "], \"services\": [\n"
 	  "{\"id\": \"s1\", \"path_prefix\": \"s\", \"pool\": \"p\"},\n"
 	  "{\"id\": \"s2\", \"path_prefix\": \"/s/\", \"pool\": \"p\"},\n"
@@ -158,7 +159,7 @@
 	  "/ and has no empty segment, space, ? or #\n"
 	  "rules:4: 'path_prefix' is \"/a//b\", expected a path that begins "
 	  "with / and has no empty segment, space, ? or #\n" },
-	{ "budgets that can't be met",
+	{ "budgets too small for a wave",
 	  CSV_HEADER "w1,10.0.0.1,r1,a,ie,p\nw2,10.0.0.2,r2,a,ie,p\n"
 		     "w3,10.0.0.3,r3,a,ie,q\nw4,10.0.0.4,r3,a,ie,q\n"
 		     "w5,10.0.0.5,r4,a,ie,q\n"
@@ -178,7 +179,7 @@
 	  "rules:4: pool 's' of 4 workers may lose 2 (lose_count 2, "
 	  "lose_percent 100) but waves are due in window 'n', expected at "
 	  "least 3: one worker and a reserve of 2 for the loss of a rack\n" },
-	{ "reserve of all that there is",
+	{ "pool within one reserved domain",
 	  CSV_HEADER "w1,10.0.0.1,r1,a,ie,p\nw2,10.0.0.2,r1,a,ie,p\n",
 	  "{\"pools\": [\n"
 	  "{\"id\": \"p\", \"lose_count\": 1, \"reserve\": \"rack\"}]}",
@@ -213,7 +214,7 @@
 	  NULL,
 	  "inv:1: unknown column 'adress', expected 'address'\n"
 	  "inv:1: column 'id' stands twice, expected once\n" },
-	{ "cells of CSV",
+	{ "malformed CSV cells",
 	  CSV_HEADER "\n"
 		     "w1,10.0.0.1,r1,a,ie\n"
 		     "w2,\"10.0.\n0.2\",r1,a,ie,p\n"
@@ -226,13 +227,12 @@
 	  "most 128)\n"
 	  "inv:7: the quotes of a cell do not end before a comma or line end, "
 	  "expected \"...\" with inner quotes doubled\n" },
-	{ "columns that are not there", "id,address,rack,zone\nw,10.0.0.1,r,a",
-	  NULL,
+	{ "missing columns", "id,address,rack,zone\nw,10.0.0.1,r,a", NULL,
 	  "inv:2: no column 'region', expected it for a worker\n"
 	  "inv:2: no column 'pool', expected it for a worker\n" },
 };
 
-void bad_inputs_are_reported_with_their_lines(void **unused)
+void bad_inputs_are_reported_with_line_numbers(void **unused)
 {
 	bool same = true;
 
@@ -246,7 +246,7 @@
 
 		assert_int_equal(status, WWH_STATUS_BAD_INPUT);
 		if (g_strcmp0(errors->str, row->errors) != 0) {
-			print_error("%s: got\n%sexpected\n%s", row->what,
+			print_error("%s: got\n%sexpected\n%s", row->description,
 				    errors->str, row->errors);
 			same = false;
 		}
--- a/src/test_config/test_budget_check.c
+++ b/src/test_config/test_budget_check.c
@@ -8,18 +8,18 @@
 #include "test_config.h"
 #include "waxwinghollow/budget.h"
 
-#define POOLS 2000
-#define MAX_SIZE 8
-#define RACKS 4
+#define POOL_COUNT 2000
+#define MAX_POOL_SIZE 8
+#define RACK_COUNT 4
 #define SEED 7
 
 static char *random_workers(GRand *random)
 {
 	GString *text = g_string_new("id,address,rack,zone,region,pool\n");
-	int32_t size = g_rand_int_range(random, 1, MAX_SIZE + 1);
+	int32_t size = g_rand_int_range(random, 1, MAX_POOL_SIZE + 1);
 
 	for (int32_t i = 0; i < size; i++) {
-		int32_t rack = g_rand_int_range(random, 0, RACKS);
+		int32_t rack = g_rand_int_range(random, 0, RACK_COUNT);
 
 		g_string_append_printf(text, "w%d,10.0.0.%d,r%d,z%d,x,p\n", i,
 				       i + 1, rack, rack % 2);
@@ -33,17 +33,17 @@
 		"{\"pools\": [{\"id\": \"p\", \"lose_count\": %d, "
 		"\"lose_percent\": %d, \"reserve\": \"%s\"}], "
 		"\"windows\": [{\"id\": \"n\", \"pool\": \"p\"}]}",
-		g_rand_int_range(random, 0, MAX_SIZE),
+		g_rand_int_range(random, 0, MAX_POOL_SIZE),
 		g_rand_int_range(random, 0, 101),
 		wwh_domain_names[g_rand_int_range(random, 0,
 						  WWH_DOMAIN_COUNT)]);
 }
 
-/* Whether the conductor's own arithmetic lets one worker of the pool out. */
-static bool a_wave_can_begin(const wwh_config_t *config)
+/* Whether the conductor's budget allows to take out one worker of the pool. */
+static bool can_wave_begin(const wwh_config_t *config)
 {
 	wwh_fleet_view_t *view = wwh_fleet_view_new();
-	wwh_pool_budget_t *tally;
+	wwh_pool_budget_t *budget;
 	bool allowed = false;
 
 	(void)wwh_fleet_view_add_pool(view, wwh_config_pool_at(config, 0));
@@ -51,28 +51,28 @@
 		(void)wwh_fleet_view_add_worker(
 			view, wwh_config_worker_at(config, i));
 	wwh_fleet_view_seal(view);
-	tally = wwh_pool_budget_new(view, 0);
+	budget = wwh_pool_budget_new(view, 0);
 	for (int32_t i = 0; i < wwh_fleet_worker_count(view); i++)
-		allowed = allowed || wwh_pool_budget_allows(tally, i) ==
+		allowed = allowed || wwh_pool_budget_allows(budget, i) ==
 					     WWH_CONSTRAINT_NONE;
-	wwh_pool_budget_delete(tally);
+	wwh_pool_budget_delete(budget);
 	wwh_fleet_view_delete(view);
 	return allowed;
 }
 
 /*
- * The check of the files and the conductor that runs the wave each work out
- * whether a pool's budget leaves room for one worker and the reserve. Were the
- * check laxer, a wave would be planned and never begin; were it stricter, a
- * sound rule could not be published.
+ * The check of the configuration and the conductor both compute whether the
+ * budget of a pool covers one worker and the reserve. If the check were less
+ * strict than the conductor, a wave would be planned but never begin; if it
+ * were stricter, a valid rule could not be published.
  */
-void the_check_of_budgets_agrees_with_the_conductor(void **unused)
+void budget_check_agrees_with_the_conductor(void **unused)
 {
 	GRand *random = g_rand_new_with_seed(SEED);
-	int32_t refused = 0;
+	int32_t rejected_count = 0;
 
 	(void)unused;
-	for (int32_t i = 0; i < POOLS; i++) {
+	for (int32_t i = 0; i < POOL_COUNT; i++) {
 		char *workers = random_workers(random);
 		char *rules = random_rules(random);
 		GString *errors = g_string_new(NULL);
@@ -81,14 +81,14 @@
 
 		(void)parse_config(workers, rules, &config, errors);
 		passed = strstr(errors->str, "waves are due") == NULL;
-		if (passed != a_wave_can_begin(config))
+		if (passed != can_wave_begin(config))
 			fail_msg("%s%s\n%s", workers, rules, errors->str);
-		refused += passed ? 0 : 1;
+		rejected_count += passed ? 0 : 1;
 		wwh_config_unref(config);
 		g_string_free(errors, TRUE);
 		g_free(workers);
 		g_free(rules);
 	}
-	assert_in_range(refused, POOLS / 10, POOLS * 9 / 10);
+	assert_in_range(rejected_count, POOL_COUNT / 10, POOL_COUNT * 9 / 10);
 	g_rand_free(random);
 }
--- a/src/test_config/test_config.c
+++ b/src/test_config/test_config.c
@@ -60,7 +60,7 @@
 	g_string_append_printf(client_data, "%s:%d: %s\n", file, line, text);
 }
 
-static wwh_config_t *good_config(void)
+static wwh_config_t *valid_config(void)
 {
 	GString *errors = g_string_new(NULL);
 	wwh_config_t *config;
@@ -72,9 +72,9 @@
 	return config;
 }
 
-static void items_are_read_and_found_by_id(void **unused)
+static void items_are_loaded_and_found_by_id(void **unused)
 {
-	wwh_config_t *config = good_config();
+	wwh_config_t *config = valid_config();
 	const wwh_window_t *window = wwh_config_window_at(config, 0);
 
 	(void)unused;
@@ -93,8 +93,8 @@
 	wwh_config_unref(config);
 }
 
-/* Spreadsheets write a byte order mark, CR LF and columns in their order. */
-static void csv_of_a_spreadsheet_is_read(void **unused)
+/* Spreadsheets write a byte order mark, CR LF and columns in any order. */
+static void csv_of_a_spreadsheet_is_loaded(void **unused)
 {
 	static const char *const csv = "\xef\xbb\xbfpool,id,address,rack,zone,"
 				       "region,x-bought,cores\r\n"
@@ -116,9 +116,9 @@
 	g_string_free(errors, TRUE);
 }
 
-static void longest_path_prefix_on_segments_is_routed(void **unused)
+static void path_is_routed_by_longest_prefix_of_segments(void **unused)
 {
-	wwh_config_t *config = good_config();
+	wwh_config_t *config = valid_config();
 
 	(void)unused;
 	assert_string_equal(wwh_config_route(config, "/book")->id, "book");
@@ -134,7 +134,7 @@
 	wwh_config_unref(config);
 }
 
-static wwh_config_change_t *recode(const wwh_config_change_t *change)
+static wwh_config_change_t *encode_and_decode(const wwh_config_change_t *change)
 {
 	GBytes *bytes = wwh_config_change_encode(change);
 	wwh_config_change_t *decoded;
@@ -149,13 +149,13 @@
 	return decoded;
 }
 
-static void applying_a_decoded_difference_gives_the_other(void **unused)
+static void applying_a_decoded_change_yields_the_target(void **unused)
 {
 	wwh_config_t *empty = wwh_config_new();
-	wwh_config_t *config = good_config();
+	wwh_config_t *config = valid_config();
 	wwh_config_change_t *change = wwh_config_diff(empty, config);
-	wwh_config_change_t *decoded = recode(change);
-	wwh_config_change_t *rest;
+	wwh_config_change_t *decoded = encode_and_decode(change);
+	wwh_config_change_t *remaining;
 	wwh_config_t *applied;
 	wwh_message_t message;
 
@@ -165,9 +165,9 @@
 		wwh_config_apply(empty, decoded, 7, &applied, &message),
 		WWH_STATUS_OK);
 	assert_int_equal(wwh_config_version(applied), 7);
-	rest = wwh_config_diff(applied, config);
-	assert_int_equal(wwh_config_change_count(rest), 0);
-	wwh_config_change_delete(rest);
+	remaining = wwh_config_diff(applied, config);
+	assert_int_equal(wwh_config_change_count(remaining), 0);
+	wwh_config_change_delete(remaining);
 	wwh_config_change_delete(change);
 	wwh_config_change_delete(decoded);
 	wwh_config_unref(applied);
@@ -176,12 +176,12 @@
 }
 
 /*
- * Two processes that applied the same change must not differ: a change that
- * makes the whole break a rule is refused and the base stays as it was.
+ * Processes that apply the same change must not diverge: a change whose result
+ * fails the checks is rejected, and the base is not modified.
  */
-static void a_change_that_breaks_the_whole_is_refused(void **unused)
+static void a_change_with_an_invalid_result_is_rejected(void **unused)
 {
-	wwh_config_t *config = good_config();
+	wwh_config_t *config = valid_config();
 	wwh_config_t *other;
 	wwh_config_t *applied;
 	wwh_config_change_t *change;
@@ -219,7 +219,7 @@
 
 static void unchanged_items_are_shared_between_versions(void **unused)
 {
-	wwh_config_t *config = good_config();
+	wwh_config_t *config = valid_config();
 	wwh_config_t *empty = wwh_config_new();
 	wwh_config_change_t *nothing = wwh_config_diff(config, config);
 	wwh_config_t *next;
@@ -238,11 +238,11 @@
 }
 
 /*
- * The log takes several hundred records a second and every entry process
- * reads each. If a change carried the whole inventory, the target's 3300
- * changes a day would be 1.8 GB a day for each process.
+ * The log accepts several hundred records per second, and every entry process
+ * reads all of them. If each change contained the whole inventory, the target
+ * load of 3300 changes per day would amount to 1.8 GB per day for each process.
  */
-static void one_changed_item_is_all_that_is_sent(void **unused)
+static void a_change_contains_only_the_changed_items(void **unused)
 {
 	static const char *const moved =
 		"id,address,rack,zone,region,pool,cores,memory_mb\n"
@@ -272,22 +272,27 @@
 	g_string_free(errors, TRUE);
 }
 
-static void malformed_changes_are_refused(void **unused)
+static void malformed_changes_are_rejected(void **unused)
 {
 	static const struct {
 		const char *bytes;
 		size_t size;
 		const char *message;
-	} rows[] = {
-		{ "", 0, "change is not whole msgpack" },
-		{ "\x92\x01", 2, "change is not whole msgpack" },
-		{ "\x92\x01\x90\x00", 4, "change is not whole msgpack" },
-		{ "\x92\x01\xdd\xff\xff\xff\xff", 7, "not whole msgpack" },
+	} malformed[] = {
+		{ "", 0,
+		  "change of 0 bytes is malformed, expected one complete "
+		  "MessagePack value" },
+		{ "\x92\x01", 2, "change of 2 bytes is malformed" },
+		{ "\x92\x01\x90\x00", 4, "change of 4 bytes is malformed" },
+		{ "\x92\x01\xdd\xff\xff\xff\xff", 7,
+		  "change of 7 bytes is malformed" },
 		{ "\x92\x02\x90", 3, "another format version" },
 		{ "\x92\x01\x01", 3, "no list of entries" },
 		{ "\x92\x01\x91\x92\x07\xa1x", 7, "entry 0 is malformed" },
-		{ "\x92\x01\x91\x92\x00\xa0", 6, "removes a worker of a bad" },
-		{ "\x92\x01\x91\x92\x00\xa1/", 7, "removes a worker of a bad" },
+		{ "\x92\x01\x91\x92\x00\xa0", 6,
+		  "removes a worker with a malformed id" },
+		{ "\x92\x01\x91\x92\x00\xa1/", 7,
+		  "removes a worker with a malformed id" },
 		{ "\x92\x01\x92\x92\x00\xa1x\x92\x00\xa1x", 11,
 		  "entry 1 is out of order" },
 		{ "\x92\x01\x91\x92\x06\x95\x00\x00\xff\x01\x01", 11,
@@ -298,16 +303,16 @@
 	};
 
 	(void)unused;
-	for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
+	for (size_t i = 0; i < G_N_ELEMENTS(malformed); i++) {
 		wwh_config_change_t *change;
 		wwh_message_t message = { "" };
 
 		assert_int_equal(wwh_config_change_decode(
-					 (const uint8_t *)rows[i].bytes,
-					 rows[i].size, &change, &message),
+					 (const uint8_t *)malformed[i].bytes,
+					 malformed[i].size, &change, &message),
 				 WWH_STATUS_BAD_INPUT);
 		assert_null(change);
-		if (strstr(message.text, rows[i].message) == NULL)
+		if (strstr(message.text, malformed[i].message) == NULL)
 			fail_msg("row %zu: %s", i, message.text);
 	}
 }
@@ -315,17 +320,16 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(items_are_read_and_found_by_id),
-		cmocka_unit_test(csv_of_a_spreadsheet_is_read),
-		cmocka_unit_test(longest_path_prefix_on_segments_is_routed),
-		cmocka_unit_test(applying_a_decoded_difference_gives_the_other),
-		cmocka_unit_test(a_change_that_breaks_the_whole_is_refused),
+		cmocka_unit_test(items_are_loaded_and_found_by_id),
+		cmocka_unit_test(csv_of_a_spreadsheet_is_loaded),
+		cmocka_unit_test(path_is_routed_by_longest_prefix_of_segments),
+		cmocka_unit_test(applying_a_decoded_change_yields_the_target),
+		cmocka_unit_test(a_change_with_an_invalid_result_is_rejected),
 		cmocka_unit_test(unchanged_items_are_shared_between_versions),
-		cmocka_unit_test(one_changed_item_is_all_that_is_sent),
-		cmocka_unit_test(malformed_changes_are_refused),
-		cmocka_unit_test(bad_inputs_are_reported_with_their_lines),
-		cmocka_unit_test(
-			the_check_of_budgets_agrees_with_the_conductor),
+		cmocka_unit_test(a_change_contains_only_the_changed_items),
+		cmocka_unit_test(malformed_changes_are_rejected),
+		cmocka_unit_test(bad_inputs_are_reported_with_line_numbers),
+		cmocka_unit_test(budget_check_agrees_with_the_conductor),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/src/test_config/test_config.h
+++ b/src/test_config/test_config.h
@@ -3,20 +3,20 @@
 
 /*
  * NAME
- *	test_config - what the files of this test program share
+ *	test_config - shared by the files of this test program
  */
 
 #include <glib.h>
 
 #include "waxwinghollow/config.h"
 
-/* Parses into a new *config; errors are appended one a line. */
+/* Parses into a new *config and appends the errors, one on each line. */
 wwh_status_t parse_config(const char *inventory, const char *rules,
 			  wwh_config_t **config, GString *errors);
 void append_error(const char *file, int32_t line, const char *text,
 		  void *client_data);
 
-void bad_inputs_are_reported_with_their_lines(void **unused);
-void the_check_of_budgets_agrees_with_the_conductor(void **unused);
+void bad_inputs_are_reported_with_line_numbers(void **unused);
+void budget_check_agrees_with_the_conductor(void **unused);
 
 #endif
