--- a/include/waxwinghollow/host_duties.h
+++ b/include/waxwinghollow/host_duties.h
@@ -87,7 +87,7 @@
  * credit (two days each). Where hosts idle for longer, it costs half a minute of
  * each.
  */
-#define WWH_REST_AFTER_MS 30000
+#define WWH_STANDBY_DELAY_MS 30000
 
 typedef struct {
 	int64_t upkeep_ms; /* a host is away for upkeep */
@@ -96,7 +96,7 @@
 	 * No orders before this: another process that held the shard may
 	 * have given some a moment ago, and hosts take one holder at a time.
 	 */
-	int64_t quiet_until_ms;
+	int64_t first_order_ms;
 	wwh_scheduler_t *scheduler;
 } wwh_host_duties_options_t;
 
@@ -109,7 +109,7 @@
  * others take one holder at a time for lease_ms, and a holder without the
  * store gives them no orders.
  */
-int64_t wwh_host_duties_quiet_ms(bool hosts_fence, int64_t lease_ms);
+int64_t wwh_host_duties_takeover_delay_ms(bool hosts_fence, int64_t lease_ms);
 
 wwh_host_duties_t *wwh_host_duties_new(const wwh_host_duties_options_t *options,
 				       const wwh_host_duties_calls_t *calls);
@@ -124,8 +124,8 @@
 			     wwh_message_t *message);
 
 /* Takes order over. */
-void wwh_host_duties_wave(wwh_host_duties_t *duties, wwh_wave_order_t *order,
-			  int64_t now_ms);
+void wwh_host_duties_add_wave(wwh_host_duties_t *duties,
+			      wwh_wave_order_t *order, int64_t now_ms);
 
 /* A whole list: begin, each host, end. ok false: the list broke off. */
 void wwh_host_duties_list_begin(wwh_host_duties_t *duties);
@@ -134,16 +134,19 @@
 void wwh_host_duties_list_end(wwh_host_duties_t *duties, bool ok,
 			      int64_t now_ms);
 
-void wwh_host_duties_upkeep_ended(wwh_host_duties_t *duties, const char *host,
-				  int64_t wave, wwh_duty_result_t result,
-				  int64_t now_ms);
+void wwh_host_duties_handle_upkeep_result(wwh_host_duties_t *duties,
+					  const char *host, int64_t wave,
+					  wwh_duty_result_t result,
+					  int64_t now_ms);
 
-void wwh_host_duties_move_ended(wwh_host_duties_t *duties, const char *host,
-				wwh_duty_result_t result, int64_t now_ms);
+void wwh_host_duties_handle_move_result(wwh_host_duties_t *duties,
+					const char *host,
+					wwh_duty_result_t result,
+					int64_t now_ms);
 
 /* A pool of the configuration. */
-void wwh_host_duties_pool(wwh_host_duties_t *duties, const char *pool,
-			  bool standby);
+void wwh_host_duties_set_pool(wwh_host_duties_t *duties, const char *pool,
+			      bool standby);
 
 /* Paused: lists are taken in, and no host is ordered or emptied. */
 void wwh_host_duties_set_paused(wwh_host_duties_t *duties, bool paused);
--- a/include/waxwinghollow/host_settings.h
+++ b/include/waxwinghollow/host_settings.h
@@ -36,13 +36,13 @@
 	int64_t lease_max_ms;
 	int64_t stop_limit_ms;
 	int64_t unavailable_after_ms;
-	int64_t job_kept_ms; /* ended jobs are answered for */
+	int64_t job_retention_ms; /* ended jobs are answered for */
 	int64_t grace_ms; /* between SIGTERM and SIGKILL */
-	int64_t member_min_ms; /* shortest time after which one is given up */
+	int64_t member_ttl_min_ms; /* shortest time after which one is given up */
 	bool checks_keys; /* callers need an API key of a workspace */
 	bool revoke_fails_closed; /* unread configuration: all keys fail */
 	int64_t revoke_ms; /* after which it does */
-	int64_t store_call_bytes; /* of one call to the store, at most */
+	int64_t store_call_max_bytes; /* of one call to the store, at most */
 	int64_t duty_lease_ms; /* hosts take one holder at a time, so long */
 	bool hosts_fence; /* hosts refuse orders of a holder before */
 	int64_t drain_ms; /* no start on an upstream that has left for longer */
--- a/src/libwaxwinghollow/host_duties.c
+++ b/src/libwaxwinghollow/host_duties.c
@@ -26,7 +26,7 @@
 static void end_incarnation(wwh_host_duties_t *duties, const duty_host_t *host,
 			    const wwh_listed_host_t *listed);
 
-int64_t wwh_host_duties_quiet_ms(bool hosts_fence, int64_t lease_ms)
+int64_t wwh_host_duties_takeover_delay_ms(bool hosts_fence, int64_t lease_ms)
 {
 	return hosts_fence ? MIN(lease_ms, WWH_OVERTAKEN_HOLDER_MS) : lease_ms;
 }
@@ -46,7 +46,7 @@
 	duties->sizing = wwh_pool_sizing_new();
 	duties->pools = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 					      duties_pool_delete);
-	duties->quiet_until_ms = options->quiet_until_ms;
+	duties->first_order_ms = options->first_order_ms;
 	duties->restored =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 				      (GDestroyNotify)g_hash_table_destroy);
@@ -166,7 +166,7 @@
 		duties->calls.list(duties->calls.client_data);
 	}
 	if (!duties->listed || duties->paused ||
-	    duties->now_ms < duties->quiet_until_ms)
+	    duties->now_ms < duties->first_order_ms)
 		return;
 	/* first: waves go by what each pool wants */
 	duties_run_moves(duties);
--- a/src/libwaxwinghollow/host_moves.c
+++ b/src/libwaxwinghollow/host_moves.c
@@ -40,8 +40,8 @@
 static void repeat_unanswered(wwh_host_duties_t *duties);
 static int32_t in_flight(const wwh_host_duties_t *duties);
 
-void wwh_host_duties_pool(wwh_host_duties_t *duties, const char *name,
-			  bool standby)
+void wwh_host_duties_set_pool(wwh_host_duties_t *duties, const char *name,
+			      bool standby)
 {
 	duty_pool_t *pool = duties_pool(duties, name);
 
@@ -53,8 +53,10 @@
 	pool->standby = standby;
 }
 
-void wwh_host_duties_move_ended(wwh_host_duties_t *duties, const char *name,
-				wwh_duty_result_t result, int64_t now_ms)
+void wwh_host_duties_handle_move_result(wwh_host_duties_t *duties,
+					const char *name,
+					wwh_duty_result_t result,
+					int64_t now_ms)
 {
 	duty_host_t *host = g_hash_table_lookup(duties->hosts, name);
 
@@ -374,7 +376,7 @@
 		return false;
 	}
 	if (to == NULL &&
-	    duties->now_ms - host->leaving_ms < WWH_REST_AFTER_MS) {
+	    duties->now_ms - host->leaving_ms < WWH_STANDBY_DELAY_MS) {
 		wwh_scheduler_uncordon(scheduler, host->upstream);
 		return false;
 	}
--- a/src/libwaxwinghollow/host_settings.c
+++ b/src/libwaxwinghollow/host_settings.c
@@ -11,11 +11,11 @@
 	settings->lease_max_ms = 6000;
 	settings->stop_limit_ms = 400;
 	settings->unavailable_after_ms = 4500;
-	settings->job_kept_ms = 120000;
+	settings->job_retention_ms = 120000;
 	settings->grace_ms = 6000;
-	settings->member_min_ms = 1000;
+	settings->member_ttl_min_ms = 1000;
 	settings->revoke_ms = 5000;
-	settings->store_call_bytes = 2097152;
+	settings->store_call_max_bytes = 2097152;
 	settings->duty_lease_ms = 3000;
 	settings->drain_ms = 2000;
 	settings->move_ms = 1500;
--- a/src/libwaxwinghollow/host_waves.c
+++ b/src/libwaxwinghollow/host_waves.c
@@ -100,8 +100,8 @@
 	return ok;
 }
 
-void wwh_host_duties_wave(wwh_host_duties_t *duties, wwh_wave_order_t *order,
-			  int64_t now_ms)
+void wwh_host_duties_add_wave(wwh_host_duties_t *duties,
+			      wwh_wave_order_t *order, int64_t now_ms)
 {
 	char *key = g_strdup_printf("%" G_GINT64_FORMAT, order->number);
 	GHashTable *done = g_hash_table_lookup(duties->restored, key);
@@ -129,9 +129,10 @@
 		       g_hash_table_size(wave->done), order->duration_ms);
 }
 
-void wwh_host_duties_upkeep_ended(wwh_host_duties_t *duties, const char *name,
-				  int64_t number, wwh_duty_result_t result,
-				  int64_t now_ms)
+void wwh_host_duties_handle_upkeep_result(wwh_host_duties_t *duties,
+					  const char *name, int64_t number,
+					  wwh_duty_result_t result,
+					  int64_t now_ms)
 {
 	duty_host_t *host = g_hash_table_lookup(duties->hosts, name);
 	duty_wave_t *wave = wave_of(duties, number);
--- a/src/libwaxwinghollow/include/private/host_duties_state.h
+++ b/src/libwaxwinghollow/include/private/host_duties_state.h
@@ -74,7 +74,7 @@
 	int64_t list_number;
 	int64_t list_sent_ms;
 	int64_t next_list_ms;
-	int64_t quiet_until_ms; /* no orders before: a holder was before */
+	int64_t first_order_ms; /* no orders before: a holder was before */
 	int64_t durable;
 	int64_t now_ms;
 	bool list_in_flight;
--- a/src/test_host_duties/crew.h
+++ b/src/test_host_duties/duties_fixture.h
@@ -97,7 +97,7 @@
 	return wwh_host_duties_new(&crew->options, &calls);
 }
 
-static inline crew_t *crew_new(int64_t quiet_until_ms)
+static inline crew_t *crew_new(int64_t first_order_ms)
 {
 	crew_t *crew = g_new0(crew_t, 1);
 
@@ -105,7 +105,7 @@
 	crew->options.scheduler = crew->rig->scheduler;
 	crew->options.upkeep_ms = 2000;
 	crew->options.move_ms = 1500;
-	crew->options.quiet_until_ms = quiet_until_ms;
+	crew->options.first_order_ms = first_order_ms;
 	crew->upkeeps = g_ptr_array_new_with_free_func(g_free);
 	crew->moves = g_ptr_array_new_with_free_func(g_free);
 	crew->duties = crew_duties(crew);
@@ -166,7 +166,7 @@
 		g_ptr_array_add(order->hosts, g_strdup_printf("h%d", i));
 	order->max_down = max_down;
 	order->duration_ms = 60000;
-	wwh_host_duties_wave(crew->duties, order, crew->rig->now_ms);
+	wwh_host_duties_add_wave(crew->duties, order, crew->rig->now_ms);
 }
 
 /* Hosts h1 to hN of the rig's pool, each with the upstream uN or none. */
@@ -198,8 +198,8 @@
 	const char *moved = crew_moved(crew, index);
 	char *host = g_strndup(moved, strcspn(moved, " "));
 
-	wwh_host_duties_move_ended(crew->duties, host, WWH_DUTY_DONE,
-				   crew->rig->now_ms);
+	wwh_host_duties_handle_move_result(crew->duties, host, WWH_DUTY_DONE,
+					   crew->rig->now_ms);
 	g_free(host);
 }
 
@@ -217,8 +217,8 @@
 {
 	char *host = g_strndup(moved, strcspn(moved, " "));
 
-	wwh_host_duties_move_ended(crew->duties, host, WWH_DUTY_DONE,
-				   crew->rig->now_ms);
+	wwh_host_duties_handle_move_result(crew->duties, host, WWH_DUTY_DONE,
+					   crew->rig->now_ms);
 	crew_run(crew, crew->options.move_ms);
 	wwh_host_duties_list_begin(crew->duties);
 	crew_host(crew, strcmp(host, "h1") == 0 ? "h2" : "h1",
--- a/src/test_host_duties/test_host_duties.c
+++ b/src/test_host_duties/test_host_duties.c
@@ -3,7 +3,7 @@
  * upstreams are as each test says. Here: what lists of hosts say, and main.
  */
 
-#include "crew.h"
+#include "duties_fixture.h"
 
 static void a_host_listed_as_away_has_ended_its_tasks(void **state)
 {
@@ -28,8 +28,8 @@
 {
 	crew_t *crew = *state;
 
-	wwh_host_duties_pool(crew->duties, SCHED_FIXTURE_POOL, false);
-	wwh_host_duties_pool(crew->duties, "rest", true);
+	wwh_host_duties_set_pool(crew->duties, SCHED_FIXTURE_POOL, false);
+	wwh_host_duties_set_pool(crew->duties, "rest", true);
 	sched_fixture_add_upstream(crew->rig, "u9", "10.0.0.9:1");
 	sched_fixture_submit(crew->rig, sched_fixture_job(JOB_A, 60, 1000));
 	crew_run(crew, 1);
@@ -40,8 +40,8 @@
 	assert_string_equal(g_ptr_array_index(crew->moves, 0),
 			    "h1 " SCHED_FIXTURE_POOL);
 	crew->rig->now_ms += 10;
-	wwh_host_duties_move_ended(crew->duties, "h1", WWH_DUTY_DONE,
-				   crew->rig->now_ms);
+	wwh_host_duties_handle_move_result(crew->duties, "h1", WWH_DUTY_DONE,
+					   crew->rig->now_ms);
 	crew_host(crew, "h1", "rest", NULL, WWH_HOST_UP);
 	crew_listed(crew);
 	crew_run(crew, 5000);
@@ -56,10 +56,10 @@
 static void a_new_holder_waits_less_where_hosts_fence(void **state)
 {
 	(void)state;
-	assert_int_equal(wwh_host_duties_quiet_ms(false, 3000), 3000);
-	assert_int_equal(wwh_host_duties_quiet_ms(true, 3000),
+	assert_int_equal(wwh_host_duties_takeover_delay_ms(false, 3000), 3000);
+	assert_int_equal(wwh_host_duties_takeover_delay_ms(true, 3000),
 			 WWH_OVERTAKEN_HOLDER_MS);
-	assert_int_equal(wwh_host_duties_quiet_ms(true, 400), 400);
+	assert_int_equal(wwh_host_duties_takeover_delay_ms(true, 400), 400);
 }
 
 /*
--- a/src/test_host_duties/test_incarnations.c
+++ b/src/test_host_duties/test_incarnations.c
@@ -3,7 +3,7 @@
  * list of hosts shows.
  */
 
-#include "crew.h"
+#include "duties_fixture.h"
 
 /* Lists come each half second; this is two of them. */
 #define SOON_MS 1000
@@ -42,8 +42,8 @@
 	sched_fixture_make_durable(crew->rig);
 	sched_fixture_take_over(crew->rig);
 	crew_take_over(crew);
-	wwh_host_duties_pool(crew->duties, SCHED_FIXTURE_POOL, false);
-	wwh_host_duties_pool(crew->duties, "rest", true);
+	wwh_host_duties_set_pool(crew->duties, SCHED_FIXTURE_POOL, false);
+	wwh_host_duties_set_pool(crew->duties, "rest", true);
 }
 
 static void answer_u2(sched_fixture_t *rig)
--- a/src/test_host_duties/test_moves.c
+++ b/src/test_host_duties/test_moves.c
@@ -1,6 +1,6 @@
 /* Moves between pools, and to rest. */
 
-#include "crew.h"
+#include "duties_fixture.h"
 
 #define JOB_B "00000000000000bb"
 #define WHOLE_HOST 8000
@@ -17,8 +17,8 @@
 /* One pool, and one in which hosts rest. */
 static void list_two_idle_hosts(crew_t *crew)
 {
-	wwh_host_duties_pool(crew->duties, SCHED_FIXTURE_POOL, false);
-	wwh_host_duties_pool(crew->duties, "rest", true);
+	wwh_host_duties_set_pool(crew->duties, SCHED_FIXTURE_POOL, false);
+	wwh_host_duties_set_pool(crew->duties, "rest", true);
 	sched_fixture_add_upstream(crew->rig, "u1", "10.0.0.1:1");
 	sched_fixture_add_upstream(crew->rig, "u2", "10.0.0.2:1");
 	crew_run(crew, 1);
@@ -29,8 +29,8 @@
 {
 	crew_t *crew = *state;
 
-	wwh_host_duties_pool(crew->duties, SCHED_FIXTURE_POOL, false);
-	wwh_host_duties_pool(crew->duties, "rest", true);
+	wwh_host_duties_set_pool(crew->duties, SCHED_FIXTURE_POOL, false);
+	wwh_host_duties_set_pool(crew->duties, "rest", true);
 	for (int32_t i = 0; i < 3; i++) {
 		char id[8];
 		char at[16];
@@ -62,8 +62,8 @@
 	crew_t *crew = *state;
 	wwh_job_t *job = sched_fixture_job(JOB_A, 2, 1000);
 
-	wwh_host_duties_pool(crew->duties, SCHED_FIXTURE_POOL, false);
-	wwh_host_duties_pool(crew->duties, "rest", true);
+	wwh_host_duties_set_pool(crew->duties, SCHED_FIXTURE_POOL, false);
+	wwh_host_duties_set_pool(crew->duties, "rest", true);
 	for (int32_t i = 1; i <= 4; i++) {
 		char id[8];
 		char at[16];
@@ -78,7 +78,7 @@
 	crew_run(crew, 1);
 	crew_hosts(crew, 4, true, WWH_HOST_UP);
 	crew_run(crew, 1);
-	crew_run(crew, WWH_REST_AFTER_MS - 1);
+	crew_run(crew, WWH_STANDBY_DELAY_MS - 1);
 	assert_int_equal(crew->moves->len, 0);
 	crew_run(crew, 1);
 	assert_int_equal(crew->moves->len, 2);
@@ -101,9 +101,9 @@
 	crew_t *crew = *state;
 	wwh_job_t *job = sched_fixture_job(JOB_A, 60, 1000);
 
-	wwh_host_duties_pool(crew->duties, SCHED_FIXTURE_POOL, false);
-	wwh_host_duties_pool(crew->duties, "next", false);
-	wwh_host_duties_pool(crew->duties, "rest", true);
+	wwh_host_duties_set_pool(crew->duties, SCHED_FIXTURE_POOL, false);
+	wwh_host_duties_set_pool(crew->duties, "next", false);
+	wwh_host_duties_set_pool(crew->duties, "rest", true);
 	sched_fixture_add_upstream(crew->rig, "u1", "10.0.0.1:1");
 	sched_fixture_add_upstream(crew->rig, "u2", "10.0.0.2:1");
 	sched_fixture_add_upstream(crew->rig, "u3", "10.0.0.3:1");
@@ -113,7 +113,7 @@
 	/* each pool keeps one */
 	assert_int_equal(crew->moves->len, 1);
 	crew_answer_move(crew, 0);
-	crew_run(crew, WWH_REST_AFTER_MS / 2);
+	crew_run(crew, WWH_STANDBY_DELAY_MS / 2);
 	assert_int_equal(crew->moves->len, 1);
 	g_free(job->queue.pool);
 	job->queue.pool = g_strdup("next");
@@ -138,7 +138,7 @@
 	sched_fixture_submit(crew->rig, sched_fixture_job(JOB_A, 60, 1000));
 	crew_run(crew, 1);
 	assert_false(crew_cordoned(crew));
-	crew_run(crew, WWH_REST_AFTER_MS);
+	crew_run(crew, WWH_STANDBY_DELAY_MS);
 	assert_int_equal(crew->moves->len, 0);
 }
 
@@ -169,7 +169,7 @@
 
 	list_two_idle_hosts(crew);
 	crew_run(crew, 1);
-	crew_run(crew, WWH_REST_AFTER_MS - 1);
+	crew_run(crew, WWH_STANDBY_DELAY_MS - 1);
 	assert_int_equal(crew->moves->len, 0);
 	crew_run(crew, 1);
 	assert_int_equal(crew->moves->len, 1);
@@ -240,8 +240,8 @@
 	crew_t *crew = *state;
 	sched_fixture_order_t lost;
 
-	wwh_host_duties_pool(crew->duties, SCHED_FIXTURE_POOL, false);
-	wwh_host_duties_pool(crew->duties, "rest", true);
+	wwh_host_duties_set_pool(crew->duties, SCHED_FIXTURE_POOL, false);
+	wwh_host_duties_set_pool(crew->duties, "rest", true);
 	sched_fixture_add_upstream(crew->rig, "u1", "10.0.0.1:1");
 	sched_fixture_add_upstream(crew->rig, "u2", "10.0.0.2:1");
 	sched_fixture_add_upstream(crew->rig, "u3", "10.0.0.3:1");
@@ -281,7 +281,7 @@
 	list_two_idle_hosts(crew);
 	crew_run(crew, 2000);
 	crew_hosts(crew, 2, true, WWH_HOST_UP);
-	crew_run(crew, WWH_REST_AFTER_MS);
+	crew_run(crew, WWH_STANDBY_DELAY_MS);
 	crew_hosts(crew, 2, true, WWH_HOST_UP);
 	crew_run(crew, 1);
 	assert_int_equal(crew->moves->len, 1);
@@ -307,8 +307,8 @@
 	wwh_running_task_t rows[2];
 	wwh_ended_task_t ended;
 
-	wwh_host_duties_pool(crew->duties, SCHED_FIXTURE_POOL, false);
-	wwh_host_duties_pool(crew->duties, "rest", true);
+	wwh_host_duties_set_pool(crew->duties, SCHED_FIXTURE_POOL, false);
+	wwh_host_duties_set_pool(crew->duties, "rest", true);
 	sched_fixture_add_upstream(crew->rig, "u1", "10.0.0.1:1");
 	sched_fixture_add_upstream(crew->rig, "u2", "10.0.0.2:1");
 	job->steps[0].lasting = true;
--- a/src/test_host_duties/test_waves.c
+++ b/src/test_host_duties/test_waves.c
@@ -1,6 +1,6 @@
 /* Waves of upkeep. */
 
-#include "crew.h"
+#include "duties_fixture.h"
 
 void no_more_hosts_are_down_than_the_wave_allows(void **state)
 {
@@ -13,8 +13,8 @@
 	crew_run(crew, 1);
 	assert_int_equal(crew->upkeeps->len, 2);
 	/* an order without an answer may have been carried out */
-	wwh_host_duties_upkeep_ended(crew->duties, "h1", WAVE, WWH_DUTY_UNKNOWN,
-				     crew->rig->now_ms);
+	wwh_host_duties_handle_upkeep_result(
+		crew->duties, "h1", WAVE, WWH_DUTY_UNKNOWN, crew->rig->now_ms);
 	crew_run(crew, 100);
 	assert_int_equal(crew->upkeeps->len, 2);
 }
@@ -30,12 +30,12 @@
 	crew_hosts(crew, 2, false, WWH_HOST_UP);
 	crew_run(crew, 1);
 	assert_int_equal(crew->active, 1);
-	wwh_host_duties_upkeep_ended(crew->duties, "h1", WAVE, WWH_DUTY_DONE,
-				     crew->rig->now_ms);
+	wwh_host_duties_handle_upkeep_result(crew->duties, "h1", WAVE,
+					     WWH_DUTY_DONE, crew->rig->now_ms);
 	crew_run(crew, 1);
 	assert_int_equal(crew->completed, 0);
-	wwh_host_duties_upkeep_ended(crew->duties, "h2", WAVE, WWH_DUTY_DONE,
-				     crew->rig->now_ms);
+	wwh_host_duties_handle_upkeep_result(crew->duties, "h2", WAVE,
+					     WWH_DUTY_DONE, crew->rig->now_ms);
 	crew_run(crew, 1);
 	crew_run(crew, 1);
 	assert_int_equal(crew->completed, 0);
@@ -54,8 +54,8 @@
 	crew_host(crew, "h1", SCHED_FIXTURE_POOL, NULL, WWH_HOST_UP);
 	crew_listed(crew);
 	crew_run(crew, 1);
-	wwh_host_duties_upkeep_ended(crew->duties, "h1", WAVE, WWH_DUTY_DONE,
-				     crew->rig->now_ms);
+	wwh_host_duties_handle_upkeep_result(crew->duties, "h1", WAVE,
+					     WWH_DUTY_DONE, crew->rig->now_ms);
 	for (int32_t i = 0; i < 4; i++) {
 		wwh_host_duties_set_durable(crew->duties, crew->record);
 		assert_int_equal(crew->completed, 0);
@@ -94,8 +94,8 @@
 	crew_hosts(crew, 1, true, WWH_HOST_UP);
 	crew_run(crew, 1);
 	assert_int_equal(crew->upkeeps->len, 1);
-	wwh_host_duties_upkeep_ended(crew->duties, "h1", WAVE, WWH_DUTY_DONE,
-				     crew->rig->now_ms);
+	wwh_host_duties_handle_upkeep_result(crew->duties, "h1", WAVE,
+					     WWH_DUTY_DONE, crew->rig->now_ms);
 	assert_int_equal(
 		wwh_scheduler_counts(crew->rig->scheduler).tasks_outstanding,
 		1);
@@ -117,8 +117,8 @@
 {
 	crew_t *crew = *state;
 
-	wwh_host_duties_pool(crew->duties, SCHED_FIXTURE_POOL, false);
-	wwh_host_duties_pool(crew->duties, "rest", true);
+	wwh_host_duties_set_pool(crew->duties, SCHED_FIXTURE_POOL, false);
+	wwh_host_duties_set_pool(crew->duties, "rest", true);
 	sched_fixture_add_upstream(crew->rig, "u1", "10.0.0.1:1");
 	sched_fixture_submit(crew->rig, sched_fixture_job(JOB_A, 60, 1000));
 	crew_wave(crew, 1, 1);
@@ -142,8 +142,8 @@
 {
 	crew_t *crew = *state;
 
-	wwh_host_duties_pool(crew->duties, SCHED_FIXTURE_POOL, false);
-	wwh_host_duties_pool(crew->duties, "rest", true);
+	wwh_host_duties_set_pool(crew->duties, SCHED_FIXTURE_POOL, false);
+	wwh_host_duties_set_pool(crew->duties, "rest", true);
 	crew_wave(crew, 2, 1);
 	crew_run(crew, 1);
 	crew_host(crew, "h1", SCHED_FIXTURE_POOL, NULL, WWH_HOST_UP);
@@ -188,8 +188,8 @@
 	int32_t counts[2] = { 0, 0 };
 	wwh_ended_task_t ended;
 
-	wwh_host_duties_pool(crew->duties, SCHED_FIXTURE_POOL, false);
-	wwh_host_duties_pool(crew->duties, "rest", true);
+	wwh_host_duties_set_pool(crew->duties, SCHED_FIXTURE_POOL, false);
+	wwh_host_duties_set_pool(crew->duties, "rest", true);
 	sched_fixture_add_upstream(rig, "u1", "10.0.0.1:1");
 	sched_fixture_add_upstream(rig, "u2", "10.0.0.2:1");
 	kept->steps[0].lasting = true;
