--- a/src/libwaxwinghollow/config_relay.c
+++ b/src/libwaxwinghollow/config_relay.c
@@ -6,11 +6,11 @@
 
 #include "private/msgpack_bounds.h"
 
-#define DEPTH 2
+#define MAX_DEPTH 2
 #define REQUEST_FIELDS 2
 #define PART_FIELDS 7
 #define PART_BYTES (128 * 1024)
-#define MAX_BACKOFF 3
+#define MAX_BACKOFF_SHIFT 3
 
 typedef enum {
 	MESSAGE_REQUEST = 0,
@@ -21,7 +21,7 @@
 	int64_t version;
 	int64_t offset;
 	GBytes *change;
-} kept_t;
+} retained_change_t;
 
 typedef struct {
 	int64_t from;
@@ -37,46 +37,47 @@
 	wwh_config_relay_options_t options;
 	wwh_config_relay_stats_t stats;
 	int64_t version; /* in force here */
-	GQueue kept; /* kept_t *, versions without a gap up to version */
-	int64_t kept_bytes;
-	int64_t behind_ms; /* since when a newer version is known; 0: none */
-	char *asked; /* address; NULL: no request is open */
-	int64_t asked_ms;
-	int32_t failures; /* requests in a row that brought nothing */
-	int64_t served_whole_ms;
-	part_t transfer; /* without data: what the next part must fit to */
+	GQueue retained; /* retained_change_t *, consecutive, up to version */
+	int64_t retained_bytes;
+	int64_t behind_since_ms; /* 0: no newer version is known */
+	char *requested_from; /* address; NULL: no request is pending */
+	int64_t last_progress_ms; /* request sent or last part received */
+	int32_t failures; /* consecutive requests without a change installed */
+	int64_t served_full_ms;
+	part_t expected; /* header of the next part; its data is NULL */
 	GByteArray *received;
 };
 
-static void kept_free(gpointer data);
+static void retained_change_free(gpointer data);
 static void end_request(wwh_config_relay_t *relay);
-static void ask(wwh_config_relay_t *relay, const char *address, int64_t now_ms);
+static void send_request(wwh_config_relay_t *relay, const char *address,
+			 int64_t now_ms);
 static bool read_number(const msgpack_object *object, int64_t *number);
-static wwh_status_t take_fields(wwh_config_relay_t *relay,
-				const char *from_address,
-				const msgpack_object_array *fields,
-				int64_t now_ms);
+static wwh_status_t handle_message(wwh_config_relay_t *relay,
+				   const char *from_address,
+				   const msgpack_object_array *fields,
+				   int64_t now_ms);
 static bool read_part(const msgpack_object *field, part_t *part);
-static void serve(wwh_config_relay_t *relay, const char *address, int64_t have,
-		  int64_t now_ms);
-static void serve_whole(wwh_config_relay_t *relay, const char *address,
-			int64_t have, int64_t now_ms);
+static void serve(wwh_config_relay_t *relay, const char *address,
+		  int64_t peer_version, int64_t now_ms);
+static void serve_full_config(wwh_config_relay_t *relay, const char *address,
+			      int64_t peer_version, int64_t now_ms);
 static void send_parts(wwh_config_relay_t *relay, const char *address,
 		       part_t head, GBytes *change);
 static void send_part(wwh_config_relay_t *relay, const char *address,
 		      const part_t *part);
-static bool take_part(wwh_config_relay_t *relay, const part_t *part,
-		      int64_t now_ms);
+static bool accept_part(wwh_config_relay_t *relay, const part_t *part,
+			int64_t now_ms);
 static bool install(wwh_config_relay_t *relay, const part_t *part);
 
 void wwh_config_relay_options_defaults(wwh_config_relay_options_t *options)
 {
 	*options = (wwh_config_relay_options_t){
-		.kept_bytes = 256 * 1024,
-		.transfer_bytes = (int64_t)16 * 1024 * 1024,
-		.ask_after_ms = 1000,
-		.answer_ms = 3000,
-		.serve_gap_ms = 500,
+		.max_retained_bytes = 256 * 1024,
+		.max_transfer_bytes = (int64_t)16 * 1024 * 1024,
+		.request_delay_ms = 1000,
+		.answer_timeout_ms = 3000,
+		.min_full_interval_ms = 500,
 	};
 }
 
@@ -86,7 +87,7 @@
 	wwh_config_relay_t *relay = g_new0(wwh_config_relay_t, 1);
 
 	relay->options = *options;
-	relay->served_whole_ms = -options->serve_gap_ms;
+	relay->served_full_ms = -options->min_full_interval_ms;
 	relay->received = g_byte_array_new();
 	return relay;
 }
@@ -95,33 +96,34 @@
 {
 	if (relay == NULL)
 		return;
-	g_queue_clear_full(&relay->kept, kept_free);
+	g_queue_clear_full(&relay->retained, retained_change_free);
 	g_byte_array_unref(relay->received);
-	g_free(relay->asked);
+	g_free(relay->requested_from);
 	g_free(relay);
 }
 
-void wwh_config_relay_note(wwh_config_relay_t *relay, int64_t version,
-			   int64_t offset, GBytes *change)
+void wwh_config_relay_add_change(wwh_config_relay_t *relay, int64_t version,
+				 int64_t offset, GBytes *change)
 {
-	kept_t *kept;
+	retained_change_t *retained;
 
 	if (version <= relay->version)
 		return;
 	if (version != relay->version + 1)
 		wwh_config_relay_reset(relay, version - 1);
-	kept = g_new0(kept_t, 1);
-	kept->version = version;
-	kept->offset = offset;
-	kept->change = g_bytes_ref(change);
-	g_queue_push_tail(&relay->kept, kept);
-	relay->kept_bytes += (int64_t)g_bytes_get_size(change);
+	retained = g_new0(retained_change_t, 1);
+	retained->version = version;
+	retained->offset = offset;
+	retained->change = g_bytes_ref(change);
+	g_queue_push_tail(&relay->retained, retained);
+	relay->retained_bytes += (int64_t)g_bytes_get_size(change);
 	relay->version = version;
-	while (relay->kept_bytes > relay->options.kept_bytes) {
-		kept_t *oldest = g_queue_pop_head(&relay->kept);
+	while (relay->retained_bytes > relay->options.max_retained_bytes) {
+		retained_change_t *oldest = g_queue_pop_head(&relay->retained);
 
-		relay->kept_bytes -= (int64_t)g_bytes_get_size(oldest->change);
-		kept_free(oldest);
+		relay->retained_bytes -=
+			(int64_t)g_bytes_get_size(oldest->change);
+		retained_change_free(oldest);
 	}
 }
 
@@ -129,34 +131,34 @@
 {
 	if (version <= relay->version)
 		return;
-	g_queue_clear_full(&relay->kept, kept_free);
-	relay->kept_bytes = 0;
+	g_queue_clear_full(&relay->retained, retained_change_free);
+	relay->retained_bytes = 0;
 	relay->version = version;
 }
 
 void wwh_config_relay_tick(wwh_config_relay_t *relay, int64_t newest,
 			   const char *address, int64_t now_ms)
 {
-	int64_t patience_ms = (int64_t)relay->options.answer_ms
-			      << MIN(relay->failures, MAX_BACKOFF);
+	int64_t timeout_ms = (int64_t)relay->options.answer_timeout_ms
+			     << MIN(relay->failures, MAX_BACKOFF_SHIFT);
 
 	if (newest <= relay->version) {
-		relay->behind_ms = 0;
+		relay->behind_since_ms = 0;
 		relay->failures = 0;
 		end_request(relay);
 		return;
 	}
-	if (relay->behind_ms == 0)
-		relay->behind_ms = now_ms;
-	if (relay->asked != NULL) {
-		if (now_ms - relay->asked_ms < patience_ms)
+	if (relay->behind_since_ms == 0)
+		relay->behind_since_ms = now_ms;
+	if (relay->requested_from != NULL) {
+		if (now_ms - relay->last_progress_ms < timeout_ms)
 			return;
 		relay->failures++;
 		end_request(relay);
 	}
 	if (address[0] != '\0' &&
-	    now_ms - relay->behind_ms >= relay->options.ask_after_ms)
-		ask(relay, address, now_ms);
+	    now_ms - relay->behind_since_ms >= relay->options.request_delay_ms)
+		send_request(relay, address, now_ms);
 }
 
 wwh_status_t wwh_config_relay_receive(wwh_config_relay_t *relay,
@@ -168,17 +170,18 @@
 	msgpack_unpacked unpacked;
 	size_t at = 0;
 
-	if (wwh_msgpack_bounded(payload, size, DEPTH)) {
+	if (wwh_msgpack_bounded(payload, size, MAX_DEPTH)) {
 		msgpack_unpacked_init(&unpacked);
 		if (msgpack_unpack_next(&unpacked, (const char *)payload, size,
 					&at) == MSGPACK_UNPACK_SUCCESS &&
 		    unpacked.data.type == MSGPACK_OBJECT_ARRAY)
-			status = take_fields(relay, from_address,
-					     &unpacked.data.via.array, now_ms);
+			status = handle_message(relay, from_address,
+						&unpacked.data.via.array,
+						now_ms);
 		msgpack_unpacked_destroy(&unpacked);
 	}
 	if (status != WWH_STATUS_OK)
-		relay->stats.refused++;
+		relay->stats.rejected++;
 	return status;
 }
 
@@ -188,29 +191,30 @@
 	return &relay->stats;
 }
 
-static void kept_free(gpointer data)
+static void retained_change_free(gpointer data)
 {
-	kept_t *kept = data;
+	retained_change_t *retained = data;
 
-	g_bytes_unref(kept->change);
-	g_free(kept);
+	g_bytes_unref(retained->change);
+	g_free(retained);
 }
 
 static void end_request(wwh_config_relay_t *relay)
 {
-	g_clear_pointer(&relay->asked, g_free);
+	g_clear_pointer(&relay->requested_from, g_free);
 	g_byte_array_set_size(relay->received, 0);
-	relay->transfer = (part_t){ 0 };
+	relay->expected = (part_t){ 0 };
 }
 
-static void ask(wwh_config_relay_t *relay, const char *address, int64_t now_ms)
+static void send_request(wwh_config_relay_t *relay, const char *address,
+			 int64_t now_ms)
 {
 	msgpack_sbuffer buffer;
 	msgpack_packer packer;
 
-	relay->asked = g_strdup(address);
-	relay->asked_ms = now_ms;
-	relay->stats.asked++;
+	relay->requested_from = g_strdup(address);
+	relay->last_progress_ms = now_ms;
+	relay->stats.requests_sent++;
 	msgpack_sbuffer_init(&buffer);
 	msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
 	msgpack_pack_array(&packer, REQUEST_FIELDS);
@@ -230,26 +234,26 @@
 	return true;
 }
 
-static wwh_status_t take_fields(wwh_config_relay_t *relay,
-				const char *from_address,
-				const msgpack_object_array *fields,
-				int64_t now_ms)
+static wwh_status_t handle_message(wwh_config_relay_t *relay,
+				   const char *from_address,
+				   const msgpack_object_array *fields,
+				   int64_t now_ms)
 {
 	int64_t kind;
-	int64_t have;
+	int64_t peer_version;
 	part_t part;
 
 	if (fields->size < REQUEST_FIELDS || !read_number(fields->ptr, &kind))
 		return WWH_STATUS_BAD_INPUT;
 	if (kind == MESSAGE_REQUEST && fields->size == REQUEST_FIELDS &&
-	    read_number(&fields->ptr[1], &have)) {
-		serve(relay, from_address, have, now_ms);
+	    read_number(&fields->ptr[1], &peer_version)) {
+		serve(relay, from_address, peer_version, now_ms);
 		return WWH_STATUS_OK;
 	}
 	if (kind != MESSAGE_PART || fields->size != PART_FIELDS ||
-	    !read_part(fields->ptr, &part) || relay->asked == NULL ||
-	    strcmp(relay->asked, from_address) != 0 ||
-	    !take_part(relay, &part, now_ms))
+	    !read_part(fields->ptr, &part) || relay->requested_from == NULL ||
+	    strcmp(relay->requested_from, from_address) != 0 ||
+	    !accept_part(relay, &part, now_ms))
 		return WWH_STATUS_BAD_INPUT;
 	return WWH_STATUS_OK;
 }
@@ -268,49 +272,51 @@
 	return part->part < part->parts && part->from < part->version;
 }
 
-static void serve(wwh_config_relay_t *relay, const char *address, int64_t have,
-		  int64_t now_ms)
+static void serve(wwh_config_relay_t *relay, const char *address,
+		  int64_t peer_version, int64_t now_ms)
 {
-	const kept_t *oldest = g_queue_peek_head(&relay->kept);
+	const retained_change_t *oldest = g_queue_peek_head(&relay->retained);
 
-	if (have >= relay->version)
+	if (peer_version >= relay->version)
 		return;
-	if (oldest == NULL || oldest->version > have + 1) {
-		serve_whole(relay, address, have, now_ms);
+	if (oldest == NULL || oldest->version > peer_version + 1) {
+		serve_full_config(relay, address, peer_version, now_ms);
 		return;
 	}
-	for (GList *link = relay->kept.head; link != NULL; link = link->next) {
-		const kept_t *kept = link->data;
-		part_t head = { .from = kept->version - 1,
-				.version = kept->version,
-				.offset = kept->offset };
-
-		if (kept->version <= have)
+	for (GList *link = relay->retained.head; link != NULL;
+	     link = link->next) {
+		const retained_change_t *retained = link->data;
+		part_t head = { .from = retained->version - 1,
+				.version = retained->version,
+				.offset = retained->offset };
+
+		if (retained->version <= peer_version)
 			continue;
 		relay->stats.served_changes++;
-		send_parts(relay, address, head, kept->change);
+		send_parts(relay, address, head, retained->change);
 	}
 }
 
-static void serve_whole(wwh_config_relay_t *relay, const char *address,
-			int64_t have, int64_t now_ms)
+static void serve_full_config(wwh_config_relay_t *relay, const char *address,
+			      int64_t peer_version, int64_t now_ms)
 {
 	part_t head = { 0 };
-	GBytes *whole;
+	GBytes *config;
 
-	if (now_ms - relay->served_whole_ms < relay->options.serve_gap_ms) {
-		relay->stats.put_off++;
+	if (now_ms - relay->served_full_ms <
+	    relay->options.min_full_interval_ms) {
+		relay->stats.deferred_full++;
 		return;
 	}
-	whole = relay->options.whole(&head.version, &head.offset,
-				     relay->options.client_data);
-	if (whole != NULL && head.version > have) {
-		relay->served_whole_ms = now_ms;
-		relay->stats.served_wholes++;
-		send_parts(relay, address, head, whole);
+	config = relay->options.get_full_config(&head.version, &head.offset,
+						relay->options.client_data);
+	if (config != NULL && head.version > peer_version) {
+		relay->served_full_ms = now_ms;
+		relay->stats.served_full++;
+		send_parts(relay, address, head, config);
 	}
-	if (whole != NULL)
-		g_bytes_unref(whole);
+	if (config != NULL)
+		g_bytes_unref(config);
 }
 
 static void send_parts(wwh_config_relay_t *relay, const char *address,
@@ -353,39 +359,42 @@
 	msgpack_sbuffer_destroy(&buffer);
 }
 
-/* false: it does not fit to what was asked for or came so far. */
-static bool take_part(wwh_config_relay_t *relay, const part_t *part,
-		      int64_t now_ms)
+/*
+ * Returns false if the part doesn't match the request or the parts received so
+ * far, or if the change that it completes is rejected.
+ */
+static bool accept_part(wwh_config_relay_t *relay, const part_t *part,
+			int64_t now_ms)
 {
-	part_t *transfer = &relay->transfer;
-	bool starts = part->part == 0 && transfer->part == 0;
-	bool goes_on = part->part == transfer->part &&
-		       part->from == transfer->from &&
-		       part->version == transfer->version &&
-		       part->offset == transfer->offset &&
-		       part->parts == transfer->parts;
-	bool fits = starts ? part->version > relay->version &&
-				     (part->from == 0 ||
-				      part->from == relay->version)
-			   : goes_on;
-
-	if (!fits || (int64_t)(relay->received->len + part->size) >
-			     relay->options.transfer_bytes) {
+	part_t *expected = &relay->expected;
+	bool is_first = part->part == 0 && expected->part == 0;
+	bool continues = part->part == expected->part &&
+			 part->from == expected->from &&
+			 part->version == expected->version &&
+			 part->offset == expected->offset &&
+			 part->parts == expected->parts;
+	bool matches = is_first ? part->version > relay->version &&
+					  (part->from == 0 ||
+					   part->from == relay->version)
+				: continues;
+
+	if (!matches || (int64_t)(relay->received->len + part->size) >
+				relay->options.max_transfer_bytes) {
 		end_request(relay);
 		relay->failures++;
 		return false;
 	}
-	relay->asked_ms = now_ms;
+	relay->last_progress_ms = now_ms;
 	g_byte_array_append(relay->received, part->data, (guint)part->size);
-	*transfer = *part;
-	transfer->data = NULL;
-	transfer->part++;
-	if (transfer->part < transfer->parts)
+	*expected = *part;
+	expected->data = NULL;
+	expected->part++;
+	if (expected->part < expected->parts)
 		return true;
 	if (install(relay, part))
 		return true;
-	/* Refused: ask no sooner than after a backoff. */
-	relay->failures = MAX_BACKOFF;
+	/* The change was rejected: wait for the longest backoff. */
+	relay->failures = MAX_BACKOFF_SHIFT;
 	return false;
 }
 
@@ -393,22 +402,22 @@
 {
 	GBytes *change =
 		g_bytes_new(relay->received->data, relay->received->len);
-	bool taken =
+	bool ok =
 		relay->options.install(part->from, part->version, part->offset,
 				       change, relay->options.client_data);
 
 	g_byte_array_set_size(relay->received, 0);
-	relay->transfer = (part_t){ 0 };
-	if (taken) {
+	relay->expected = (part_t){ 0 };
+	if (ok) {
 		relay->stats.installed++;
 		relay->failures = 0;
 		if (part->from == 0 && part->version != 1)
 			wwh_config_relay_reset(relay, part->version);
 		else
-			wwh_config_relay_note(relay, part->version,
-					      part->offset, change);
+			wwh_config_relay_add_change(relay, part->version,
+						    part->offset, change);
 		assert(relay->version == part->version);
 	}
 	g_bytes_unref(change);
-	return taken;
+	return ok;
 }
