--- a/include/waxwinghollow/input_file.h
+++ b/include/waxwinghollow/input_file.h
@@ -3,11 +3,11 @@
 
 /*
  * NAME
- *	input_file - tells settings, inventory and rules apart
+ *	input_file - detects whether a file is settings, inventory or rules
  *
  * USE
- *	"check FILE..." takes files in any order; what a file is follows from
- *	the keys at its top.
+ *	"check FILE..." accepts files in any order. The top-level keys of a
+ *	JSON file determine its kind; a CSV file is an inventory.
  */
 
 #include "waxwinghollow/config.h"
@@ -24,8 +24,8 @@
 extern const char *const wwh_input_kind_names[WWH_INPUT_COUNT];
 
 /*
- * Reports and returns WWH_STATUS_BAD_INPUT when the file can't be read, isn't
- * JSON or CSV, or has no key of any kind.
+ * Sets *kind. Reports an error and returns WWH_STATUS_BAD_INPUT if the file
+ * can't be read, or is JSON that is malformed or has no known top-level key.
  */
 wwh_status_t wwh_input_file_kind(const char *path, wwh_input_kind_t *kind,
 				 wwh_config_error_t error, void *client_data);
--- a/include/waxwinghollow/settings.h
+++ b/include/waxwinghollow/settings.h
@@ -3,17 +3,17 @@
 
 /*
  * NAME
- *	settings - what one entry process is told when it starts
+ *	settings - configuration of one entry process at its start
  *
  * USE
- *	A JSON file with comments gives the process its id, its place, its
- *	addresses and its own limits; docs/SETTINGS.md lists every key. What
- *	holds for the whole deployment is not here but in the rules of
- *	config.h, so that processes can't differ in it.
+ *	A JSON file with comments sets the id, the location, the addresses and
+ *	the limits of the process; docs/SETTINGS.md lists every key. Settings
+ *	of the whole deployment are part of the rules in config.h instead, so
+ *	that processes can't differ in them.
  *
  * ORDER OF CALLS
  *	wwh_settings_load or wwh_settings_parse into a struct that is all
- *	zero; reads of the members; wwh_settings_clear.
+ *	zero; reading the members; wwh_settings_clear.
  */
 
 #include <stdbool.h>
@@ -42,54 +42,54 @@
 	char *operator_listen; /* "IP:port" */
 	char *peer_listen; /* "IP:port" */
 	char *platform_url; /* "http://IP:port" */
-	char **peers; /* "IP:port" each, ends with NULL */
+	char **peers; /* "IP:port" each, NULL-terminated */
 	wwh_log_level_t log_level;
 
 	/* Callers */
 	int32_t max_requests; /* in progress or waiting */
 	int32_t max_connections; /* from callers */
-	int32_t thread_stack_kb; /* of a connection's thread */
+	int32_t thread_stack_kb; /* of the thread of a connection */
 	int32_t max_header_bytes; /* of one request */
-	int64_t max_body_bytes; /* of one request, above any service's */
-	int64_t max_buffered_bytes; /* bodies and answers held at once */
+	int64_t max_body_bytes; /* of one request to any service */
+	int64_t max_buffered_bytes; /* of all bodies and answers held */
 	int32_t idle_timeout_ms; /* of a connection from a caller */
 
 	/* Minions */
 	int32_t connect_timeout_ms;
-	int32_t minion_idle_ms; /* pooled connections are closed after it */
+	int32_t minion_idle_ms; /* idle pooled connections are then closed */
 
 	/* Start and stop */
 	int32_t ready_off_ms; /* between "not ready" and the drain */
-	int32_t drain_limit_ms; /* requests in progress may take as long */
+	int32_t drain_limit_ms; /* until requests in progress are aborted */
 
 	/* The platform's log */
-	int32_t intent_batch_ms; /* an intent waits this long for others */
+	int32_t intent_batch_ms; /* how long an intent waits for others */
 	int32_t log_append_timeout_ms;
 	int32_t log_read_timeout_ms;
-	int32_t log_wait_ms; /* long poll of a read */
+	int32_t log_wait_ms; /* long-poll duration of a read */
 	int32_t host_list_period_ms;
-	int32_t platform_timeout_ms; /* of all other calls */
+	int32_t platform_timeout_ms; /* of all other calls to the platform */
 
 	/* Peers */
 	int32_t heartbeat_ms;
-	int32_t suspect_after_ms; /* silence that makes a peer suspect */
+	int32_t suspect_after_ms; /* peer is suspect after this silence */
 
-	/* Workers that are taken out and come back */
+	/* Workers taken out of service and returned */
 	int32_t worker_leave_ms; /* from the cordon to the drain */
-	int32_t worker_look_ms; /* between two looks at one worker */
-	int32_t worker_check_ms; /* a rebooted worker has to stay up so long */
+	int32_t worker_look_ms; /* between two status checks of one worker */
+	int32_t worker_check_ms; /* required uptime of a rebooted worker */
 	int32_t worker_slow_start_ms; /* until it counts as serving again */
-	int32_t rehearsal_hold_ms; /* a domain is kept out so long */
+	int32_t rehearsal_hold_ms; /* a domain is out of service this long */
 } wwh_settings_t;
 
 /*
- * Reports every error and returns WWH_STATUS_BAD_INPUT when there was one;
- * settings is all zero again then.
+ * Reports every error. Returns WWH_STATUS_BAD_INPUT if there was one; all bytes
+ * of settings are zero then.
  */
 wwh_status_t wwh_settings_load(const char *path, wwh_settings_t *settings,
 			       wwh_config_error_t error, void *client_data);
 
-/* wwh_settings_load for a file that was read already. */
+/* Same as wwh_settings_load for text that was read already. */
 wwh_status_t wwh_settings_parse(const wwh_config_text_t *text,
 				wwh_settings_t *settings,
 				wwh_config_error_t error, void *client_data);
@@ -97,8 +97,8 @@
 void wwh_settings_clear(wwh_settings_t *settings);
 
 /*
- * Splits "IP:port" or "[IPv6]:port". *address is to be freed; false when text
- * is neither.
+ * Splits "IP:port" or "[IPv6]:port" into *address (to be freed) and *port.
+ * Returns false and sets *address to NULL if text has neither form.
  */
 bool wwh_endpoint_split(const char *text, char **address, int32_t *port);
 
--- a/src/libwaxwinghollow/field.c
+++ b/src/libwaxwinghollow/field.c
@@ -72,7 +72,7 @@
 	}
 }
 
-/* Enums have the size of int32_t in this ABI. */
+/* Enum members are written as int32_t: they have the same size in this ABI. */
 void wwh_field_set_number(const wwh_field_t *field, void *object,
 			  int64_t number)
 {
@@ -132,9 +132,10 @@
 		if (field->type == WWH_FIELD_ENDPOINTS)
 			set_endpoints(field, object, g_new0(char *, 1));
 		else if (!wwh_field_is_text(field))
-			wwh_field_set_number(field, object, field->fallback);
-		else if (field->fallback_text != NULL)
-			wwh_field_set_text(field, object, field->fallback_text);
+			wwh_field_set_number(field, object,
+					     field->default_number);
+		else if (field->default_text != NULL)
+			wwh_field_set_text(field, object, field->default_text);
 		else
 			wwh_field_set_text(field, object, "");
 	}
@@ -288,8 +289,9 @@
 }
 
 /*
- * "/" or segments without a trailing slash. What a request line can't hold
- * as sent, or what would make two spellings of one prefix, is refused.
+ * Accepts "/" or a path without a trailing slash. Rejects characters that a
+ * request line can't contain unescaped, and empty segments, which would allow
+ * two spellings of one prefix.
  */
 static bool is_path(const char *text)
 {
@@ -375,7 +377,7 @@
 	return ok;
 }
 
-/* Takes over endpoints. */
+/* Takes ownership of endpoints. */
 static void set_endpoints(const wwh_field_t *field, void *object,
 			  char **endpoints)
 {
@@ -421,7 +423,7 @@
 			   object);
 }
 
-/* An empty cell leaves the default in place. */
+/* An empty cell keeps the default; for a required member it is an error. */
 static bool read_cell(const wwh_field_t *field, const char *cell, void *object)
 {
 	gint64 number;
--- a/src/libwaxwinghollow/include/private/json_shape.h
+++ b/src/libwaxwinghollow/include/private/json_shape.h
@@ -3,16 +3,18 @@
 
 /*
  * NAME
- *	json_shape - refuses what json-glib takes and shouldn't
+ *	json_shape - rejects input that json-glib misreads or can't handle
  *
  * USE
- *	json-glib 1.6 parses nested values by recursion without a limit, so
- *	that a file of opening brackets overflows the stack. It reads 010 as
- *	8, $ff as 255, 'x' as a string, and a number beyond 64 bits as
- *	another number. Each would put something else in force than the file
- *	says, or crash the reader; none is JSON that an operator means.
+ *	json-glib 1.6 parses nested values by recursion without a limit, so a
+ *	file of opening brackets overflows the stack. It reads 010 as 8, $ff
+ *	as 255, 'x' as a string, and a number beyond 64 bits as another
+ *	number. Such a file would crash the reader, or a configuration other
+ *	than the written one would come into force. Operators don't need any
+ *	of these forms.
  *
- *	Looks only at text without comments; all else is left to json-glib.
+ *	The text must have no comments (wwh_json_blank_comments). All other
+ *	checks are left to json-glib.
  */
 
 #include <stddef.h>
@@ -20,7 +22,10 @@
 
 #define WWH_JSON_MAX_DEPTH 16
 
-/* What is wrong, with its line; NULL when nothing is. */
+/*
+ * Returns the error message of the first fault and sets *line to its line;
+ * returns NULL if there is no fault.
+ */
 const char *wwh_json_shape_fault(const char *text, size_t size, int32_t *line);
 
 #endif
--- a/src/libwaxwinghollow/include/private/json_source.h
+++ b/src/libwaxwinghollow/include/private/json_source.h
@@ -3,11 +3,11 @@
 
 /*
  * NAME
- *	json_source - a JSON file with comments that knows its lines
+ *	json_source - JSON file with comments and the lines of its members
  *
  * USE
- *	json-glib's nodes do not carry their line. The source notes it while
- *	the parser runs, so that an error found later still names the line.
+ *	json-glib's nodes don't store their line. The source records the lines
+ *	while the parser runs, so that errors found later can name the line.
  *
  * ORDER OF CALLS
  *	wwh_json_source_parse; lookups; wwh_json_source_delete.
@@ -22,7 +22,7 @@
 
 typedef struct wwh_json_source wwh_json_source_t;
 
-/* NULL, and a report, when text is not one JSON object. */
+/* Reports an error and returns NULL if text is not one JSON object. */
 wwh_json_source_t *wwh_json_source_parse(const char *file, const char *text,
 					 size_t size, wwh_report_t *report);
 void wwh_json_source_delete(wwh_json_source_t *source);
@@ -30,15 +30,18 @@
 const char *wwh_json_source_file(const wwh_json_source_t *source);
 JsonObject *wwh_json_source_root(const wwh_json_source_t *source);
 
-/* The line an object starts at; the line of one of its members. */
+/*
+ * Return the line that an object starts at, or the line of one of its members;
+ * 0 if the object or member is unknown.
+ */
 int32_t wwh_json_source_object_line(const wwh_json_source_t *source,
 				    JsonObject *object);
 int32_t wwh_json_source_member_line(const wwh_json_source_t *source,
 				    JsonObject *object, const char *name);
 
 /*
- * Reads the members of json into object by the table; reports members that
- * the table does not have, that are refused and that are missing.
+ * Reads the members of json into object as described by the table fields.
+ * Reports unknown members, members with an invalid value and missing ones.
  */
 void wwh_json_source_read(const wwh_json_source_t *source, JsonObject *json,
 			  const wwh_field_t *fields, int32_t count,
--- a/src/libwaxwinghollow/include/private/json_text.h
+++ b/src/libwaxwinghollow/include/private/json_text.h
@@ -3,18 +3,18 @@
 
 /*
  * NAME
- *	json_text - JSON with comments made into plain JSON
+ *	json_text - removal of comments from JSON
  *
  * USE
  *	json-glib ends a "//" comment at its second slash and then reads the
- *	comment's words as JSON. wwh_json_blank_comments overwrites comments of
- *	both kinds with spaces, so that lines and columns of later errors stay
- *	right.
+ *	words of the comment as JSON. wwh_json_blank_comments overwrites both
+ *	kinds of comments with spaces, so that the lines and columns of later
+ *	errors remain correct.
  */
 
 #include <stddef.h>
 
-/* A copy of text with blanks for comments and a NUL behind it; g_free. */
+/* Returns a NUL-terminated copy with spaces for comments; free with g_free. */
 char *wwh_json_blank_comments(const char *text, size_t size);
 
 #endif
--- a/src/libwaxwinghollow/include/private/report.h
+++ b/src/libwaxwinghollow/include/private/report.h
@@ -6,8 +6,8 @@
  *	report - collects the errors of input files
  *
  * USE
- *	Every error goes to the callback at once and is counted, so that a
- *	reader goes on after the first one.
+ *	Every error is passed to the callback immediately and counted, so that
+ *	a reader can continue after the first one.
  */
 
 #include <stdint.h>
@@ -25,7 +25,7 @@
 		      const char *format, ...)
 	__attribute__((format(printf, 4, 5)));
 
-/* WWH_STATUS_BAD_INPUT when an error was reported. */
+/* Returns WWH_STATUS_BAD_INPUT if an error was reported. */
 wwh_status_t wwh_report_status(const wwh_report_t *report);
 
 #endif
--- a/src/libwaxwinghollow/input_file.c
+++ b/src/libwaxwinghollow/input_file.c
@@ -42,7 +42,7 @@
 	return wwh_report_status(&report);
 }
 
-/* The first key that belongs to one kind decides. */
+/* The first known top-level key determines the kind. */
 static bool kind_of_json(const wwh_config_text_t *text, wwh_input_kind_t *kind,
 			 wwh_report_t *report)
 {
--- a/src/libwaxwinghollow/json_shape.c
+++ b/src/libwaxwinghollow/json_shape.c
@@ -3,13 +3,13 @@
 #include <glib.h>
 #include <string.h>
 
-/* 18 digits fit into 64 bits whatever they are. */
+/* Any number of 18 digits fits into 64 bits. */
 #define MAX_DIGITS 18
 
 static size_t string_end(const char *text, size_t size, size_t start);
-static size_t word_end(const char *text, size_t size, size_t start);
+static size_t token_end(const char *text, size_t size, size_t start);
 static const char *number_fault(const char *number, size_t size);
-static const char *mark_fault(char mark, int32_t *depth);
+static const char *punctuation_fault(char character, int32_t *depth);
 
 const char *wwh_json_shape_fault(const char *text, size_t size, int32_t *line)
 {
@@ -26,11 +26,11 @@
 		} else if (text[at] == '"') {
 			end = string_end(text, size, at);
 		} else if (g_ascii_isalnum(text[at])) {
-			end = word_end(text, size, at);
+			end = token_end(text, size, at);
 			if (g_ascii_isdigit(text[at]))
 				fault = number_fault(text + at, end - at);
 		} else {
-			fault = mark_fault(text[at], &depth);
+			fault = punctuation_fault(text[at], &depth);
 		}
 		if (fault != NULL)
 			return fault;
@@ -39,7 +39,10 @@
 	return NULL;
 }
 
-/* Past the closing quote; a line end inside is left to json-glib. */
+/*
+ * Returns the index behind the closing quote. Line ends in the string are left
+ * to json-glib.
+ */
 static size_t string_end(const char *text, size_t size, size_t start)
 {
 	for (size_t at = start + 1; at < size; at++) {
@@ -51,7 +54,7 @@
 	return size;
 }
 
-static size_t word_end(const char *text, size_t size, size_t start)
+static size_t token_end(const char *text, size_t size, size_t start)
 {
 	size_t at = start;
 
@@ -75,15 +78,15 @@
 	return NULL;
 }
 
-static const char *mark_fault(char mark, int32_t *depth)
+static const char *punctuation_fault(char character, int32_t *depth)
 {
-	if (mark == '{' || mark == '[')
+	if (character == '{' || character == '[')
 		++*depth;
-	else if (mark == '}' || mark == ']')
+	else if (character == '}' || character == ']')
 		--*depth;
 	if (*depth > WWH_JSON_MAX_DEPTH)
 		return "values nested more than 16 deep, expected fewer";
-	if (mark == '\'' || mark == '$')
+	if (character == '\'' || character == '$')
 		return "a ' or $ outside of a string, expected \"...\"";
 	return NULL;
 }
--- a/src/libwaxwinghollow/json_source.c
+++ b/src/libwaxwinghollow/json_source.c
@@ -15,13 +15,13 @@
 	char *file;
 	JsonParser *parser;
 	GHashTable *objects; /* JsonObject * to object_lines_t * */
-	GArray *open_lines; /* int32_t: start lines of the open objects */
+	GArray *open_lines; /* int32_t: start lines of unfinished objects */
 	int32_t error_line;
 	wwh_report_t *report;
 };
 
-static bool parse_plain(wwh_json_source_t *source, const char *plain,
-			size_t size);
+static bool parse_without_comments(wwh_json_source_t *source, const char *plain,
+				   size_t size);
 static void connect_signals(wwh_json_source_t *source);
 static void object_started(JsonParser *parser, gpointer client_data);
 static void object_ended(JsonParser *parser, JsonObject *object,
@@ -31,7 +31,8 @@
 static void parse_failed(JsonParser *parser, gpointer error,
 			 gpointer client_data);
 static void report_parse_error(wwh_json_source_t *source, const char *message);
-static object_lines_t *lines_of(wwh_json_source_t *source, JsonObject *object);
+static object_lines_t *get_object_lines(wwh_json_source_t *source,
+					JsonObject *object);
 static void object_lines_free(gpointer data);
 static void read_member(const wwh_json_source_t *source, JsonObject *json,
 			const char *name, const wwh_field_t *field,
@@ -54,7 +55,7 @@
 		object_lines_free);
 	source->open_lines = g_array_new(FALSE, FALSE, sizeof(int32_t));
 	connect_signals(source);
-	parsed = parse_plain(source, plain, size);
+	parsed = parse_without_comments(source, plain, size);
 	g_free(plain);
 	if (parsed)
 		return source;
@@ -138,8 +139,8 @@
 	}
 }
 
-static bool parse_plain(wwh_json_source_t *source, const char *plain,
-			size_t size)
+static bool parse_without_comments(wwh_json_source_t *source, const char *plain,
+				   size_t size)
 {
 	const char *fault =
 		wwh_json_shape_fault(plain, size, &source->error_line);
@@ -191,21 +192,21 @@
 	guint last = source->open_lines->len - 1;
 
 	(void)parser;
-	lines_of(source, object)->line =
+	get_object_lines(source, object)->line =
 		g_array_index(source->open_lines, int32_t, last);
 	g_array_set_size(source->open_lines, last);
 }
 
 /*
- * json-glib keeps the last of two members with one name. An operator who
- * copied a block would see one of the two values ignored without a word, so a
+ * json-glib uses the last of several members with one name. After an operator
+ * copied a block, one of the two values would be ignored silently, so a
  * repeated key is an error.
  */
 static void member_ended(JsonParser *parser, JsonObject *object,
 			 const gchar *name, gpointer client_data)
 {
 	wwh_json_source_t *source = client_data;
-	object_lines_t *lines = lines_of(source, object);
+	object_lines_t *lines = get_object_lines(source, object);
 	int32_t line = (int32_t)json_parser_get_current_line(parser);
 	JsonNode *value = json_object_get_member(object, name);
 
@@ -233,7 +234,7 @@
 	source->error_line = (int32_t)json_parser_get_current_line(parser);
 }
 
-/* The report has the file and line already; the parser's prefix goes. */
+/* Removes the parser's prefix: the report has the file and line already. */
 static void report_parse_error(wwh_json_source_t *source, const char *message)
 {
 	static const char prefix[] = "Parse error: ";
@@ -246,11 +247,12 @@
 }
 
 /*
- * Holds a reference: a member that is replaced by a repeated key would
- * otherwise free its object, and a new one at the same address would be
- * taken for it.
+ * Returns the lines of object, created at first use. The table holds a
+ * reference to the object: otherwise a repeated key would free the object it
+ * replaces, and a new object at the same address would be mistaken for it.
  */
-static object_lines_t *lines_of(wwh_json_source_t *source, JsonObject *object)
+static object_lines_t *get_object_lines(wwh_json_source_t *source,
+					JsonObject *object)
 {
 	object_lines_t *lines = g_hash_table_lookup(source->objects, object);
 
--- a/src/libwaxwinghollow/json_text.c
+++ b/src/libwaxwinghollow/json_text.c
@@ -31,7 +31,7 @@
 	return plain;
 }
 
-/* The place behind the string that opens at from. */
+/* Returns the index behind the string that starts at from. */
 static size_t string_end(const char *text, size_t size, size_t from)
 {
 	size_t at = from + 1;
@@ -44,7 +44,10 @@
 	return MIN(at + 1, size);
 }
 
-/* The place behind the comment that opens at from; from when none does. */
+/*
+ * Returns the index behind the comment that starts at from, or from if no
+ * comment starts there.
+ */
 static size_t comment_end(const char *text, size_t size, size_t from)
 {
 	const char *end;
--- a/src/libwaxwinghollow/report.c
+++ b/src/libwaxwinghollow/report.c
@@ -3,7 +3,7 @@
 #include <glib.h>
 #include <stdarg.h>
 
-static char *one_line(char *text);
+static char *to_single_line(char *text);
 
 void wwh_report_error(wwh_report_t *report, const char *file, int32_t line,
 		      const char *format, ...)
@@ -15,7 +15,7 @@
 	if (report->error == NULL)
 		return;
 	va_start(args, format);
-	text = one_line(g_strdup_vprintf(format, args));
+	text = to_single_line(g_strdup_vprintf(format, args));
 	va_end(args);
 	report->error(file, line, text, report->client_data);
 	g_free(text);
@@ -27,10 +27,11 @@
 }
 
 /*
- * Names and values come from the file. A line end or escape sequence in them
- * would make two lines of one error, or write on the operator's terminal.
+ * Replaces control characters by spaces. Names and values in the message come
+ * from the file: a line end in them would split the error into two lines, and
+ * an escape sequence would control the operator's terminal.
  */
-static char *one_line(char *text)
+static char *to_single_line(char *text)
 {
 	char *valid = g_utf8_make_valid(text, -1);
 
--- a/src/libwaxwinghollow/settings.c
+++ b/src/libwaxwinghollow/settings.c
@@ -10,7 +10,7 @@
 	{                                                                      \
 		.name = #member, .type = (type_),                              \
 		.offset = offsetof(wwh_settings_t, member), .minimum = (min),  \
-		.maximum = (max), .fallback = (default_)                       \
+		.maximum = (max), .default_number = (default_)                 \
 	}
 #define INT32(member, min, max, default_)                                      \
 	NUMBER(WWH_FIELD_INT32, member, min, max, default_)
@@ -53,7 +53,7 @@
 	  .type = WWH_FIELD_NAME,
 	  .offset = offsetof(wwh_settings_t, log_level),
 	  .maximum = WWH_LOG_LEVEL_COUNT - 1,
-	  .fallback = WWH_LOG_INFO,
+	  .default_number = WWH_LOG_INFO,
 	  .names = wwh_log_level_names },
 	INT32(max_requests, 1, 100000, 400),
 	INT32(max_connections, 1, 100000, 1000),
@@ -83,13 +83,14 @@
 
 const int32_t wwh_settings_field_count = G_N_ELEMENTS(wwh_settings_fields);
 
-static void check_whole(const wwh_json_source_t *source,
-			const wwh_settings_t *settings, wwh_report_t *report);
+static void check_combinations(const wwh_json_source_t *source,
+			       const wwh_settings_t *settings,
+			       wwh_report_t *report);
 static void check_listeners(const wwh_json_source_t *source,
 			    const wwh_settings_t *settings,
 			    wwh_report_t *report);
-static void refuse(const wwh_json_source_t *source, const char *key,
-		   wwh_report_t *report, const char *format, ...)
+static void report_key_error(const wwh_json_source_t *source, const char *key,
+			     wwh_report_t *report, const char *format, ...)
 	__attribute__((format(printf, 4, 5)));
 
 wwh_status_t wwh_settings_load(const char *path, wwh_settings_t *settings,
@@ -132,7 +133,7 @@
 	wwh_json_source_read(source, wwh_json_source_root(source),
 			     wwh_settings_fields, wwh_settings_field_count,
 			     settings, &report);
-	check_whole(source, settings, &report);
+	check_combinations(source, settings, &report);
 	wwh_json_source_delete(source);
 	if (report.count > 0)
 		wwh_settings_clear(settings);
@@ -146,33 +147,38 @@
 	memset(settings, 0, sizeof(*settings));
 }
 
-static void check_whole(const wwh_json_source_t *source,
-			const wwh_settings_t *settings, wwh_report_t *report)
+static void check_combinations(const wwh_json_source_t *source,
+			       const wwh_settings_t *settings,
+			       wwh_report_t *report)
 {
 	check_listeners(source, settings, report);
 	if (settings->max_requests > settings->max_connections)
-		refuse(source, "max_requests", report,
-		       "'max_requests' is %d, expected at most "
-		       "'max_connections', which is %d",
-		       settings->max_requests, settings->max_connections);
+		report_key_error(source, "max_requests", report,
+				 "'max_requests' is %d, expected at most "
+				 "'max_connections', which is %d",
+				 settings->max_requests,
+				 settings->max_connections);
 	if (settings->log_wait_ms >= settings->log_read_timeout_ms)
-		refuse(source, "log_wait_ms", report,
-		       "'log_wait_ms' is %d, expected less than "
-		       "'log_read_timeout_ms', which is %d: every quiet read "
-		       "would count as failed",
-		       settings->log_wait_ms, settings->log_read_timeout_ms);
+		report_key_error(
+			source, "log_wait_ms", report,
+			"'log_wait_ms' is %d, expected less than "
+			"'log_read_timeout_ms', which is %d: every quiet read "
+			"would count as failed",
+			settings->log_wait_ms, settings->log_read_timeout_ms);
 	if (settings->suspect_after_ms < 2 * settings->heartbeat_ms)
-		refuse(source, "suspect_after_ms", report,
-		       "'suspect_after_ms' is %d, expected at least twice "
-		       "'heartbeat_ms', which is %d: one lost heartbeat would "
-		       "make a peer suspect",
-		       settings->suspect_after_ms, settings->heartbeat_ms);
+		report_key_error(
+			source, "suspect_after_ms", report,
+			"'suspect_after_ms' is %d, expected at least twice "
+			"'heartbeat_ms', which is %d: one lost heartbeat would "
+			"make a peer suspect",
+			settings->suspect_after_ms, settings->heartbeat_ms);
 	if (settings->max_buffered_bytes < settings->max_body_bytes)
-		refuse(source, "max_buffered_bytes", report,
-		       "'max_buffered_bytes' is %" G_GINT64_FORMAT
-		       ", expected at least 'max_body_bytes', which "
-		       "is %" G_GINT64_FORMAT,
-		       settings->max_buffered_bytes, settings->max_body_bytes);
+		report_key_error(source, "max_buffered_bytes", report,
+				 "'max_buffered_bytes' is %" G_GINT64_FORMAT
+				 ", expected at least 'max_body_bytes', which "
+				 "is %" G_GINT64_FORMAT,
+				 settings->max_buffered_bytes,
+				 settings->max_body_bytes);
 }
 
 static void check_listeners(const wwh_json_source_t *source,
@@ -195,17 +201,21 @@
 			if (*listeners[i] == '\0' ||
 			    strcmp(listeners[i], listeners[j]) != 0)
 				continue;
-			refuse(source, keys[i], report,
-			       "'%s' is %s as is '%s', expected an address "
-			       "and port of its own",
-			       keys[i], listeners[i], keys[j]);
+			report_key_error(
+				source, keys[i], report,
+				"'%s' is %s as is '%s', expected an address "
+				"and port of its own",
+				keys[i], listeners[i], keys[j]);
 		}
 	}
 }
 
-/* The line is that of key, or of the file's object when key is left out. */
-static void refuse(const wwh_json_source_t *source, const char *key,
-		   wwh_report_t *report, const char *format, ...)
+/*
+ * Reports an error at the line of key, or at the start of the JSON object if
+ * the file doesn't have the key.
+ */
+static void report_key_error(const wwh_json_source_t *source, const char *key,
+			     wwh_report_t *report, const char *format, ...)
 {
 	JsonObject *root = wwh_json_source_root(source);
 	int32_t line = wwh_json_source_member_line(source, root, key);
--- a/src/test_settings/test_settings.c
+++ b/src/test_settings/test_settings.c
@@ -64,7 +64,7 @@
 }
 
 typedef struct {
-	const char *what;
+	const char *description;
 	const char *text;
 	const char *errors;
 } bad_settings_t;
@@ -178,7 +178,7 @@
 				 WWH_STATUS_BAD_INPUT);
 		assert_null(settings.process_id);
 		if (strcmp(errors->str, row->errors) != 0) {
-			print_error("%s: got\n%sexpected\n%s", row->what,
+			print_error("%s: got\n%sexpected\n%s", row->description,
 				    errors->str, row->errors);
 			same = false;
 		}
@@ -187,7 +187,7 @@
 	assert_true(same);
 }
 
-static void a_file_that_is_not_there_is_reported(void **unused)
+static void a_missing_file_is_reported(void **unused)
 {
 	GString *errors = g_string_new(NULL);
 	wwh_settings_t settings;
@@ -226,16 +226,17 @@
 		return g_strdup_printf(
 			"| %" G_GINT64_FORMAT " | %" G_GINT64_FORMAT
 			" to %" G_GINT64_FORMAT " |",
-			field->fallback, field->minimum, field->maximum);
+			field->default_number, field->minimum, field->maximum);
 	value = wwh_field_expected(field);
-	row = g_strdup_printf("| %s | %s |", field->names[field->fallback],
+	row = g_strdup_printf("| %s | %s |",
+			      field->names[field->default_number],
 			      value + strlen("one of: "));
 	g_free(value);
 	return row;
 }
 
-/* The rows of one section stand between its heading and the next. */
-static void expect_documented(const char *page, const char *section,
+/* The rows of one section are between its heading and the next one. */
+static void assert_documented(const char *page, const char *section,
 			      const wwh_field_t *fields, int32_t count)
 {
 	char *heading = g_strdup_printf("\n## `%s`\n", section);
@@ -271,10 +272,10 @@
 	(void)unused;
 	assert_true(g_file_get_contents(WWH_SOURCE_DIR "/docs/SETTINGS.md",
 					&page, NULL, NULL));
-	expect_documented(page, "settings", wwh_settings_fields,
+	assert_documented(page, "settings", wwh_settings_fields,
 			  wwh_settings_field_count);
 	for (int32_t i = 0; i < WWH_ITEM_COUNT; i++)
-		expect_documented(page, wwh_item_tables[i].section,
+		assert_documented(page, wwh_item_tables[i].section,
 				  wwh_item_tables[i].fields,
 				  wwh_item_tables[i].field_count);
 	g_free(page);
@@ -285,7 +286,7 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(keys_and_defaults_are_read),
 		cmocka_unit_test(bad_settings_are_reported_with_their_lines),
-		cmocka_unit_test(a_file_that_is_not_there_is_reported),
+		cmocka_unit_test(a_missing_file_is_reported),
 		cmocka_unit_test(comments_are_blanked_and_strings_are_not),
 		cmocka_unit_test(every_key_is_documented),
 	};
