--- a/include/waxwinghollow/counters.h
+++ b/include/waxwinghollow/counters.h
@@ -6,10 +6,10 @@
  *	counters - named counters, gauges and histograms of one process
  *
  * USE
- *	A module asks once for its counter and keeps the pointer; adding is
+ *	A module looks its counter up once and keeps the pointer; adding is
  *	one atomic instruction. Names are dotted and end in their unit where
  *	they have one ("log.append_bytes"). The operator listener prints all
- *	of them in the order of their names.
+ *	of them, sorted by name.
  *
  * ORDER OF CALLS
  *	wwh_counters_new, any number of wwh_counters_get and wwh_counter_*
@@ -33,14 +33,17 @@
 wwh_counters_t *wwh_counters_new(void);
 void wwh_counters_delete(wwh_counters_t *counters);
 
-/* The counter of that name, made at its first use. Never NULL. */
+/* Returns the counter of that name, which is created at first use. */
 wwh_counter_t *wwh_counters_get(wwh_counters_t *counters, const char *name);
 
-/* Calls visit for every counter, in the order of their names. */
+/* Calls visit for every counter, sorted by name, with the lock held. */
 void wwh_counters_each(wwh_counters_t *counters, wwh_counter_visit_t visit,
 		       void *client_data);
 
-/* As the two above; counters and histograms have names of their own. */
+/*
+ * The same two functions for histograms. Counters and histograms have separate
+ * name spaces.
+ */
 wwh_histogram_t *wwh_counters_histogram(wwh_counters_t *counters,
 					const char *name);
 
--- a/include/waxwinghollow/error_kind.h
+++ b/include/waxwinghollow/error_kind.h
@@ -3,27 +3,27 @@
 
 /*
  * NAME
- *	error_kind - the closed list of errors a caller can be told
+ *	error_kind - the closed list of errors that a caller can receive
  *
  * USE
  *	Each request ends with one wwh_error_kind_t. wwh_answer_for gives the
  *	HTTP status, the run class and the Retry-After rule of a kind; nothing
  *	else in the program maps errors to answers.
  *
- *	The run class is what the caller is told in the header
- *	Waxwinghollow-Run. "not-run" is only in the table for kinds that are
- *	chosen where no byte of the request left towards a minion, or where
- *	the minion refused it before running it.
+ *	The run class is reported to the caller in the header
+ *	Waxwinghollow-Run. A kind has the class "not-run" only if it is
+ *	returned where no byte of the request was sent to a minion, or where
+ *	the minion refused the request before running it.
  *
  * ORDER OF CALLS
- *	None: all is constant data.
+ *	None: all data is constant.
  */
 
 #include <stdbool.h>
 #include <stdint.h>
 
 typedef enum {
-	WWH_ERROR_NONE = 0, /* the minion's whole answer is passed on */
+	WWH_ERROR_NONE = 0, /* the minion's complete answer is passed on */
 	WWH_ERROR_BAD_REQUEST,
 	WWH_ERROR_BODY_TOO_LARGE,
 	WWH_ERROR_UNAUTHORIZED, /* no API key, or one that isn't in force */
@@ -31,25 +31,25 @@
 	WWH_ERROR_QUOTA_EXCEEDED,
 	WWH_ERROR_QUEUE_FULL,
 	WWH_ERROR_WAIT_TOO_LONG, /* the deadline can't be met */
-	WWH_ERROR_TOO_MANY_REQUESTS, /* this process's own bound */
-	WWH_ERROR_NO_MINION, /* no usable minion */
+	WWH_ERROR_TOO_MANY_REQUESTS, /* limit of this process reached */
+	WWH_ERROR_NO_MINION, /* no minion of the service is usable */
 	WWH_ERROR_NO_CONFIGURATION,
 	WWH_ERROR_LOG_UNAVAILABLE, /* an intent could not be recorded */
 	WWH_ERROR_SHUTTING_DOWN,
 	WWH_ERROR_CALLER_GONE_NOT_RUN,
 	WWH_ERROR_CALLER_GONE_UNKNOWN,
 	WWH_ERROR_CONNECT_FAILED,
-	WWH_ERROR_MINION_REFUSED, /* refused before running it */
+	WWH_ERROR_MINION_REFUSED, /* the minion refused to run it */
 	WWH_ERROR_DEADLINE_NOT_RUN,
 	WWH_ERROR_DEADLINE_UNKNOWN,
 	WWH_ERROR_ANSWER_LOST, /* connection ended before an answer */
-	WWH_ERROR_ANSWER_TRUNCATED, /* or its end can't be verified */
+	WWH_ERROR_ANSWER_TRUNCATED, /* or the end can't be verified */
 	WWH_ERROR_ANSWER_TOO_LARGE,
-	WWH_ERROR_KEY_REUSED, /* same key, another request */
+	WWH_ERROR_KEY_REUSED, /* the key was used for another request */
 	WWH_ERROR_KEY_IN_PROGRESS,
 	WWH_ERROR_KEY_OUTCOME_UNKNOWN,
-	WWH_ERROR_KEY_ANSWER_NOT_KEPT, /* ran; its answer is gone */
-	WWH_ERROR_KEY_EXPIRED, /* older than the window of keys */
+	WWH_ERROR_KEY_ANSWER_NOT_KEPT, /* it ran; the answer is not stored */
+	WWH_ERROR_KEY_EXPIRED, /* the key is older than the window of keys */
 	WWH_ERROR_NO_HOLDER, /* no process runs the queue's jobs now */
 	WWH_ERROR_NO_SUCH_JOB,
 	WWH_ERROR_INTERNAL,
@@ -71,8 +71,8 @@
 
 typedef enum {
 	WWH_RETRY_NEVER = 0, /* no Retry-After */
-	WWH_RETRY_FIXED, /* the row's retry_after_s */
-	WWH_RETRY_MEASURED, /* from the drain rate; the row's value as floor */
+	WWH_RETRY_FIXED, /* retry_after_s of the row */
+	WWH_RETRY_MEASURED, /* from the drain rate, at least retry_after_s */
 	WWH_RETRY_RULE_COUNT
 } wwh_retry_rule_t;
 
@@ -87,7 +87,7 @@
 	const char *text; /* one sentence for the caller */
 } wwh_answer_t;
 
-/* The row of kind; kind must be below WWH_ERROR_COUNT. */
+/* Returns the row of kind, which must be below WWH_ERROR_COUNT. */
 const wwh_answer_t *wwh_answer_for(wwh_error_kind_t kind);
 
 #endif
--- a/include/waxwinghollow/event_log.h
+++ b/include/waxwinghollow/event_log.h
@@ -3,21 +3,23 @@
 
 /*
  * NAME
- *	event_log - one JSON line a decision, within a budget, never blocking
+ *	event_log - one JSON line per decision, rate-limited, never blocking
  *
  * USE
  *	A line has: "t" (time of day, ms), "node", "event", "id" (of the
- *	request, task, upstream or part that it is about) and "detail" (what
- *	decided it, as name=value). docs/OPERATIONS.md lists the events.
+ *	request, task, upstream or part that it is about) and "detail" (the
+ *	reasons of the decision, as name=value). docs/OPERATIONS.md lists the
+ *	events.
  *
- *	Lines beyond the budget, and lines that a full pipe doesn't take, are
- *	dropped and counted; the next line that gets out says how many. A small
- *	budget of its own is for events that are rare in their second: without
- *	it, a change of holder is lost among the starts of tasks.
+ *	Lines beyond the budget of a second, and lines that don't fit into a
+ *	full pipe, are dropped and counted; the next line that is written has
+ *	their number. Events that were written only a few times in the current
+ *	second have a small separate budget: without it, the line of a change
+ *	of holder would be dropped when many tasks start.
  *
  * ORDER OF CALLS
- *	wwh_event_log_new, wwh_event_log_write by any thread,
- *	wwh_event_log_delete after the last of them.
+ *	wwh_event_log_new, wwh_event_log_write or _printf by any thread,
+ *	wwh_event_log_delete after the last of these calls.
  */
 
 #include <stdint.h>
@@ -26,15 +28,14 @@
 
 typedef struct {
 	const char *node;
-	int fd; /* set to non-blocking */
+	int fd; /* wwh_event_log_new makes it non-blocking */
 	int32_t lines_per_s;
 	int32_t bytes_per_s;
-	/* Besides, for rare events, once those two are spent. */
+	/* Additional budget of rare events once the regular one is spent. */
 	int32_t rare_lines_per_s;
 	int32_t rare_bytes_per_s;
-	/* Of the steady clock and the time of day. */
-	int64_t (*now_ms)(void);
-	int64_t (*wall_ms)(void);
+	int64_t (*now_ms)(void); /* monotonic clock */
+	int64_t (*wall_ms)(void); /* time of day */
 } wwh_event_log_options_t;
 
 typedef struct wwh_event_log wwh_event_log_t;
--- a/include/waxwinghollow/histogram.h
+++ b/include/waxwinghollow/histogram.h
@@ -3,20 +3,20 @@
 
 /*
  * NAME
- *	histogram - how long something took, in fixed buckets
+ *	histogram - distribution of durations in fixed buckets
  *
  * USE
- *	Adding is three atomic instructions; nothing is allocated. A reader
- *	takes the buckets one after the other, so while others add, the count
- *	that it sums up from them is the one to show.
+ *	Adding takes two atomic instructions and allocates nothing. A reader
+ *	loads the buckets one by one while other threads add, so it should
+ *	report the sum of the loaded buckets as the count.
  */
 
 #include <stdatomic.h>
 #include <stdint.h>
 
 /*
- * Upper bounds in ms. From an answer of the next host to the longest time that
- * callers wait; each about twice the one before.
+ * Upper bounds in ms, each about twice the previous one. They range from an
+ * answer of a neighbouring host to the longest time that callers wait.
  */
 #define WWH_HISTOGRAM_BOUNDS                                                   \
 	{                                                                      \
@@ -27,12 +27,15 @@
 extern const int64_t wwh_histogram_bounds_ms[WWH_HISTOGRAM_BOUND_COUNT];
 
 typedef struct {
-	/* Each counts what is above the bound before; the last has none. */
+	/*
+	 * Each counts the durations above the previous bound, up to and
+	 * including its own. The last bucket has no upper bound.
+	 */
 	_Atomic int64_t buckets[WWH_HISTOGRAM_BOUND_COUNT + 1];
 	_Atomic int64_t sum_ms;
 } wwh_histogram_t;
 
-/* Negative times, of a clock that was set back, count as 0. */
-void wwh_histogram_add(wwh_histogram_t *histogram, int64_t took_ms);
+/* Negative durations, caused by a clock that was set back, count as 0. */
+void wwh_histogram_add(wwh_histogram_t *histogram, int64_t duration_ms);
 
 #endif
--- a/src/libwaxwinghollow/counters.c
+++ b/src/libwaxwinghollow/counters.c
@@ -11,15 +11,16 @@
 typedef struct {
 	wwh_counter_visit_t visit;
 	void *client_data;
-} visit_context_t;
+} counter_visitor_t;
 
 typedef struct {
 	wwh_histogram_visit_t visit;
 	void *client_data;
-} visit_histogram_t;
+} histogram_visitor_t;
 
 static int compare_names(gconstpointer a, gconstpointer b, gpointer unused);
-static gboolean visit_one(gpointer key, gpointer value, gpointer client_data);
+static gboolean visit_counter(gpointer key, gpointer value,
+			      gpointer client_data);
 static gboolean visit_histogram(gpointer key, gpointer value,
 				gpointer client_data);
 
@@ -62,10 +63,10 @@
 void wwh_counters_each(wwh_counters_t *counters, wwh_counter_visit_t visit,
 		       void *client_data)
 {
-	visit_context_t context = { visit, client_data };
+	counter_visitor_t visitor = { visit, client_data };
 
 	g_mutex_lock(&counters->lock);
-	g_tree_foreach(counters->by_name, visit_one, &context);
+	g_tree_foreach(counters->by_name, visit_counter, &visitor);
 	g_mutex_unlock(&counters->lock);
 }
 
@@ -87,10 +88,10 @@
 void wwh_counters_each_histogram(wwh_counters_t *counters,
 				 wwh_histogram_visit_t visit, void *client_data)
 {
-	visit_histogram_t context = { visit, client_data };
+	histogram_visitor_t visitor = { visit, client_data };
 
 	g_mutex_lock(&counters->lock);
-	g_tree_foreach(counters->histograms, visit_histogram, &context);
+	g_tree_foreach(counters->histograms, visit_histogram, &visitor);
 	g_mutex_unlock(&counters->lock);
 }
 
@@ -116,19 +117,20 @@
 	return g_strcmp0(a, b);
 }
 
-static gboolean visit_one(gpointer key, gpointer value, gpointer client_data)
+static gboolean visit_counter(gpointer key, gpointer value,
+			      gpointer client_data)
 {
-	visit_context_t *context = client_data;
+	counter_visitor_t *visitor = client_data;
 
-	context->visit(key, wwh_counter_value(value), context->client_data);
+	visitor->visit(key, wwh_counter_value(value), visitor->client_data);
 	return FALSE;
 }
 
 static gboolean visit_histogram(gpointer key, gpointer value,
 				gpointer client_data)
 {
-	visit_histogram_t *context = client_data;
+	histogram_visitor_t *visitor = client_data;
 
-	context->visit(key, value, context->client_data);
+	visitor->visit(key, value, visitor->client_data);
 	return FALSE;
 }
--- a/src/libwaxwinghollow/event_log.c
+++ b/src/libwaxwinghollow/event_log.c
@@ -11,42 +11,43 @@
 #define DETAIL_BYTES 512
 
 /*
- * Of each text, before it is escaped, which may take six times as much: so a
- * line stays below PIPE_BUF (4096; node and event are names of ours). A pipe
- * that is nearly full takes longer ones in parts, and what follows would go on
- * in the middle of a torn line.
+ * Limits of each text before escaping, which can make id and detail six times
+ * as long; node and event are names that need no escaping. The limits keep a
+ * line below PIPE_BUF (4096 bytes). A nearly full pipe accepts only a part of a
+ * longer write, and the next line would continue the truncated one.
  */
-#define ID_BYTES 96
+#define ID_MAX_BYTES 96
 #define DETAIL_MAX_BYTES 480
 
-/* An event that has been written less often in its second is a rare one. */
-#define RARE_LINES 4
+/* An event is rare if it has fewer lines than this in the current second. */
+#define RARE_LINES_PER_S 4
 
 typedef struct {
 	int32_t lines;
 	int32_t bytes;
-} spent_t;
+} budget_usage_t;
 
 struct wwh_event_log {
 	wwh_event_log_options_t options;
 	char *node;
 	GMutex lock;
-	int64_t second; /* of the steady clock that the budget is for */
-	spent_t usual;
-	spent_t rare;
-	GHashTable *events; /* name to count of lines in that second */
-	int64_t dropped; /* since the last line that got out */
-	wwh_counter_t *written;
-	wwh_counter_t *lost;
+	int64_t second; /* of the monotonic clock; the budgets are per second */
+	budget_usage_t regular;
+	budget_usage_t rare;
+	GHashTable *line_counts; /* event name to lines in this second */
+	int64_t dropped; /* lines since the last one written */
+	wwh_counter_t *lines_written;
+	wwh_counter_t *lines_dropped;
 };
 
-static spent_t *budget_of(wwh_event_log_t *log, const char *event);
-static bool is_left(const spent_t *spent, int32_t lines, int32_t bytes);
+static budget_usage_t *select_budget(wwh_event_log_t *log, const char *event);
+static bool has_budget_left(const budget_usage_t *usage, int32_t lines,
+			    int32_t bytes);
 static bool is_rare(const wwh_event_log_t *log, const char *event);
-static void note_event(wwh_event_log_t *log, const char *event);
-static void put_text(GString *line, const char *name, const char *text,
-		     size_t most);
-static bool emit(wwh_event_log_t *log, const GString *line);
+static void count_event(wwh_event_log_t *log, const char *event);
+static void append_text_member(GString *line, const char *name,
+			       const char *text, size_t max_bytes);
+static bool write_line(wwh_event_log_t *log, const GString *line);
 
 wwh_event_log_t *wwh_event_log_new(const wwh_event_log_options_t *options,
 				   wwh_counters_t *counters)
@@ -57,13 +58,13 @@
 	log->options = *options;
 	log->node = g_strdup(options->node);
 	g_mutex_init(&log->lock);
-	log->written = wwh_counters_get(counters, "log.lines");
-	log->lost = wwh_counters_get(counters, "log.lines_dropped");
-	log->events =
+	log->lines_written = wwh_counters_get(counters, "log.lines");
+	log->lines_dropped = wwh_counters_get(counters, "log.lines_dropped");
+	log->line_counts =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	/* a reader that stops reading costs lines, not requests */
+	/* If the reader stops, lines are dropped; requests must not block. */
 	if (flags < 0 || fcntl(options->fd, F_SETFL, flags | O_NONBLOCK) < 0)
-		g_warning("the log's file can't be made non-blocking");
+		g_warning("event log: can't make the output non-blocking");
 	return log;
 }
 
@@ -72,7 +73,7 @@
 	if (log == NULL)
 		return;
 	g_mutex_clear(&log->lock);
-	g_hash_table_destroy(log->events);
+	g_hash_table_destroy(log->line_counts);
 	g_free(log->node);
 	g_free(log);
 }
@@ -81,32 +82,32 @@
 			 const char *id, const char *detail)
 {
 	GString *line;
-	spent_t *budget;
+	budget_usage_t *budget;
 
 	g_mutex_lock(&log->lock);
-	budget = budget_of(log, event);
+	budget = select_budget(log, event);
 	if (budget == NULL) {
 		log->dropped++;
-		wwh_counter_add(log->lost, 1);
+		wwh_counter_add(log->lines_dropped, 1);
 		g_mutex_unlock(&log->lock);
 		return;
 	}
 	line = g_string_sized_new(DETAIL_BYTES);
 	g_string_append_printf(line, "{\"t\":%" G_GINT64_FORMAT,
 			       log->options.wall_ms());
-	put_text(line, "node", log->node, ID_BYTES);
-	put_text(line, "event", event, ID_BYTES);
-	put_text(line, "id", id, ID_BYTES);
-	put_text(line, "detail", detail, DETAIL_MAX_BYTES);
+	append_text_member(line, "node", log->node, ID_MAX_BYTES);
+	append_text_member(line, "event", event, ID_MAX_BYTES);
+	append_text_member(line, "id", id, ID_MAX_BYTES);
+	append_text_member(line, "detail", detail, DETAIL_MAX_BYTES);
 	if (log->dropped > 0)
 		g_string_append_printf(line,
 				       ",\"dropped_before\":%" G_GINT64_FORMAT,
 				       log->dropped);
 	g_string_append(line, "}\n");
-	if (emit(log, line)) {
+	if (write_line(log, line)) {
 		budget->lines++;
 		budget->bytes += (int32_t)line->len;
-		note_event(log, event);
+		count_event(log, event);
 	}
 	g_mutex_unlock(&log->lock);
 	g_string_free(line, TRUE);
@@ -124,56 +125,58 @@
 	wwh_event_log_write(log, event, id, detail);
 }
 
-/* NULL: both are spent. */
-static spent_t *budget_of(wwh_event_log_t *log, const char *event)
+/* Returns the budget to charge, or NULL if none that applies is left. */
+static budget_usage_t *select_budget(wwh_event_log_t *log, const char *event)
 {
 	const wwh_event_log_options_t *options = &log->options;
 	int64_t second = options->now_ms() / SECOND_MS;
 
 	if (second != log->second) {
 		log->second = second;
-		log->usual = (spent_t){ 0 };
-		log->rare = (spent_t){ 0 };
-		g_hash_table_remove_all(log->events);
+		log->regular = (budget_usage_t){ 0 };
+		log->rare = (budget_usage_t){ 0 };
+		g_hash_table_remove_all(log->line_counts);
 	}
-	if (is_left(&log->usual, options->lines_per_s, options->bytes_per_s))
-		return &log->usual;
+	if (has_budget_left(&log->regular, options->lines_per_s,
+			    options->bytes_per_s))
+		return &log->regular;
 	if (is_rare(log, event) &&
-	    is_left(&log->rare, options->rare_lines_per_s,
-		    options->rare_bytes_per_s))
+	    has_budget_left(&log->rare, options->rare_lines_per_s,
+			    options->rare_bytes_per_s))
 		return &log->rare;
 	return NULL;
 }
 
-static bool is_left(const spent_t *spent, int32_t lines, int32_t bytes)
+static bool has_budget_left(const budget_usage_t *usage, int32_t lines,
+			    int32_t bytes)
 {
-	return spent->lines < lines && spent->bytes < bytes;
+	return usage->lines < lines && usage->bytes < bytes;
 }
 
 static bool is_rare(const wwh_event_log_t *log, const char *event)
 {
-	return GPOINTER_TO_INT(g_hash_table_lookup(log->events, event)) <
-	       RARE_LINES;
+	return GPOINTER_TO_INT(g_hash_table_lookup(log->line_counts, event)) <
+	       RARE_LINES_PER_S;
 }
 
-static void note_event(wwh_event_log_t *log, const char *event)
+static void count_event(wwh_event_log_t *log, const char *event)
 {
 	int32_t count =
-		GPOINTER_TO_INT(g_hash_table_lookup(log->events, event));
+		GPOINTER_TO_INT(g_hash_table_lookup(log->line_counts, event));
 
-	g_hash_table_replace(log->events, g_strdup(event),
+	g_hash_table_replace(log->line_counts, g_strdup(event),
 			     GINT_TO_POINTER(count + 1));
 }
 
 /*
- * Keys of the store and paths of callers may hold any bytes. Those that are no
- * UTF-8 are replaced: a reader of JSON stops at the first of them.
+ * Keys of the store and paths from callers may contain any bytes. Invalid UTF-8
+ * is replaced, since JSON parsers stop at it.
  */
-static void put_text(GString *line, const char *name, const char *text,
-		     size_t most)
+static void append_text_member(GString *line, const char *name,
+			       const char *text, size_t max_bytes)
 {
-	char *cut = g_strndup(text, most);
-	char *valid = g_utf8_make_valid(cut, -1);
+	char *truncated = g_strndup(text, max_bytes);
+	char *valid = g_utf8_make_valid(truncated, -1);
 
 	g_string_append_printf(line, ",\"%s\":\"", name);
 	for (const char *at = valid; *at != '\0'; at++) {
@@ -186,20 +189,20 @@
 	}
 	g_string_append_c(line, '"');
 	g_free(valid);
-	g_free(cut);
+	g_free(truncated);
 }
 
-/* False: a full pipe took it not, or in part. */
-static bool emit(wwh_event_log_t *log, const GString *line)
+/* Returns false if the pipe is full and accepted only a part, or nothing. */
+static bool write_line(wwh_event_log_t *log, const GString *line)
 {
 	ssize_t written = write(log->options.fd, line->str, line->len);
 
 	if (written != (ssize_t)line->len) {
 		log->dropped++;
-		wwh_counter_add(log->lost, 1);
+		wwh_counter_add(log->lines_dropped, 1);
 		return false;
 	}
 	log->dropped = 0;
-	wwh_counter_add(log->written, 1);
+	wwh_counter_add(log->lines_written, 1);
 	return true;
 }
--- a/src/libwaxwinghollow/metrics.c
+++ b/src/libwaxwinghollow/metrics.c
@@ -2,18 +2,18 @@
 
 #define PREFIX "waxwinghollow_"
 
-static void add_counter(const char *name, int64_t value, void *client_data);
-static void add_histogram(const char *name, wwh_histogram_t *histogram,
-			  void *client_data);
+static void append_counter(const char *name, int64_t value, void *client_data);
+static void append_histogram(const char *name, wwh_histogram_t *histogram,
+			     void *client_data);
 static char *metric_name(const char *name);
 
 void wwh_metrics_text(wwh_counters_t *counters, GString *text)
 {
-	wwh_counters_each(counters, add_counter, text);
-	wwh_counters_each_histogram(counters, add_histogram, text);
+	wwh_counters_each(counters, append_counter, text);
+	wwh_counters_each_histogram(counters, append_histogram, text);
 }
 
-static void add_counter(const char *name, int64_t value, void *client_data)
+static void append_counter(const char *name, int64_t value, void *client_data)
 {
 	GString *text = client_data;
 	char *metric = metric_name(name);
@@ -24,8 +24,8 @@
 	g_free(metric);
 }
 
-static void add_histogram(const char *name, wwh_histogram_t *histogram,
-			  void *client_data)
+static void append_histogram(const char *name, wwh_histogram_t *histogram,
+			     void *client_data)
 {
 	GString *text = client_data;
 	char *metric = metric_name(name);
@@ -56,7 +56,7 @@
 	g_free(metric);
 }
 
-/* Names of the format have letters, digits and '_' only. */
+/* The format allows only letters, digits and '_' in names. */
 static char *metric_name(const char *name)
 {
 	char *metric = g_strconcat(PREFIX, name, NULL);
--- a/src/test_error_kind/test_error_kind.c
+++ b/src/test_error_kind/test_error_kind.c
@@ -18,7 +18,7 @@
 	}
 }
 
-static void refusals_under_load_say_when_to_come_back(void **unused)
+static void overload_errors_have_a_retry_time_and_did_not_run(void **unused)
 {
 	(void)unused;
 	for (int32_t i = 0; i < WWH_ERROR_COUNT; i++) {
@@ -36,7 +36,8 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(every_kind_has_its_own_row),
-		cmocka_unit_test(refusals_under_load_say_when_to_come_back),
+		cmocka_unit_test(
+			overload_errors_have_a_retry_time_and_did_not_run),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/src/test_event_log/test_event_log.c
+++ b/src/test_event_log/test_event_log.c
@@ -1,6 +1,6 @@
 /*
- * What a process writes about its decisions, when there are too many lines,
- * when nobody reads them, and when what they are about isn't text.
+ * The event log with more lines than its budget, with a reader that stops
+ * reading, and with ids that aren't valid text.
  */
 #include <stdarg.h>
 #include <stddef.h>
@@ -26,70 +26,73 @@
 	wwh_event_log_options_t options;
 	wwh_counters_t *counters;
 	wwh_event_log_t *log;
-} log_rig_t;
+} event_log_fixture_t;
 
 static int64_t now_ms = SECOND_MS;
 
-static int64_t test_now_ms(void)
+static int64_t fake_now_ms(void)
 {
 	return now_ms;
 }
 
-static log_rig_t *rig_with(int32_t lines_per_s, int32_t bytes_per_s)
+static event_log_fixture_t *fixture_new(int32_t lines_per_s,
+					int32_t bytes_per_s)
 {
-	log_rig_t *rig = g_new0(log_rig_t, 1);
+	event_log_fixture_t *fixture = g_new0(event_log_fixture_t, 1);
 	wwh_event_log_options_t options = {
 		.node = "a-1",
 		.lines_per_s = lines_per_s,
 		.bytes_per_s = bytes_per_s,
-		.now_ms = test_now_ms,
-		.wall_ms = test_now_ms,
+		.now_ms = fake_now_ms,
+		.wall_ms = fake_now_ms,
 	};
 	int fds[2];
 
 	assert_int_equal(pipe(fds), 0);
-	rig->read_fd = fds[0];
-	rig->write_fd = fds[1];
+	fixture->read_fd = fds[0];
+	fixture->write_fd = fds[1];
 	assert_int_equal(fcntl(fds[0], F_SETFL, O_NONBLOCK), 0);
 	options.fd = fds[1];
-	rig->options = options;
-	rig->counters = wwh_counters_new();
-	rig->log = wwh_event_log_new(&options, rig->counters);
-	return rig;
+	fixture->options = options;
+	fixture->counters = wwh_counters_new();
+	fixture->log = wwh_event_log_new(&options, fixture->counters);
+	return fixture;
 }
 
 static int set_up(void **state)
 {
-	*state = rig_with(LINES_PER_S, BYTES_PER_S);
+	*state = fixture_new(LINES_PER_S, BYTES_PER_S);
 	return 0;
 }
 
-/* No budget that a test reaches: only the pipe bounds what gets out. */
+/* The budget is never reached: only the pipe limits what is written. */
 static int set_up_unbounded(void **state)
 {
-	*state = rig_with(INT32_MAX, INT32_MAX);
+	*state = fixture_new(INT32_MAX, INT32_MAX);
 	return 0;
 }
 
 static int tear_down(void **state)
 {
-	log_rig_t *rig = *state;
+	event_log_fixture_t *fixture = *state;
 
-	wwh_event_log_delete(rig->log);
-	wwh_counters_delete(rig->counters);
-	(void)close(rig->read_fd);
-	(void)close(rig->write_fd);
-	g_free(rig);
+	wwh_event_log_delete(fixture->log);
+	wwh_counters_delete(fixture->counters);
+	(void)close(fixture->read_fd);
+	(void)close(fixture->write_fd);
+	g_free(fixture);
 	return 0;
 }
 
-static int64_t counter(log_rig_t *rig, const char *name)
+static int64_t counter_value(event_log_fixture_t *fixture, const char *name)
 {
-	return wwh_counter_value(wwh_counters_get(rig->counters, name));
+	return wwh_counter_value(wwh_counters_get(fixture->counters, name));
 }
 
-/* All that was written so far; each line has to be one JSON object. */
-static GPtrArray *read_lines(log_rig_t *rig)
+/*
+ * Returns the lines written since the last call; each must be one JSON object.
+ */
+static GPtrArray *read_lines(event_log_fixture_t *fixture)
 {
 	GPtrArray *lines = g_ptr_array_new_with_free_func(
 		(GDestroyNotify)json_object_unref);
@@ -98,7 +101,7 @@
 	ssize_t size;
 	char **parts;
 
-	while ((size = read(rig->read_fd, buffer, READ_BYTES)) > 0)
+	while ((size = read(fixture->read_fd, buffer, READ_BYTES)) > 0)
 		g_string_append_len(text, buffer, size);
 	assert_true(text->len == 0 || text->str[text->len - 1] == '\n');
 	parts = g_strsplit(text->str, "\n", -1);
@@ -118,84 +121,87 @@
 	return lines;
 }
 
-static JsonObject *last_of(const GPtrArray *lines)
+static JsonObject *last_line(const GPtrArray *lines)
 {
 	assert_true(lines->len > 0);
 	return g_ptr_array_index(lines, lines->len - 1);
 }
 
 /*
- * An outage makes each request a line. Beyond the budget of a second lines are
- * dropped and counted, and the first line of the next second says how many.
+ * During an outage each request writes a line. Lines beyond the budget of a
+ * second are dropped and counted, and the first line of the next second has
+ * their number.
  */
-static void a_flood_is_cut_at_the_budget_and_counted(void **state)
+static void lines_beyond_the_budget_are_dropped_and_counted(void **state)
 {
-	log_rig_t *rig = *state;
+	event_log_fixture_t *fixture = *state;
 	GPtrArray *lines;
 
 	for (int32_t i = 0; i < 10 * LINES_PER_S; i++)
-		wwh_event_log_write(rig->log, "not-served", "job", "why=test");
-	lines = read_lines(rig);
+		wwh_event_log_write(fixture->log, "not-served", "job",
+				    "why=test");
+	lines = read_lines(fixture);
 	assert_int_equal(lines->len, LINES_PER_S);
-	assert_int_equal(counter(rig, "log.lines"), LINES_PER_S);
-	assert_int_equal(counter(rig, "log.lines_dropped"), 9 * LINES_PER_S);
+	assert_int_equal(counter_value(fixture, "log.lines"), LINES_PER_S);
+	assert_int_equal(counter_value(fixture, "log.lines_dropped"),
+			 9 * LINES_PER_S);
 	g_ptr_array_unref(lines);
 	now_ms += SECOND_MS;
-	wwh_event_log_write(rig->log, "not-served", "job", "why=test");
-	lines = read_lines(rig);
+	wwh_event_log_write(fixture->log, "not-served", "job", "why=test");
+	lines = read_lines(fixture);
 	assert_int_equal(
-		json_object_get_int_member(last_of(lines), "dropped_before"),
+		json_object_get_int_member(last_line(lines), "dropped_before"),
 		9 * LINES_PER_S);
 	g_ptr_array_unref(lines);
 	now_ms += SECOND_MS;
 }
 
 /*
- * Starts of tasks spend a second's budget, and in that second a pool is settled
- * after a change of holder: its line was dropped with the others, so that nobody
- * could tell how long the pool had waited. Rare events have a budget of their
- * own, which a flood of one event can't spend.
+ * Starts of tasks use up the budget of a second, and in that second a pool is
+ * settled after a change of holder. Its line was dropped with the others, so
+ * the log didn't show how long the pool had waited. Rare events have a separate
+ * budget, which many lines of one event can't use up.
  */
-static void a_rare_event_gets_out_beside_a_flood(void **state)
+static void a_rare_event_is_written_beyond_the_budget(void **state)
 {
 	wwh_event_log_options_t options;
-	log_rig_t *rig = *state;
+	event_log_fixture_t *fixture = *state;
 	GPtrArray *lines;
 
-	options = rig->options;
+	options = fixture->options;
 	options.rare_lines_per_s = 2;
 	options.rare_bytes_per_s = BYTES_PER_S;
-	wwh_event_log_delete(rig->log);
-	rig->log = wwh_event_log_new(&options, rig->counters);
+	wwh_event_log_delete(fixture->log);
+	fixture->log = wwh_event_log_new(&options, fixture->counters);
 	for (int32_t i = 0; i < 10 * LINES_PER_S; i++)
-		wwh_event_log_write(rig->log, "tasks-started", "job", "");
-	wwh_event_log_write(rig->log, "pool-settled", "desk", "after_ms=3");
-	lines = read_lines(rig);
+		wwh_event_log_write(fixture->log, "tasks-started", "job", "");
+	wwh_event_log_write(fixture->log, "pool-settled", "desk", "after_ms=3");
+	lines = read_lines(fixture);
 	assert_int_equal(lines->len, LINES_PER_S + 1);
 	assert_string_equal(
-		json_object_get_string_member(last_of(lines), "event"),
+		json_object_get_string_member(last_line(lines), "event"),
 		"pool-settled");
 	g_ptr_array_unref(lines);
-	/* all rare events together have a bound too */
+	/* The budget of all rare events together is limited too. */
 	for (int32_t i = 0; i < LINES_PER_S; i++)
-		wwh_event_log_write(rig->log, "pool-settled", "desk", "");
-	lines = read_lines(rig);
+		wwh_event_log_write(fixture->log, "pool-settled", "desk", "");
+	lines = read_lines(fixture);
 	assert_int_equal(lines->len, 1);
 	g_ptr_array_unref(lines);
 	now_ms += SECOND_MS;
 }
 
-static void long_lines_are_cut_at_the_budget_of_bytes(void **state)
+static void long_lines_are_limited_by_the_budget_of_bytes(void **state)
 {
-	log_rig_t *rig = *state;
+	event_log_fixture_t *fixture = *state;
 	char *detail = g_strnfill(BYTES_PER_S / 8, 'x');
 	GPtrArray *lines;
 
 	for (int32_t i = 0; i < LINES_PER_S; i++)
-		wwh_event_log_write(rig->log, "config", "config", detail);
-	lines = read_lines(rig);
+		wwh_event_log_write(fixture->log, "config", "config", detail);
+	lines = read_lines(fixture);
 	assert_true(lines->len <= 8);
-	assert_int_equal(counter(rig, "log.lines_dropped"),
+	assert_int_equal(counter_value(fixture, "log.lines_dropped"),
 			 LINES_PER_S - lines->len);
 	g_ptr_array_unref(lines);
 	g_free(detail);
@@ -203,77 +209,79 @@
 }
 
 /*
- * Whoever reads the log stops reading, and the pipe fills up. The process goes
- * on at once, line by line, and what is read later has no torn line.
+ * The reader of the log stops reading and the pipe fills up. Writing a line
+ * must not block the process, and the lines read later must be complete.
  */
-static void a_reader_that_stops_costs_lines_only(void **state)
+static void a_stopped_reader_does_not_block_the_process(void **state)
 {
-	log_rig_t *rig = *state;
-	int64_t begun_us = g_get_monotonic_time();
+	event_log_fixture_t *fixture = *state;
+	int64_t started_us = g_get_monotonic_time();
 	GPtrArray *lines;
 	int64_t written;
 
 	for (int32_t i = 0; i < 5000; i++)
-		wwh_event_log_printf(rig->log, "tasks-started", "job",
+		wwh_event_log_printf(fixture->log, "tasks-started", "job",
 				     "number=%d", i);
-	assert_true(g_get_monotonic_time() - begun_us < 5 * G_USEC_PER_SEC);
-	written = counter(rig, "log.lines");
+	assert_true(g_get_monotonic_time() - started_us < 5 * G_USEC_PER_SEC);
+	written = counter_value(fixture, "log.lines");
 	assert_true(written < 5000);
-	assert_int_equal(written + counter(rig, "log.lines_dropped"), 5000);
-	lines = read_lines(rig);
+	assert_int_equal(written + counter_value(fixture, "log.lines_dropped"),
+			 5000);
+	lines = read_lines(fixture);
 	assert_int_equal(lines->len, written);
 	g_ptr_array_unref(lines);
-	wwh_event_log_write(rig->log, "tasks-started", "job", "after");
-	lines = read_lines(rig);
+	wwh_event_log_write(fixture->log, "tasks-started", "job", "after");
+	lines = read_lines(fixture);
 	assert_int_equal(
-		json_object_get_int_member(last_of(lines), "dropped_before"),
+		json_object_get_int_member(last_line(lines), "dropped_before"),
 		5000 - written);
 	g_ptr_array_unref(lines);
 }
 
 /*
- * A caller asks for a path of many kilobytes, which is named in the line. A
- * pipe takes longer lines in parts when it is nearly full; the rest was lost,
- * and the next line went on in the middle of the torn one.
+ * A caller requests a path of several kilobytes, which is the id of the line. A
+ * nearly full pipe accepted only a part of such a long line; the rest was lost,
+ * and the next line continued the truncated one.
  */
-static void a_long_id_tears_no_line(void **state)
+static void a_long_id_truncates_no_line(void **state)
 {
-	log_rig_t *rig = *state;
+	event_log_fixture_t *fixture = *state;
 	char *path = g_strnfill(6000, 'p');
 	GPtrArray *lines;
 
 	for (int32_t i = 0; i < 40; i++)
-		wwh_event_log_write(rig->log, "no-queue", path, "method=GET");
-	/* each byte of these is written as six */
+		wwh_event_log_write(fixture->log, "no-queue", path,
+				    "method=GET");
+	/* Escaping makes each of these bytes six times as long. */
 	memset(path, '\x01', 6000);
 	for (int32_t i = 0; i < 40; i++)
-		wwh_event_log_write(rig->log, "no-queue", path, path);
-	lines = read_lines(rig);
-	assert_int_equal(lines->len, counter(rig, "log.lines"));
+		wwh_event_log_write(fixture->log, "no-queue", path, path);
+	lines = read_lines(fixture);
+	assert_int_equal(lines->len, counter_value(fixture, "log.lines"));
 	g_ptr_array_unref(lines);
-	wwh_event_log_write(rig->log, "no-queue", "short", "method=GET");
-	lines = read_lines(rig);
+	wwh_event_log_write(fixture->log, "no-queue", "short", "method=GET");
+	lines = read_lines(fixture);
 	assert_int_equal(lines->len, 1);
 	g_ptr_array_unref(lines);
 	g_free(path);
 }
 
 /*
- * A key of the store that another writer wrote isn't text, and the line that
- * reports it has to be read all the same: a reader of JSON stops at bytes that
- * are no UTF-8.
+ * A key of the store that another program wrote may not be valid UTF-8. The
+ * line that reports it must still be readable: JSON parsers stop at invalid
+ * UTF-8.
  */
-static void bytes_that_are_no_text_stay_readable(void **state)
+static void invalid_utf8_leaves_the_line_readable(void **state)
 {
-	log_rig_t *rig = *state;
+	event_log_fixture_t *fixture = *state;
 	GPtrArray *lines;
 
-	wwh_event_log_write(rig->log, "entry-unreadable", "i-\xff\xc3(\x01\"\\",
-			    "why=\x80\xe2\x82");
-	lines = read_lines(rig);
+	wwh_event_log_write(fixture->log, "entry-unreadable",
+			    "i-\xff\xc3(\x01\"\\", "why=\x80\xe2\x82");
+	lines = read_lines(fixture);
 	assert_int_equal(lines->len, 1);
 	assert_true(g_str_has_prefix(
-		json_object_get_string_member(last_of(lines), "id"), "i-"));
+		json_object_get_string_member(last_line(lines), "id"), "i-"));
 	g_ptr_array_unref(lines);
 }
 
@@ -281,21 +289,21 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test_setup_teardown(
-			a_flood_is_cut_at_the_budget_and_counted, set_up,
+			lines_beyond_the_budget_are_dropped_and_counted, set_up,
 			tear_down),
 		cmocka_unit_test_setup_teardown(
-			a_rare_event_gets_out_beside_a_flood, set_up,
+			a_rare_event_is_written_beyond_the_budget, set_up,
 			tear_down),
 		cmocka_unit_test_setup_teardown(
-			long_lines_are_cut_at_the_budget_of_bytes, set_up,
+			long_lines_are_limited_by_the_budget_of_bytes, set_up,
 			tear_down),
 		cmocka_unit_test_setup_teardown(
-			a_reader_that_stops_costs_lines_only, set_up_unbounded,
-			tear_down),
-		cmocka_unit_test_setup_teardown(a_long_id_tears_no_line,
+			a_stopped_reader_does_not_block_the_process,
+			set_up_unbounded, tear_down),
+		cmocka_unit_test_setup_teardown(a_long_id_truncates_no_line,
 						set_up_unbounded, tear_down),
 		cmocka_unit_test_setup_teardown(
-			bytes_that_are_no_text_stay_readable, set_up,
+			invalid_utf8_leaves_the_line_readable, set_up,
 			tear_down),
 	};
 
--- a/src/test_metrics/test_metrics.c
+++ b/src/test_metrics/test_metrics.c
@@ -1,6 +1,6 @@
 /*
- * The metrics page, read as strictly as monitoring systems read it: one line
- * that can't be read makes them drop the whole page.
+ * Parses the metrics page as strictly as monitoring systems do: they discard
+ * the whole page if one line is malformed.
  */
 #include <stdarg.h>
 #include <stddef.h>
@@ -14,15 +14,15 @@
 #include "waxwinghollow/metrics.h"
 
 typedef struct {
-	char *metric; /* of the last "# TYPE" line */
+	char *metric; /* name in the last "# TYPE" line */
 	bool is_histogram;
-	int64_t last_bound; /* of its buckets so far; -1: none */
+	int64_t last_bound; /* of the buckets read so far; -1: none read */
 	int64_t last_count;
 	bool infinite_seen;
-	GHashTable *metrics; /* each is typed once */
-} reader_t;
+	GHashTable *metrics; /* names; each must have one "# TYPE" line */
+} page_parser_t;
 
-static void read_type(reader_t *reader, const char *line)
+static void parse_type(page_parser_t *parser, const char *line)
 {
 	char **words = g_strsplit(line, " ", -1);
 
@@ -30,36 +30,37 @@
 	assert_string_equal(words[1], "TYPE");
 	assert_true(g_regex_match_simple("^[a-zA-Z_][a-zA-Z0-9_]*$", words[2],
 					 0, 0));
-	reader->is_histogram = strcmp(words[3], "histogram") == 0;
-	if (!reader->is_histogram)
+	parser->is_histogram = strcmp(words[3], "histogram") == 0;
+	if (!parser->is_histogram)
 		assert_string_equal(words[3], "untyped");
-	assert_true(g_hash_table_add(reader->metrics, g_strdup(words[2])));
-	g_free(reader->metric);
-	reader->metric = g_strdup(words[2]);
-	reader->last_bound = -1;
-	reader->last_count = 0;
-	reader->infinite_seen = false;
+	assert_true(g_hash_table_add(parser->metrics, g_strdup(words[2])));
+	g_free(parser->metric);
+	parser->metric = g_strdup(words[2]);
+	parser->last_bound = -1;
+	parser->last_count = 0;
+	parser->infinite_seen = false;
 	g_strfreev(words);
 }
 
-static void read_bucket(reader_t *reader, const char *label, int64_t count)
+static void parse_bucket(page_parser_t *parser, const char *label,
+			 int64_t count)
 {
-	assert_false(reader->infinite_seen);
-	assert_true(count >= reader->last_count);
-	reader->last_count = count;
-	reader->infinite_seen = strcmp(label, "{le=\"+Inf\"}") == 0;
-	if (!reader->infinite_seen) {
+	assert_false(parser->infinite_seen);
+	assert_true(count >= parser->last_count);
+	parser->last_count = count;
+	parser->infinite_seen = strcmp(label, "{le=\"+Inf\"}") == 0;
+	if (!parser->infinite_seen) {
 		int64_t bound =
 			g_ascii_strtoll(label + strlen("{le=\""), NULL, 10);
 
 		assert_true(g_regex_match_simple("^\\{le=\"[0-9]+\"\\}$", label,
 						 0, 0));
-		assert_true(bound > reader->last_bound);
-		reader->last_bound = bound;
+		assert_true(bound > parser->last_bound);
+		parser->last_bound = bound;
 	}
 }
 
-static void read_sample(reader_t *reader, const char *line)
+static void parse_sample(page_parser_t *parser, const char *line)
 {
 	const char *space = strchr(line, ' ');
 	const char *suffix;
@@ -70,34 +71,35 @@
 	value = g_ascii_strtoll(space + 1, &end, 10);
 	assert_true(end > space + 1);
 	assert_int_equal(*end, '\0');
-	if (reader->metric == NULL) {
+	if (parser->metric == NULL) {
 		fail_msg("a sample before its type: %s", line);
 		return;
 	}
-	assert_true(g_str_has_prefix(line, reader->metric));
-	suffix = line + strlen(reader->metric);
-	if (!reader->is_histogram) {
+	assert_true(g_str_has_prefix(line, parser->metric));
+	suffix = line + strlen(parser->metric);
+	if (!parser->is_histogram) {
 		assert_int_equal(*suffix, ' ');
 	} else if (g_str_has_prefix(suffix, "_bucket")) {
 		char *label =
 			g_strndup(suffix + strlen("_bucket"),
 				  (gsize)(space - suffix) - strlen("_bucket"));
 
-		read_bucket(reader, label, value);
+		parse_bucket(parser, label, value);
 		g_free(label);
 	} else if (g_str_has_prefix(suffix, "_count ")) {
-		assert_true(reader->infinite_seen);
-		assert_int_equal(value, reader->last_count);
+		assert_true(parser->infinite_seen);
+		assert_int_equal(value, parser->last_count);
 	} else {
 		assert_true(g_str_has_prefix(suffix, "_sum "));
 	}
 }
 
-/* Fails at the first line that isn't of the format; returns the metrics. */
-static guint read_strictly(const char *text)
+/* Fails at the first malformed line; returns the number of metrics. */
+static guint parse_strictly(const char *text)
 {
-	reader_t reader = { .metrics = g_hash_table_new_full(
-				    g_str_hash, g_str_equal, g_free, NULL) };
+	page_parser_t parser = { .metrics = g_hash_table_new_full(
+					 g_str_hash, g_str_equal, g_free,
+					 NULL) };
 	char **lines = g_strsplit(text, "\n", -1);
 	guint count = g_strv_length(lines);
 	guint metrics;
@@ -106,18 +108,18 @@
 	assert_string_equal(lines[count - 1], "");
 	for (guint i = 0; i + 1 < count; i++) {
 		if (lines[i][0] == '#')
-			read_type(&reader, lines[i]);
+			parse_type(&parser, lines[i]);
 		else
-			read_sample(&reader, lines[i]);
+			parse_sample(&parser, lines[i]);
 	}
-	metrics = g_hash_table_size(reader.metrics);
-	g_hash_table_destroy(reader.metrics);
-	g_free(reader.metric);
+	metrics = g_hash_table_size(parser.metrics);
+	g_hash_table_destroy(parser.metrics);
+	g_free(parser.metric);
 	g_strfreev(lines);
 	return metrics;
 }
 
-static void the_page_is_read_by_a_strict_reader(void **unused)
+static void the_page_is_accepted_by_a_strict_parser(void **unused)
 {
 	wwh_counters_t *counters = wwh_counters_new();
 	GString *text = g_string_new(NULL);
@@ -129,15 +131,18 @@
 			  7);
 	(void)wwh_counters_histogram(counters, "holder.append_ms");
 	wwh_metrics_text(counters, text);
-	assert_int_equal(read_strictly(text->str), 4);
+	assert_int_equal(parse_strictly(text->str), 4);
 	assert_non_null(strstr(text->str, "\nwaxwinghollow_log_lines_dropped 3"
 					  "\n"));
 	g_string_free(text, TRUE);
 	wwh_counters_delete(counters);
 }
 
-/* What is on a bound belongs to it, and what is above all bounds is counted. */
-static void times_are_counted_by_their_bounds(void **unused)
+/*
+ * A duration equal to a bound is counted in the bucket of that bound; durations
+ * above all bounds are counted too.
+ */
+static void durations_are_counted_in_their_buckets(void **unused)
 {
 	wwh_counters_t *counters = wwh_counters_new();
 	wwh_histogram_t *histogram =
@@ -151,7 +156,7 @@
 	wwh_histogram_add(histogram, 3);
 	wwh_histogram_add(histogram, 10001);
 	wwh_metrics_text(counters, text);
-	assert_int_equal(read_strictly(text->str), 1);
+	assert_int_equal(parse_strictly(text->str), 1);
 	assert_non_null(strstr(text->str, "_bucket{le=\"1\"} 2\n"));
 	assert_non_null(strstr(text->str, "_bucket{le=\"2\"} 3\n"));
 	assert_non_null(strstr(text->str, "_bucket{le=\"5\"} 4\n"));
@@ -162,33 +167,33 @@
 	wwh_counters_delete(counters);
 }
 
-#define ADDERS 4
-#define ADDS 20000
+#define ADDING_THREADS 4
+#define ADDS_PER_THREAD 20000
 
 static gpointer add_many(gpointer data)
 {
-	for (int32_t i = 0; i < ADDS; i++)
+	for (int32_t i = 0; i < ADDS_PER_THREAD; i++)
 		wwh_histogram_add(data, i % 3000);
 	return NULL;
 }
 
-/* A page that is made while others add has a count that fits its buckets. */
-static void a_page_made_while_others_add_fits_itself(void **unused)
+/* The count in a page must match its buckets while other threads add. */
+static void a_page_written_during_additions_is_consistent(void **unused)
 {
 	wwh_counters_t *counters = wwh_counters_new();
 	wwh_histogram_t *histogram = wwh_counters_histogram(counters, "a_ms");
-	GThread *threads[ADDERS];
+	GThread *threads[ADDING_THREADS];
 	GString *text = g_string_new(NULL);
 
 	(void)unused;
-	for (int32_t i = 0; i < ADDERS; i++)
+	for (int32_t i = 0; i < ADDING_THREADS; i++)
 		threads[i] = g_thread_new("adder", add_many, histogram);
 	for (int32_t i = 0; i < 50; i++) {
 		g_string_truncate(text, 0);
 		wwh_metrics_text(counters, text);
-		(void)read_strictly(text->str);
+		(void)parse_strictly(text->str);
 	}
-	for (int32_t i = 0; i < ADDERS; i++)
+	for (int32_t i = 0; i < ADDING_THREADS; i++)
 		g_thread_join(threads[i]);
 	g_string_truncate(text, 0);
 	wwh_metrics_text(counters, text);
@@ -200,9 +205,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(the_page_is_read_by_a_strict_reader),
-		cmocka_unit_test(times_are_counted_by_their_bounds),
-		cmocka_unit_test(a_page_made_while_others_add_fits_itself),
+		cmocka_unit_test(the_page_is_accepted_by_a_strict_parser),
+		cmocka_unit_test(durations_are_counted_in_their_buckets),
+		cmocka_unit_test(a_page_written_during_additions_is_consistent),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
