--- a/include/waxwinghollow/job_config.h
+++ b/include/waxwinghollow/job_config.h
@@ -64,8 +64,8 @@
 			      const wwh_workspace_limit_t *limit);
 
 /* The queue that a request names; *rest is its path behind the prefix. */
-const wwh_queue_t *wwh_job_config_find(const wwh_job_config_t *config,
-				       const char *host, const char *path,
-				       const char **rest);
+const wwh_queue_t *wwh_job_config_find_queue(const wwh_job_config_t *config,
+					     const char *host, const char *path,
+					     const char **rest);
 
 #endif
--- a/include/waxwinghollow/job_holder.h
+++ b/include/waxwinghollow/job_holder.h
@@ -79,25 +79,25 @@
 void wwh_job_holder_set_config(wwh_job_holder_t *holder,
 			       const wwh_job_config_t *config);
 /* An order that can't be read does nothing. */
-void wwh_job_holder_wave(wwh_job_holder_t *holder, const char *key,
-			 const uint8_t *value, size_t size);
+void wwh_job_holder_apply_wave(wwh_job_holder_t *holder, const char *key,
+			       const uint8_t *value, size_t size);
 
 /*
  * Whether a job belongs to another workspace than this one. False where either is
  * unknown.
  */
-bool wwh_job_holder_hides(const wwh_job_holder_t *holder, const char *id,
-			  const char *workspace);
+bool wwh_job_holder_owned_by_other(const wwh_job_holder_t *holder,
+				   const char *id, const char *workspace);
 
 /* Takes job over. */
 void wwh_job_holder_submit(wwh_job_holder_t *holder, wwh_job_t *job,
 			   wwh_job_answered_t done, void *client_data);
 void wwh_job_holder_cancel(wwh_job_holder_t *holder, const char *id,
 			   wwh_job_answered_t done, void *client_data);
-void wwh_job_holder_state(wwh_job_holder_t *holder, const char *id,
-			  wwh_job_answered_t done, void *client_data);
-void wwh_job_holder_pending(wwh_job_holder_t *holder, const char *queue,
-			    wwh_job_answered_t done, void *client_data);
+void wwh_job_holder_query_state(wwh_job_holder_t *holder, const char *id,
+				wwh_job_answered_t done, void *client_data);
+void wwh_job_holder_query_pending(wwh_job_holder_t *holder, const char *queue,
+				  wwh_job_answered_t done, void *client_data);
 
 /*
  * suspended: this process stood still for a while. Nothing is ordered then
@@ -125,28 +125,29 @@
  * Hosts get no more orders: with new ones all the time the holder would never
  * be settled. stop false: they do again.
  */
-void wwh_job_holder_stop_duties(wwh_job_holder_t *holder, bool stop);
+void wwh_job_holder_pause_duties(wwh_job_holder_t *holder, bool stop);
 
 /* Orders to hosts are unanswered. */
-bool wwh_job_holder_orders_hosts(const wwh_job_holder_t *holder);
+bool wwh_job_holder_host_orders_pending(const wwh_job_holder_t *holder);
 
 /*
  * Nothing more is to be written before the claim is given up, and no order to
  * a host is on its way: the next holder gives its own at once, and a late one
  * would take down a host too many.
  */
-bool wwh_job_holder_settled(const wwh_job_holder_t *holder);
+bool wwh_job_holder_is_quiescent(const wwh_job_holder_t *holder);
 
 /* The store has confirmed the claim within the last moments. */
-bool wwh_job_holder_confirmed(const wwh_job_holder_t *holder, int64_t now_ms);
+bool wwh_job_holder_claim_confirmed(const wwh_job_holder_t *holder,
+				    int64_t now_ms);
 
 /*
  * The store takes nothing from this holder, for longer than a call takes. It may
  * serve others meanwhile, and one of them could accept jobs. An overloaded
  * process is late to read answers, so only rejections tell it of the store.
  */
-bool wwh_job_holder_turned_away(const wwh_job_holder_t *holder, int64_t now_ms,
-				bool overloaded);
+bool wwh_job_holder_rejected_by_store(const wwh_job_holder_t *holder,
+				      int64_t now_ms, bool overloaded);
 
 /* Appends succeed: this holder can accept jobs. */
 bool wwh_job_holder_reaches_store(const wwh_job_holder_t *holder,
--- a/src/libwaxwinghollow/job_config.c
+++ b/src/libwaxwinghollow/job_config.c
@@ -58,9 +58,9 @@
 	g_array_append_val(config->limits, *limit);
 }
 
-const wwh_queue_t *wwh_job_config_find(const wwh_job_config_t *config,
-				       const char *host, const char *path,
-				       const char **rest)
+const wwh_queue_t *wwh_job_config_find_queue(const wwh_job_config_t *config,
+					     const char *host, const char *path,
+					     const char **rest)
 {
 	const wwh_queue_t *best = NULL;
 	size_t best_size = 0;
--- a/src/libwaxwinghollow/job_holder.c
+++ b/src/libwaxwinghollow/job_holder.c
@@ -94,9 +94,9 @@
 		.endpoint = options->settings->store,
 		.topic = WIRE_TOPIC_UPSTREAMS,
 		.wait_ms = UPSTREAMS_WAIT_MS,
-		.gap_ms = UPSTREAMS_GAP_MS,
+		.read_interval_ms = UPSTREAMS_GAP_MS,
 		.on_record = job_holder_on_upstream,
-		.on_nameless = job_holder_on_nameless_upstream,
+		.on_unreadable_key = job_holder_on_nameless_upstream,
 		.on_reach = on_reach,
 		.client_data = holder,
 	};
@@ -169,10 +169,11 @@
 	}
 }
 
-void wwh_job_holder_wave(wwh_job_holder_t *holder, const char *key,
-			 const uint8_t *value, size_t size)
+void wwh_job_holder_apply_wave(wwh_job_holder_t *holder, const char *key,
+			       const uint8_t *value, size_t size)
 {
-	wwh_wave_order_t *order = wire_operator_wave(key, value, size, NULL);
+	wwh_wave_order_t *order =
+		wire_operator_parse_wave(key, value, size, NULL);
 
 	if (order != NULL)
 		wwh_host_duties_add_wave(holder->duties, order, holder->now_ms);
@@ -220,26 +221,27 @@
 		       : WAIT_IDLE_MS;
 }
 
-void wwh_job_holder_stop_duties(wwh_job_holder_t *holder, bool stop)
+void wwh_job_holder_pause_duties(wwh_job_holder_t *holder, bool stop)
 {
 	holder->stopping = stop;
 }
 
-bool wwh_job_holder_orders_hosts(const wwh_job_holder_t *holder)
+bool wwh_job_holder_host_orders_pending(const wwh_job_holder_t *holder)
 {
 	return holder->host_orders_out > 0;
 }
 
-bool wwh_job_holder_settled(const wwh_job_holder_t *holder)
+bool wwh_job_holder_is_quiescent(const wwh_job_holder_t *holder)
 {
 	return holder->lost ||
 	       (g_queue_is_empty(holder->waiters) &&
-		!wwh_job_holder_orders_hosts(holder) &&
+		!wwh_job_holder_host_orders_pending(holder) &&
 		!wwh_scheduler_has_unflushed(holder->scheduler) &&
 		wwh_shard_journal_lag_ms(holder->journal, holder->now_ms) == 0);
 }
 
-bool wwh_job_holder_confirmed(const wwh_job_holder_t *holder, int64_t now_ms)
+bool wwh_job_holder_claim_confirmed(const wwh_job_holder_t *holder,
+				    int64_t now_ms)
 {
 	return confirmed_within(holder, now_ms, CONFIRMED_FOR_MS);
 }
@@ -250,8 +252,8 @@
 	return confirmed_within(holder, now_ms, REACHES_STORE_MS);
 }
 
-bool wwh_job_holder_turned_away(const wwh_job_holder_t *holder, int64_t now_ms,
-				bool overloaded)
+bool wwh_job_holder_rejected_by_store(const wwh_job_holder_t *holder,
+				      int64_t now_ms, bool overloaded)
 {
 	bool failing = overloaded ? wwh_shard_journal_refused(holder->journal)
 				  : wwh_shard_journal_failing(holder->journal);
@@ -325,14 +327,14 @@
 	/* the first start at an upstream waits for its record */
 	bool urgent = holder->urgent ||
 		      (kind == WWH_SCHEDULER_RECORD_UPSTREAM && value != NULL);
-	int64_t number = wwh_shard_journal_keep(holder->journal, whole, value,
-						urgent, holder->now_ms);
+	int64_t number = wwh_shard_journal_append(holder->journal, whole, value,
+						  urgent, holder->now_ms);
 
 	/* one that couldn't be read is replaced now */
 	if (value == NULL)
-		wwh_bad_records_gone(holder->bad_records, whole);
+		wwh_bad_records_mark_removed(holder->bad_records, whole);
 	else
-		wwh_bad_records_whole(holder->bad_records, whole);
+		wwh_bad_records_mark_readable(holder->bad_records, whole);
 	g_free(whole);
 	return number;
 }
@@ -355,8 +357,9 @@
 		.producer = holder->options.producer,
 		.epoch = holder->options.epoch,
 		.next_sequence = holder->options.next_sequence,
-		.call_bytes = holder->options.settings->store_call_max_bytes,
-		.group_ms = GROUP_MS,
+		.max_call_bytes =
+			holder->options.settings->store_call_max_bytes,
+		.batch_delay_ms = GROUP_MS,
 		.on_durable = on_durable,
 		.on_lost = on_journal_lost,
 		.client_data = holder,
@@ -471,8 +474,8 @@
 				holder->scheduler, kind, key + 1, data, size,
 				holder->now_ms, holder->wall_ms, &message);
 		if (!ok)
-			wwh_bad_records_found(holder->bad_records, key,
-					      message.text);
+			wwh_bad_records_mark_unreadable(holder->bad_records,
+							key, message.text);
 	}
 }
 
@@ -536,8 +539,8 @@
 {
 	if (suspended && holder->unconfirmed_since_ms == 0) {
 		holder->unconfirmed_since_ms = holder->now_ms;
-		(void)wwh_shard_journal_keep(holder->journal, CONFIRM_KEY, NULL,
-					     true, holder->now_ms);
+		(void)wwh_shard_journal_append(holder->journal, CONFIRM_KEY,
+					       NULL, true, holder->now_ms);
 	}
 	return holder->unconfirmed_since_ms == 0;
 }
@@ -576,6 +579,6 @@
 	}
 	if (holder->now_ms - confirmed_ms >= CONFIRM_EVERY_MS &&
 	    wwh_shard_journal_lag_ms(holder->journal, holder->now_ms) == 0)
-		(void)wwh_shard_journal_keep(holder->journal, CONFIRM_KEY, NULL,
-					     true, holder->now_ms);
+		(void)wwh_shard_journal_append(holder->journal, CONFIRM_KEY,
+					       NULL, true, holder->now_ms);
 }
--- a/src/libwaxwinghollow/job_holder_hosts.c
+++ b/src/libwaxwinghollow/job_holder_hosts.c
@@ -74,7 +74,7 @@
 	gsize size;
 	const uint8_t *data = g_bytes_get_data(state, &size);
 
-	wire_store_pack(body, key, data, size);
+	wire_store_pack_record(body, key, data, size);
 	g_ptr_array_add(holder->reports, body);
 	g_bytes_unref(state);
 	g_free(key);
@@ -124,14 +124,14 @@
 		return;
 	}
 	job_holder_tick(holder);
-	ok = wire_hosts_listed(answer, &next, take_host, holder);
+	ok = wire_hosts_list_answer(answer, &next, take_host, holder);
 	g_free(holder->list_page);
 	holder->list_page = next;
 	if (ok && next != NULL) {
 		list_page(holder);
 	} else {
 		if (ok)
-			wwh_bad_records_listed(holder->bad_hosts,
+			wwh_bad_records_retain(holder->bad_hosts,
 					       holder->bad_listed);
 		wwh_host_duties_list_end(holder->duties, ok, holder->now_ms);
 	}
@@ -145,10 +145,10 @@
 
 	if (host->unreadable != NULL) {
 		g_hash_table_add(holder->bad_listed, g_strdup(name));
-		wwh_bad_records_found(holder->bad_hosts, name,
-				      host->unreadable);
+		wwh_bad_records_mark_unreadable(holder->bad_hosts, name,
+						host->unreadable);
 	} else {
-		wwh_bad_records_whole(holder->bad_hosts, name);
+		wwh_bad_records_mark_readable(holder->bad_hosts, name);
 	}
 	wwh_host_duties_list_host(holder->duties, host);
 }
@@ -157,7 +157,7 @@
 {
 	duty_t *duty = data;
 	wwh_job_holder_t *holder = duty->holder;
-	wwh_duty_result_t result = wire_hosts_result(answer);
+	wwh_duty_result_t result = wire_hosts_duty_answer(answer);
 
 	holder->host_orders_out--;
 	job_holder_tick(holder);
@@ -177,7 +177,7 @@
 {
 	duty_t *duty = data;
 	wwh_job_holder_t *holder = duty->holder;
-	wwh_duty_result_t result = wire_hosts_result(answer);
+	wwh_duty_result_t result = wire_hosts_duty_answer(answer);
 
 	holder->host_orders_out--;
 	job_holder_tick(holder);
--- a/src/libwaxwinghollow/job_holder_orders.c
+++ b/src/libwaxwinghollow/job_holder_orders.c
@@ -42,7 +42,7 @@
 		order, holder->options.epoch, ORDER_LIMIT_MS);
 
 	/* it may wait for a connection until its upstream has left */
-	call->send_limit_ms = MAX(holder->start_until_ms - holder->now_ms, 1);
+	call->send_timeout_ms = MAX(holder->start_until_ms - holder->now_ms, 1);
 	wwh_counter_add(holder->starts, 1);
 	wwh_http_calls_send(
 		holder->options.calls, call, on_started,
@@ -147,7 +147,7 @@
 static void on_started(const wwh_http_answer_t *answer, void *data)
 {
 	order_t *order = data;
-	wwh_order_result_t result = wire_upstream_result(answer);
+	wwh_order_result_t result = wire_upstream_order_answer(answer);
 
 	if (!is_over(order)) {
 		wwh_histogram_add(order->holder->start_ms,
@@ -164,7 +164,7 @@
 static void on_stopped(const wwh_http_answer_t *answer, void *data)
 {
 	order_t *order = data;
-	wwh_order_result_t result = wire_upstream_result(answer);
+	wwh_order_result_t result = wire_upstream_order_answer(answer);
 
 	if (!is_over(order)) {
 		wwh_scheduler_handle_stop_result(
@@ -183,7 +183,7 @@
 	if (!is_over(order))
 		wwh_scheduler_handle_pace_result(
 			order->holder->scheduler, order->upstream, order->task,
-			order->run, wire_upstream_result(answer),
+			order->run, wire_upstream_order_answer(answer),
 			order->holder->now_ms);
 	order_delete(order);
 }
@@ -199,7 +199,7 @@
 		order_delete(order);
 		return;
 	}
-	result = wire_upstream_polled(answer, &poll);
+	result = wire_upstream_poll_answer(answer, &poll);
 	switch (result) {
 	case WWH_ORDER_DONE:
 		wwh_scheduler_handle_poll_answer(
@@ -234,7 +234,7 @@
 		order_delete(order);
 		return;
 	}
-	if (wire_upstream_advised(answer, &advice)) {
+	if (wire_upstream_advise_answer(answer, &advice)) {
 		wwh_scheduler_handle_advice(
 			holder->scheduler, order->task,
 			(wwh_advice_ticket_t *)(void *)advice.admitted->data,
--- a/src/libwaxwinghollow/job_holder_requests.c
+++ b/src/libwaxwinghollow/job_holder_requests.c
@@ -55,8 +55,8 @@
 static void answer_not_done(const char *why, wwh_job_answered_t done,
 			    void *client_data);
 
-bool wwh_job_holder_hides(const wwh_job_holder_t *holder, const char *id,
-			  const char *workspace)
+bool wwh_job_holder_owned_by_other(const wwh_job_holder_t *holder,
+				   const char *id, const char *workspace)
 {
 	const char *owner = wwh_scheduler_job_workspace(holder->scheduler, id);
 
@@ -128,7 +128,7 @@
 static bool take_back(wwh_job_holder_t *holder, const char *job, int64_t record)
 {
 	if (!wwh_scheduler_job_is_discardable(holder->scheduler, job) ||
-	    !wwh_shard_journal_take_back(holder->journal, record))
+	    !wwh_shard_journal_discard(holder->journal, record))
 		return false;
 	wwh_scheduler_discard_job(holder->scheduler, job);
 	return true;
@@ -156,7 +156,8 @@
 {
 	int64_t limit_ms =
 		MAX(STALLED_MS,
-		    SLOW_APPENDS * wwh_shard_journal_took_ms(holder->journal));
+		    SLOW_APPENDS * wwh_shard_journal_last_append_duration_ms(
+					   holder->journal));
 
 	if (wwh_shard_journal_refused(holder->journal))
 		limit_ms = REFUSED_STALLED_MS;
@@ -179,7 +180,7 @@
 				 &record)) {
 		wait_for(holder, record, "", &answer, done, client_data);
 		wwh_shard_journal_run(holder->journal, holder->now_ms);
-	} else if (wwh_job_holder_confirmed(holder, holder->now_ms)) {
+	} else if (wwh_job_holder_claim_confirmed(holder, holder->now_ms)) {
 		answer.kind = WWH_JOB_ANSWER_NO_JOB;
 		answer.why = "no-such-job";
 		done(&answer, client_data);
@@ -193,8 +194,8 @@
  * "No such job" is said only while the claim is sure: a holder that was
  * overtaken doesn't know the jobs that its successor has accepted.
  */
-void wwh_job_holder_state(wwh_job_holder_t *holder, const char *id,
-			  wwh_job_answered_t done, void *client_data)
+void wwh_job_holder_query_state(wwh_job_holder_t *holder, const char *id,
+				wwh_job_answered_t done, void *client_data)
 {
 	wwh_job_answer_t answer = { .kind = WWH_JOB_ANSWER_OK };
 
@@ -204,7 +205,7 @@
 	}
 	answer.state = wwh_scheduler_job_state(holder->scheduler, id);
 	if (answer.state == WWH_PROGRESS_UNKNOWN) {
-		if (!wwh_job_holder_confirmed(holder, holder->now_ms)) {
+		if (!wwh_job_holder_claim_confirmed(holder, holder->now_ms)) {
 			answer_not_done("not-confirmed", done, client_data);
 			return;
 		}
@@ -214,12 +215,12 @@
 	done(&answer, client_data);
 }
 
-void wwh_job_holder_pending(wwh_job_holder_t *holder, const char *queue,
-			    wwh_job_answered_t done, void *client_data)
+void wwh_job_holder_query_pending(wwh_job_holder_t *holder, const char *queue,
+				  wwh_job_answered_t done, void *client_data)
 {
 	wwh_job_answer_t answer = { .kind = WWH_JOB_ANSWER_OK };
 
-	if (!wwh_job_holder_confirmed(holder, holder->now_ms)) {
+	if (!wwh_job_holder_claim_confirmed(holder, holder->now_ms)) {
 		answer_not_done("not-confirmed", done, client_data);
 		return;
 	}
--- a/src/libwaxwinghollow/job_holder_starts.c
+++ b/src/libwaxwinghollow/job_holder_starts.c
@@ -17,7 +17,7 @@
 
 	if (store_is_away(holder))
 		holder->store_away_ms =
-			wwh_shard_journal_failed_ms(holder->journal);
+			wwh_shard_journal_last_failure_ms(holder->journal);
 	known_ms = MAX(wwh_store_follower_complete_ms(holder->upstreams),
 		       holder->store_away_ms);
 	holder->start_until_ms =
--- a/src/libwaxwinghollow/job_service_loop.c
+++ b/src/libwaxwinghollow/job_service_loop.c
@@ -159,7 +159,7 @@
 			  now_ms >= service->stop_deadline_ms;
 	g_mutex_unlock(&service->lock);
 	if (service->holder != NULL) {
-		wwh_job_holder_stop_duties(
+		wwh_job_holder_pause_duties(
 			service->holder,
 			stopping || service->handover_requested_ms != 0);
 		wwh_job_holder_set_overloaded(
@@ -172,15 +172,15 @@
 	if (deadline_passed)
 		job_service_abort_requests(service);
 	if (stopping && service->holder != NULL &&
-	    wwh_job_holder_settled(service->holder)) {
+	    wwh_job_holder_is_quiescent(service->holder)) {
 		/* the next holder can continue at once: no call is pending */
 		service->detached_holder = g_steal_pointer(&service->holder);
 	}
 	if (stopping && service->holder == NULL)
-		wwh_shard_claim_give_up(service->claim, now_ms);
-	wwh_shard_claim_leave_to_others(service->claim,
-					wwh_loop_lag_is_host_slow(service->lag),
-					now_ms);
+		wwh_shard_claim_release(service->claim, now_ms);
+	wwh_shard_claim_set_withdrawn(service->claim,
+				      wwh_loop_lag_is_host_slow(service->lag),
+				      now_ms);
 	hand_over_if_requested(service, now_ms);
 	wwh_shard_claim_run(service->claim, now_ms);
 	if (service->detached_holder != NULL) {
@@ -207,7 +207,7 @@
 				 int64_t now_ms)
 {
 	return service->holder != NULL &&
-	       wwh_job_holder_turned_away(
+	       wwh_job_holder_rejected_by_store(
 		       service->holder, now_ms,
 		       wwh_loop_lag_is_overloaded(service->lag));
 }
@@ -238,12 +238,12 @@
 	}
 	if (service->handover_requested_ms == 0)
 		service->handover_requested_ms = now_ms;
-	orders_pending = wwh_job_holder_orders_hosts(service->holder);
+	orders_pending = wwh_job_holder_host_orders_pending(service->holder);
 	if (orders_pending &&
 	    now_ms - service->handover_requested_ms < limit_ms)
 		return;
 	(void)job_service_detach_holder(service, "handed-over");
-	wwh_shard_claim_handed_over(service->claim, now_ms);
+	wwh_shard_claim_handle_handover(service->claim, now_ms);
 	service->handover_requested_ms = 0;
 	g_mutex_lock(&service->lock);
 	service->handover_requested = false;
@@ -263,7 +263,7 @@
 	service->holds_shard = holds;
 	service->claims_shard = claims;
 	service->host_orders_pending =
-		holds && wwh_job_holder_orders_hosts(holder);
+		holds && wwh_job_holder_host_orders_pending(holder);
 	service->reaches_store =
 		holds && wwh_job_holder_reaches_store(holder, now_ms);
 	service->yields_shard = should_yield(service, now_ms);
@@ -324,5 +324,5 @@
 {
 	return service->holder == NULL &&
 	       g_hash_table_size(service->forwards) == 0 &&
-	       wwh_shard_claim_given_up(service->claim);
+	       wwh_shard_claim_is_released(service->claim);
 }
--- a/src/libwaxwinghollow/job_service_queue.c
+++ b/src/libwaxwinghollow/job_service_queue.c
@@ -147,7 +147,8 @@
 		job_service_forward(service, request);
 		return;
 	}
-	if (wwh_job_holder_hides(holder, request->id, request->workspace)) {
+	if (wwh_job_holder_owned_by_other(holder, request->id,
+					  request->workspace)) {
 		job_request_answer(&hidden, request);
 		return;
 	}
@@ -157,16 +158,16 @@
 				      job_request_answer, request);
 		break;
 	case JOB_REQUEST_STATE:
-		wwh_job_holder_state(holder, request->id, job_request_answer,
-				     request);
+		wwh_job_holder_query_state(holder, request->id,
+					   job_request_answer, request);
 		break;
 	case JOB_REQUEST_CANCEL:
 		wwh_job_holder_cancel(holder, request->id, job_request_answer,
 				      request);
 		break;
 	default:
-		wwh_job_holder_pending(holder, request->queue,
-				       job_request_answer, request);
+		wwh_job_holder_query_pending(holder, request->queue,
+					     job_request_answer, request);
 		break;
 	}
 }
--- a/src/test_job_holder/test_entries.c
+++ b/src/test_job_holder/test_entries.c
@@ -358,7 +358,7 @@
 	run_until_others_settled(fixture);
 	assert_int_equal(counted(fixture, "holder.lost_jobs"), 1);
 	assert_int_equal(counted(fixture, "records.unreadable"), 1);
-	wwh_job_holder_state(fixture->holder, id, on_told, fixture);
+	wwh_job_holder_query_state(fixture->holder, id, on_told, fixture);
 	assert_int_equal(fixture->told, WWH_JOB_ANSWER_NOT_DONE);
 	g_strlcpy(job->id, id, sizeof(job->id));
 	wwh_job_holder_submit(fixture->holder, job, on_told, fixture);
@@ -366,7 +366,7 @@
 	wwh_job_holder_cancel(fixture->holder, id, on_told, fixture);
 	run_for(fixture, 500);
 	assert_int_equal(fixture->told, WWH_JOB_ANSWER_OK);
-	wwh_job_holder_state(fixture->holder, id, on_told, fixture);
+	wwh_job_holder_query_state(fixture->holder, id, on_told, fixture);
 	assert_int_equal(fixture->told, WWH_JOB_ANSWER_OK);
 	assert_int_equal(counted(fixture, "holder.lost_jobs"), 0);
 	assert_int_equal(counted(fixture, "records.unreadable_now"), 0);
--- a/src/test_job_holder/test_job_holder.c
+++ b/src/test_job_holder/test_job_holder.c
@@ -219,8 +219,8 @@
 	static const char wave[] = "{\"wave\":1,\"machines\":[\"h1\",\"h2\"],"
 				   "\"durationS\":20,\"maxCount\":1}";
 
-	wwh_job_holder_wave(fixture->holder, "wave/1", (const uint8_t *)wave,
-			    strlen(wave));
+	wwh_job_holder_apply_wave(fixture->holder, "wave/1",
+				  (const uint8_t *)wave, strlen(wave));
 }
 
 static void run_for(fixture_t *fixture, int64_t span_ms)
@@ -358,11 +358,11 @@
 	ask_upkeep(fixture);
 	(void)first_order_ms(fixture);
 	assert_int_equal(orders(fixture), 1);
-	assert_false(wwh_job_holder_settled(fixture->holder));
-	while (!wwh_job_holder_settled(fixture->holder) &&
+	assert_false(wwh_job_holder_is_quiescent(fixture->holder));
+	while (!wwh_job_holder_is_quiescent(fixture->holder) &&
 	       standin_now_ms() - begun_ms < WAIT_MAX_MS)
 		run_for(fixture, STEP_MS);
-	assert_true(wwh_job_holder_settled(fixture->holder));
+	assert_true(wwh_job_holder_is_quiescent(fixture->holder));
 }
 
 static bool starts_held(fixture_t *fixture)
