--- a/src/libwaxwinghollow/chart.c
+++ b/src/libwaxwinghollow/chart.c
@@ -30,22 +30,23 @@
 {
 	const wwh_chart_t *chart = machine->chart;
 	int32_t event_count = (int32_t)chart->events->len;
-	const wwh_chart_answer_t *answer;
+	const wwh_chart_handler_t *handler;
 
 	assert(chart->runnable);
 	assert(event >= 0 && event < event_count);
-	answer = &chart->answers[machine->state * event_count + event];
-	if (answer->ignored)
+	handler = &chart->handlers[machine->state * event_count + event];
+	if (handler->ignored)
 		return WWH_CHART_IGNORED;
-	for (guint i = 0; i < answer->branches->len; i++) {
-		const wwh_chart_branch_t *branch =
-			&g_array_index(answer->branches, wwh_chart_branch_t, i);
+	for (guint i = 0; i < handler->transitions->len; i++) {
+		const wwh_chart_transition_t *transition = &g_array_index(
+			handler->transitions, wwh_chart_transition_t, i);
 
-		if (branch->guard && !branch->guard(now_ms, client_data))
+		if (transition->guard &&
+		    !transition->guard(now_ms, client_data))
 			continue;
-		machine->state = branch->target;
-		if (branch->action)
-			branch->action(now_ms, client_data);
+		machine->state = transition->target;
+		if (transition->action)
+			transition->action(now_ms, client_data);
 		return WWH_CHART_STEPPED;
 	}
 	return WWH_CHART_REFUSED;
@@ -56,7 +57,7 @@
 	return machine->chart->is_final[machine->state];
 }
 
-uint32_t wwh_chart_tag(const wwh_chart_t *chart, const char *tag)
+uint32_t wwh_chart_tag_mask(const wwh_chart_t *chart, const char *tag)
 {
 	int32_t index = name_index(chart->tags, tag);
 
--- a/src/libwaxwinghollow/chart_files.S
+++ b/src/libwaxwinghollow/chart_files.S
@@ -1,7 +1,7 @@
 /*
- * The charts as they stand in charts/, linked in because the hosts that run
- * the binary have no disk. Each macro call adds one row of wwh_chart_files:
- * name, text, size.
+ * The files of charts/ are linked into the binary because the hosts that run
+ * it have no disk. Each use of the macro adds one entry to wwh_chart_files:
+ * name, text, size in bytes.
  */
 
 	.macro chart name
--- a/src/libwaxwinghollow/include/private/chart_model.h
+++ b/src/libwaxwinghollow/include/private/chart_model.h
@@ -3,8 +3,8 @@
 
 /*
  * NAME
- *	chart_model - a parsed chart, as the reader makes it and the
- *	interpreter runs it
+ *	chart_model - a parsed chart, shared by the parser and the
+ *	interpreter
  */
 
 #include <glib.h>
@@ -12,29 +12,29 @@
 #include "waxwinghollow/chart.h"
 
 typedef struct {
-	char *guard_name; /* NULL: always */
-	char *action_name; /* NULL: none */
+	char *guard_name; /* NULL: unconditional */
+	char *action_name; /* NULL: no action */
 	wwh_chart_guard_t guard;
 	wwh_chart_action_t action;
 	int32_t target;
-} wwh_chart_branch_t;
+} wwh_chart_transition_t;
 
-/* The answer of one state to one event. */
+/* How one state handles one event. */
 typedef struct {
 	bool ignored;
-	GArray *branches; /* of wwh_chart_branch_t; NULL: no answer */
-} wwh_chart_answer_t;
+	GArray *transitions; /* of wwh_chart_transition_t; NULL: not under "on" */
+} wwh_chart_handler_t;
 
 struct wwh_chart {
 	char *name;
-	bool runnable; /* guards and actions were looked up */
+	bool runnable; /* guards and actions are resolved */
 	int32_t initial;
 	GPtrArray *states; /* of char * */
 	GPtrArray *events; /* of char * */
 	GPtrArray *tags; /* of char * */
-	bool *is_final; /* a state */
-	uint32_t *tag_masks; /* a state */
-	wwh_chart_answer_t *answers; /* state * event count + event */
+	bool *is_final; /* by state */
+	uint32_t *tag_masks; /* by state */
+	wwh_chart_handler_t *handlers; /* index: state * event count + event */
 };
 
 #endif
--- a/src/test_chart/test_chart.c
+++ b/src/test_chart/test_chart.c
@@ -91,9 +91,9 @@
 	assert_int_equal(machine.state, STATE_AJAR);
 	assert_int_equal(door.opened, 1);
 	assert_int_equal(door.opened_ms, 2);
-	assert_true(
-		wwh_chart_has_tag(&machine, wwh_chart_tag(chart, "draughty")));
-	assert_int_equal(wwh_chart_tag(chart, "no-such-tag"), 0);
+	assert_true(wwh_chart_has_tag(&machine,
+				      wwh_chart_tag_mask(chart, "draughty")));
+	assert_int_equal(wwh_chart_tag_mask(chart, "no-such-tag"), 0);
 	assert_int_equal(wwh_chart_step(&machine, EVENT_LOCK, 3, &door),
 			 WWH_CHART_IGNORED);
 	wwh_chart_step(&machine, EVENT_PUSH, 4, &door);
@@ -106,8 +106,8 @@
 	wwh_chart_delete(chart);
 }
 
-/* Replaces the first occurrence of from; the result is the caller's. */
-static char *changed(const char *from, const char *to)
+/* Returns door_text with the first from replaced; the caller frees it. */
+static char *replace_in_door_text(const char *from, const char *to)
 {
 	const char *found = strstr(door_text, from);
 
@@ -116,14 +116,15 @@
 			       to, found + strlen(from));
 }
 
-static void each_fault_of_a_file_is_named(void **unused)
+static void each_error_in_a_file_is_reported(void **unused)
 {
 	static const char *const rows[][3] = {
 		{ "\"target\": \"ajar\"", "\"target\": \"jar\"",
 		  "unknown state \"jar\"" },
 		{ "\"target\": \"ajar\"", "\"target\": \"shut\"",
 		  "state \"ajar\" can't be reached" },
-		{ "\"ignore\": [\"lock\"],", "", "no answer to \"lock\"" },
+		{ "\"ignore\": [\"lock\"],", "",
+		  "neither handles nor ignores \"lock\"" },
 		{ "may-open", "must-open", "unknown guard \"must-open\"" },
 		{ "\"count\"", "\"sum\"", "unknown action \"sum\"" },
 		{ "\"tags\"", "\"tag\"", "unknown key \"tag\"" },
@@ -133,17 +134,17 @@
 		{ "[\"lock\", \"push\"]", "[\"lock\", \"push\", \"pull\"]",
 		  "event \"pull\" is unknown to the program" },
 		{ "[\"lock\"]", "[\"lock\", \"push\"]",
-		  "both answers and ignores" },
+		  "both handles and ignores" },
 		{ "\"locked\": {}",
 		  "\"locked\": {\"on\": {\"push\": {\"target\": \"shut\"}}}",
-		  "final, but answers" },
+		  "final, but handles" },
 		{ "\"name\": \"door\",", "", "has no name" },
 		{ "{ \"name\"", "[ \"name\"", "<data>" },
 	};
 
 	(void)unused;
 	for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
-		char *text = changed(rows[i][0], rows[i][1]);
+		char *text = replace_in_door_text(rows[i][0], rows[i][1]);
 		wwh_message_t message;
 		wwh_chart_t *chart;
 
@@ -157,7 +158,7 @@
 	}
 }
 
-static void every_linked_chart_is_sound(void **unused)
+static void every_linked_chart_is_valid(void **unused)
 {
 	(void)unused;
 	assert_true(wwh_chart_builtin_count() >= 3);
@@ -174,9 +175,10 @@
 }
 
 /*
- * A caller may be told "not run" only while no byte has left. Whatever
- * events come after "sent", in whatever order, the tag comes back only
- * through the minion's own refusal, and never once an attempt was lost.
+ * A caller may get "not run" only while no byte of the request was sent.
+ * After the state "sent", whatever events follow in whatever order, only a
+ * refusal by the minion itself may lead to a state with that tag again, and
+ * none may once an attempt was lost.
  */
 static void not_run_never_follows_a_lost_attempt(void **unused)
 {
@@ -191,7 +193,7 @@
 	assert_int_equal(wwh_chart_load("request", &none, &chart, &message),
 			 WWH_STATUS_OK);
 	count = wwh_chart_event_count(chart);
-	not_run = wwh_chart_tag(chart, "not-run");
+	not_run = wwh_chart_tag_mask(chart, "not-run");
 	for (int32_t run = 0; run < 5000; run++) {
 		wwh_chart_machine_t machine = wwh_chart_start(chart);
 		int32_t lost = wwh_chart_event_index(chart, "lost");
@@ -217,8 +219,8 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(a_chart_runs_its_guards_and_actions),
-		cmocka_unit_test(each_fault_of_a_file_is_named),
-		cmocka_unit_test(every_linked_chart_is_sound),
+		cmocka_unit_test(each_error_in_a_file_is_reported),
+		cmocka_unit_test(every_linked_chart_is_valid),
 		cmocka_unit_test(not_run_never_follows_a_lost_attempt),
 	};
 
