--- a/include/waxwinghollow/membership.h
+++ b/include/waxwinghollow/membership.h
@@ -3,50 +3,54 @@
 
 /*
  * NAME
- *	membership - which entry processes are there, by gossip
+ *	membership - detects by gossip which entry processes are running
  *
  * USE
- *	Answers these failures: the platform's list lags, so a new process
- *	isn't known and a dead one still is; a process is paused, or is cut
- *	off in one direction, and takes everybody else for dead; two regions
- *	lose each other for an hour; a process can't reach the log and stays
- *	behind with its configuration.
+ *	Copes with these failures: the platform's list lags, so a new process
+ *	isn't known yet and a dead one is still listed; a process is paused, or
+ *	is cut off in one direction, and would declare all others dead; two
+ *	regions can't reach each other for an hour; a process can't reach the
+ *	log and keeps an old configuration.
  *
- *	Only facts are passed on, never judgements: who exists (id,
- *	incarnation, address, place), who left by its own word, and who
- *	failed to answer whom. Each process judges from them by itself:
+ *	Processes exchange only facts, never conclusions: who exists (id,
+ *	incarnation, address, zone and region), who announced its own leave,
+ *	and who failed to reach whom. Each process derives the status of the
+ *	others from them by itself:
  *
- *	SUSPECT	it did not answer this process, neither directly nor through
- *		two helpers, or two others say the same of theirs.
- *	DEAD	suspect for suspect_ms, and a majority of the other members
- *		of its own region, as known here, failed to reach it; or it
- *		did not answer this process and the platform's list says that
- *		it is gone or has lost its line.
- *	LEFT	it said so itself.
+ *	SUSPECT	the member did not answer this process, neither directly nor
+ *		through two helpers, or two other processes report that it did
+ *		not answer them.
+ *	DEAD	the member was suspect for suspicion_timeout_ms, and a majority
+ *		of the other members of its own region, as known here, failed
+ *		to reach it; or it did not answer this process, and the
+ *		platform's list names it as gone or no longer has it.
+ *	LEFT	the member announced its leave.
  *
- *	So one process's view never removes anybody: it is one observer. Nor
- *	do the views of other regions: when a region is cut off, both sides
- *	keep each other as suspect for as long as it takes, and are alive for
- *	each other with the first answer. A region that failed as a whole is
- *	dead when the list says so. A list that is wrong takes out nobody who
- *	answers. One that hears that it is suspected or
- *	dead says "I am here" with a higher refutation number, which voids
- *	what was observed before. A process that noticed that it was itself
- *	paused, or that hears from nobody, observes nothing.
+ *	So the observation of one process alone never makes a member dead. Nor
+ *	do observations from other regions: when a region is cut off, each side
+ *	keeps the other as suspect for as long as the cut lasts, and as alive
+ *	from the first answer. When a region failed as a whole, its members are
+ *	dead once the list says so. A wrong list never makes a member dead that
+ *	answers. A member that receives that it is suspect or dead raises its
+ *	refutation number, which invalidates all earlier observations. A
+ *	process that was paused itself, or that receives nothing from anybody,
+ *	records no observations.
  *
  *	Cost: each round a process probes one member, seven times of eight in
- *	its own region, and tells news to at most three (own zone, own region,
- *	and every second round any), in messages of at most message_bytes.
- *	This does not grow with the number of members. Without news it only
- *	probes. A process repeats a fact 2 + log2(n) times and a summary six
- *	times, then no more; one fact in turn goes with each message, for
- *	whoever missed it. The newest configuration version is in every
- *	message, and who learns of a newer one tells three others at once.
+ *	its own region, and sends updates to at most three (one in its zone,
+ *	one in its region and, every second round, one in another region), in
+ *	messages of at most message_bytes. This does not grow with the number
+ *	of members. Without updates it only probes. A process sends a fact
+ *	2 + log2(n) times and a summary six times. Each message also carries
+ *	the fact of one more member in rotation, for processes that missed it.
+ *	The newest configuration version is in every message, and a process
+ *	that learns of a newer one sends it to three others at once.
  *
- *	Thresholds: round_ms 1000 and ack_ms 400 put the detection at some
- *	eight seconds with an answer that may cross the planet; suspect_ms
- *	4000 leaves a suspected process two rounds to hear of it and object.
- *	Measurements are in docs/measurements/log.md.
+ *	Thresholds: round_ms 1000 and ack_timeout_ms 400 detect a failure after
+ *	some eight seconds with answers that may cross the planet.
+ *	suspicion_timeout_ms 4000 leaves a suspected process two rounds to
+ *	receive this and refute it. Measurements are in
+ *	docs/measurements/log.md.
  *
  * ORDER OF CALLS
  *	wwh_membership_new; wwh_membership_tick every tick_ms or so, and
@@ -75,15 +79,15 @@
 /* Names of wwh_member_status_t, in the same order. */
 extern const char *const wwh_member_status_names[WWH_MEMBER_STATUS_COUNT];
 
-/* What a process tells of itself. */
+/* State that a process reports of itself. */
 typedef struct {
 	int64_t config_version;
-	int64_t config_offset; /* of that version's record */
-	int64_t log_offset; /* replayed up to here */
-	int32_t load_permille; /* of its own share */
+	int64_t config_offset; /* of that version's log record */
+	int64_t log_offset; /* last log record that was applied */
+	int32_t load_permille; /* load, relative to the process's share */
 } wwh_member_summary_t;
 
-/* Strings live until the next call on the membership. */
+/* The strings are valid until the next call on the membership. */
 typedef struct {
 	const char *id;
 	uint64_t incarnation;
@@ -91,23 +95,24 @@
 	const char *zone;
 	const char *region;
 	wwh_member_status_t status;
-	int64_t status_ms; /* since when */
+	int64_t status_ms; /* time of the last change of status */
 	wwh_member_summary_t summary;
 } wwh_member_t;
 
 typedef struct {
 	const char *id;
-	uint64_t incarnation; /* higher at each start; 0 isn't one */
+	uint64_t incarnation; /* increases at each start; never 0 */
 	const char *address;
 	const char *zone;
 	const char *region;
-	const char *const *seeds; /* addresses to try, ends with NULL */
+	const char *const
+		*seeds; /* addresses to contact first; NULL-terminated */
 	int32_t round_ms;
-	int32_t ack_ms;
-	int32_t suspect_ms;
-	int32_t forget_ms; /* dead and left ones are kept as long */
+	int32_t ack_timeout_ms;
+	int32_t suspicion_timeout_ms;
+	int32_t retention_ms; /* of dead and left members that aren't listed */
 	int32_t message_bytes;
-	wwh_leaving_t *leaving; /* words are taken and given; may be NULL */
+	wwh_leaving_t *leaving; /* source and target of reports; may be NULL */
 } wwh_membership_options_t;
 
 typedef void (*wwh_membership_send_t)(const char *address,
@@ -116,14 +121,14 @@
 
 typedef struct {
 	int64_t sent;
-	int64_t sent_bytes; /* payloads */
+	int64_t sent_bytes; /* of payloads */
 	int64_t received;
-	int64_t refused; /* malformed messages */
+	int64_t rejected; /* malformed messages */
 	int64_t probes;
 	int64_t probes_failed;
-	int64_t refutations; /* this process said that it is there */
-	int64_t deaths;
-	int64_t pauses; /* of this process, noticed by it */
+	int64_t refutations; /* by this process, of reports on itself */
+	int64_t declared_dead;
+	int64_t pauses; /* of this process, detected by itself */
 } wwh_membership_stats_t;
 
 typedef struct wwh_membership wwh_membership_t;
@@ -134,16 +139,20 @@
 				     void *client_data);
 void wwh_membership_delete(wwh_membership_t *membership);
 
-/* The lagging list, line by line. Lines that aren't entry hosts are skipped. */
+/*
+ * Passes the platform's list, one host per call. Hosts that aren't entry hosts
+ * are skipped. is_complete: no row of the list was unreadable, so an absent
+ * member is gone.
+ */
 void wwh_membership_list_begin(wwh_membership_t *membership);
 void wwh_membership_list_host(wwh_membership_t *membership,
 			      const wwh_host_t *host, int64_t now_ms);
-void wwh_membership_list_end(wwh_membership_t *membership, bool whole,
+void wwh_membership_list_end(wwh_membership_t *membership, bool is_complete,
 			     int64_t now_ms);
 
 void wwh_membership_tick(wwh_membership_t *membership, int64_t now_ms);
 
-/* BAD_INPUT: malformed, counted, without effect. */
+/* Returns BAD_INPUT for a malformed message, which is counted and ignored. */
 wwh_status_t wwh_membership_receive(wwh_membership_t *membership,
 				    const char *from_address,
 				    const uint8_t *payload, size_t size,
@@ -153,10 +162,13 @@
 				const wwh_member_summary_t *summary,
 				int64_t now_ms);
 
-/* Says that this process leaves, at once, to a few; repeat it by ticks. */
+/*
+ * Announces to up to three members that this process leaves. Further ticks
+ * repeat the announcement.
+ */
 void wwh_membership_leave(wwh_membership_t *membership, int64_t now_ms);
 
-/* Others by index, in the order of their ids. */
+/* The other members by index, sorted by id. */
 int32_t wwh_membership_count(const wwh_membership_t *membership);
 void wwh_membership_at(const wwh_membership_t *membership, int32_t index,
 		       wwh_member_t *member);
@@ -164,15 +176,18 @@
 				    wwh_member_status_t status);
 
 /*
- * The newest configuration version that anybody has, and the address of one
- * that has it ("" when it is this process itself).
+ * Returns the newest known configuration version and the address of a process
+ * that has it ("" for this process itself).
  */
 int64_t wwh_membership_newest_config(const wwh_membership_t *membership,
 				     const char **address);
 
-/* Nothing was heard from anybody for three rounds, though others are known. */
-bool wwh_membership_isolated(const wwh_membership_t *membership,
-			     int64_t now_ms);
+/*
+ * Returns true when other members are known, but none of them was heard from
+ * for three rounds.
+ */
+bool wwh_membership_is_isolated(const wwh_membership_t *membership,
+				int64_t now_ms);
 
 const wwh_membership_stats_t *
 wwh_membership_stats(const wwh_membership_t *membership);
--- a/src/libwaxwinghollow/membership.c
+++ b/src/libwaxwinghollow/membership.c
@@ -5,7 +5,7 @@
 
 #include "private/membership_private.h"
 
-#define REFRESH_MS 30000
+#define SUMMARY_REFRESH_MS 30000
 #define LOAD_STEP_PERMILLE 100
 
 const char *const wwh_member_status_names[WWH_MEMBER_STATUS_COUNT] = {
@@ -15,7 +15,7 @@
 	"dead",
 };
 
-static void judge_all(wwh_membership_t *membership, int64_t now_ms);
+static void update_all_statuses(wwh_membership_t *membership, int64_t now_ms);
 
 void wwh_membership_options_defaults(wwh_membership_options_t *options)
 {
@@ -24,9 +24,9 @@
 		.zone = "",
 		.region = "",
 		.round_ms = 1000,
-		.ack_ms = 400,
-		.suspect_ms = 4000,
-		.forget_ms = 600000,
+		.ack_timeout_ms = 400,
+		.suspicion_timeout_ms = 4000,
+		.retention_ms = 600000,
 		.message_bytes = 1200,
 	};
 }
@@ -52,9 +52,10 @@
 	for (int i = 0; options->seeds != NULL && options->seeds[i] != NULL;
 	     i++)
 		g_ptr_array_add(membership->seeds, g_strdup(options->seeds[i]));
-	membership->own_seeds = membership->seeds->len;
+	membership->configured_seed_count = membership->seeds->len;
 	membership->newest_address = g_strdup("");
-	membership->pending = g_array_new(FALSE, TRUE, sizeof(wwh_probe_t));
+	membership->pending_probes =
+		g_array_new(FALSE, TRUE, sizeof(wwh_probe_t));
 	membership->round = g_rand_int_range(rand, 0, 8);
 	return membership;
 }
@@ -63,8 +64,8 @@
 {
 	if (membership == NULL)
 		return;
-	wwh_members_forget_probes(membership);
-	g_array_unref(membership->pending);
+	wwh_members_cancel_probes(membership);
+	g_array_unref(membership->pending_probes);
 	g_free(membership->newest_address);
 	g_ptr_array_unref(membership->seeds);
 	g_ptr_array_unref(membership->rows);
@@ -75,13 +76,14 @@
 void wwh_membership_list_begin(wwh_membership_t *membership)
 {
 	membership->list_number++;
-	g_ptr_array_set_size(membership->seeds, (gint)membership->own_seeds);
+	g_ptr_array_set_size(membership->seeds,
+			     (gint)membership->configured_seed_count);
 }
 
 void wwh_membership_list_host(wwh_membership_t *membership,
 			      const wwh_host_t *host, int64_t now_ms)
 {
-	wwh_row_t *row;
+	wwh_member_row_t *row;
 
 	(void)now_ms;
 	if (host->kind != WWH_HOST_ENTRY ||
@@ -98,21 +100,24 @@
 	row->listed_gone = !row->listed;
 }
 
-/* One that was on the list and isn't any more is gone, if the list is whole. */
-void wwh_membership_list_end(wwh_membership_t *membership, bool whole,
+/*
+ * A member that was listed before and is absent now is gone, but only if the
+ * list is complete.
+ */
+void wwh_membership_list_end(wwh_membership_t *membership, bool is_complete,
 			     int64_t now_ms)
 {
 	for (guint i = 0; i < membership->rows->len; i++) {
-		wwh_row_t *row = membership->rows->pdata[i];
+		wwh_member_row_t *row = membership->rows->pdata[i];
 
-		if (whole && row->listed &&
+		if (is_complete && row->listed &&
 		    row->list_number != membership->list_number) {
 			row->listed = false;
 			row->listed_gone = true;
 		}
-		if (row->listed_gone && !wwh_members_gone(row))
-			row->confirm = true;
-		wwh_members_judge(membership, row, now_ms);
+		if (row->listed_gone && !wwh_members_is_dead_or_left(row))
+			row->probe_soon = true;
+		wwh_members_update_status(membership, row, now_ms);
 	}
 }
 
@@ -121,56 +126,58 @@
 	int64_t gap_ms = now_ms - membership->last_tick_ms;
 
 	/*
-	 * A process that was stopped for a while finds all its probes without
-	 * answer: it would take everybody for dead. It is the one that was
-	 * away, so it starts to observe anew.
+	 * After a pause of this process all its probes have timed out without
+	 * an answer, and it would suspect everybody. The pause is the cause,
+	 * so the probes are discarded.
 	 */
 	if (membership->last_tick_ms == 0 ||
 	    gap_ms > membership->options.round_ms) {
 		if (membership->last_tick_ms != 0)
 			membership->stats.pauses++;
-		wwh_members_forget_probes(membership);
-		membership->heard_ms = now_ms;
+		wwh_members_cancel_probes(membership);
+		membership->last_contact_ms = now_ms;
 		membership->next_round_ms = now_ms;
 	}
 	membership->last_tick_ms = now_ms;
 	wwh_members_check_probes(membership, now_ms);
-	if (membership->tell_newest) {
-		membership->tell_newest = false;
-		wwh_members_tell_some(membership, 3, now_ms);
+	if (membership->announce_newest) {
+		membership->announce_newest = false;
+		wwh_members_send_updates(membership, 3, now_ms);
 	}
 	if (now_ms < membership->next_round_ms)
 		return;
 	membership->next_round_ms = now_ms + membership->options.round_ms;
-	judge_all(membership, now_ms);
-	wwh_members_round(membership, now_ms);
+	update_all_statuses(membership, now_ms);
+	wwh_members_run_round(membership, now_ms);
 }
 
 void wwh_membership_set_summary(wwh_membership_t *membership,
 				const wwh_member_summary_t *summary,
 				int64_t now_ms)
 {
-	wwh_row_t *self = membership->self;
-	bool news = summary->config_version != self->summary.config_version ||
-		    ABS(summary->load_permille - self->summary.load_permille) >=
-			    LOAD_STEP_PERMILLE ||
-		    now_ms - self->status_ms >= REFRESH_MS;
+	wwh_member_row_t *self = membership->self;
+	bool is_update_due =
+		summary->config_version != self->summary.config_version ||
+		ABS(summary->load_permille - self->summary.load_permille) >=
+			LOAD_STEP_PERMILLE ||
+		now_ms - self->status_ms >= SUMMARY_REFRESH_MS;
 
-	if (!news)
+	if (!is_update_due)
 		return;
 	self->summary = *summary;
 	self->status_ms = now_ms;
 	self->sequence++;
-	self->spread_brief = WWH_BRIEF_SPREAD;
-	wwh_members_learn_newest(membership, summary->config_version, "",
-				 now_ms);
+	self->summary_transmits_left = WWH_SUMMARY_TRANSMITS;
+	wwh_members_record_newest_config(membership, summary->config_version,
+					 "", now_ms);
 }
 
 void wwh_membership_leave(wwh_membership_t *membership, int64_t now_ms)
 {
 	membership->self->left = true;
-	membership->self->spread_fact = wwh_members_spread(membership);
-	wwh_members_tell_some(membership, 3, now_ms);
+	membership->self->fact_transmits_left =
+		wwh_members_transmit_limit(membership);
+	wwh_members_send_updates(membership, 3, now_ms);
 }
 
 int32_t wwh_membership_count(const wwh_membership_t *membership)
@@ -181,7 +188,7 @@
 void wwh_membership_at(const wwh_membership_t *membership, int32_t index,
 		       wwh_member_t *member)
 {
-	const wwh_row_t *row = membership->rows->pdata[index];
+	const wwh_member_row_t *row = membership->rows->pdata[index];
 
 	*member = (wwh_member_t){
 		.id = row->id,
@@ -201,7 +208,7 @@
 	int32_t found = 0;
 
 	for (guint i = 0; i < membership->rows->len; i++) {
-		const wwh_row_t *row = membership->rows->pdata[i];
+		const wwh_member_row_t *row = membership->rows->pdata[i];
 
 		if (row->status == status)
 			found++;
@@ -216,9 +223,10 @@
 	return membership->newest_version;
 }
 
-bool wwh_membership_isolated(const wwh_membership_t *membership, int64_t now_ms)
+bool wwh_membership_is_isolated(const wwh_membership_t *membership,
+				int64_t now_ms)
 {
-	return wwh_members_isolated(membership, now_ms);
+	return wwh_members_is_isolated(membership, now_ms);
 }
 
 const wwh_membership_stats_t *
@@ -227,15 +235,15 @@
 	return &membership->stats;
 }
 
-static void judge_all(wwh_membership_t *membership, int64_t now_ms)
+static void update_all_statuses(wwh_membership_t *membership, int64_t now_ms)
 {
 	for (guint i = membership->rows->len; i > 0; i--) {
-		wwh_row_t *row = membership->rows->pdata[i - 1];
+		wwh_member_row_t *row = membership->rows->pdata[i - 1];
 
 		if (row->status != WWH_MEMBER_ALIVE || row->observers->len > 0)
-			wwh_members_judge(membership, row, now_ms);
-		if (wwh_members_gone(row) && !row->listed &&
-		    now_ms - row->status_ms > membership->options.forget_ms)
+			wwh_members_update_status(membership, row, now_ms);
+		if (wwh_members_is_dead_or_left(row) && !row->listed &&
+		    now_ms - row->status_ms > membership->options.retention_ms)
 			g_ptr_array_remove_index(membership->rows, i - 1);
 	}
 }
--- a/src/libwaxwinghollow/membership_codec.c
+++ b/src/libwaxwinghollow/membership_codec.c
@@ -7,12 +7,12 @@
 #define DEPTH 3
 #define FIELDS 14
 #define FACT_FIELDS 7
-#define BRIEF_FIELDS 7
+#define SUMMARY_FIELDS 7
 #define OBSERVATION_FIELDS 4
-#define WORD_FIELDS 2
-#define ASKED_FIELDS 1
+#define LEAVING_REPORT_FIELDS 2
+#define SUMMARY_REQUEST_FIELDS 1
 
-/* Reads the fields of one array in order; fails for good at the first fault. */
+/* Reads the fields of an array in order. After an error all reads fail. */
 typedef struct {
 	const msgpack_object *next;
 	const msgpack_object *end;
@@ -27,17 +27,18 @@
 static void pack_summary(msgpack_packer *packer,
 			 const wwh_member_summary_t *summary);
 static bool read_message(cursor_t *cursor, wwh_gossip_t *message);
-static const msgpack_object *take(cursor_t *cursor, msgpack_object_type type);
-static uint64_t take_number(cursor_t *cursor, uint64_t max);
-static const char *take_text(cursor_t *cursor, bool may_be_empty);
-static bool take_flag(cursor_t *cursor);
-static void take_list(cursor_t *cursor, uint32_t fields, read_item_t read,
+static const msgpack_object *next_object(cursor_t *cursor,
+					 msgpack_object_type type);
+static uint64_t read_number(cursor_t *cursor, uint64_t max);
+static const char *read_text(cursor_t *cursor, bool may_be_empty);
+static bool read_flag(cursor_t *cursor);
+static void read_list(cursor_t *cursor, uint32_t fields, read_item_t read,
 		      GArray *items);
 static void read_fact(cursor_t *cursor, void *item);
-static void read_brief(cursor_t *cursor, void *item);
+static void read_summary_update(cursor_t *cursor, void *item);
 static void read_observation(cursor_t *cursor, void *item);
-static void read_word(cursor_t *cursor, void *item);
-static void read_asked(cursor_t *cursor, void *item);
+static void read_leaving_report(cursor_t *cursor, void *item);
+static void read_summary_request(cursor_t *cursor, void *item);
 
 void wwh_gossip_init(wwh_gossip_t *message, wwh_gossip_type_t type)
 {
@@ -48,21 +49,24 @@
 		.target_address = "",
 		.newest_address = "",
 		.facts = g_array_new(FALSE, TRUE, sizeof(wwh_fact_t)),
-		.briefs = g_array_new(FALSE, TRUE, sizeof(wwh_brief_t)),
+		.summaries =
+			g_array_new(FALSE, TRUE, sizeof(wwh_summary_update_t)),
 		.observations =
 			g_array_new(FALSE, TRUE, sizeof(wwh_observation_t)),
-		.words = g_array_new(FALSE, TRUE, sizeof(wwh_word_t)),
-		.asked = g_array_new(FALSE, TRUE, sizeof(wwh_asked_t)),
+		.leaving_reports =
+			g_array_new(FALSE, TRUE, sizeof(wwh_leaving_report_t)),
+		.summary_requests =
+			g_array_new(FALSE, TRUE, sizeof(wwh_summary_request_t)),
 	};
 }
 
 void wwh_gossip_clear(wwh_gossip_t *message)
 {
 	g_array_unref(message->facts);
-	g_array_unref(message->briefs);
+	g_array_unref(message->summaries);
 	g_array_unref(message->observations);
-	g_array_unref(message->words);
-	g_array_unref(message->asked);
+	g_array_unref(message->leaving_reports);
+	g_array_unref(message->summary_requests);
 }
 
 GByteArray *wwh_gossip_encode(const wwh_gossip_t *message)
@@ -81,8 +85,8 @@
 	pack_text(&packer, message->target_address);
 	msgpack_pack_int64(&packer, message->newest_version);
 	pack_text(&packer, message->newest_address);
-	msgpack_pack_int(&packer, message->wants_all ? 1 : 0);
-	msgpack_pack_uint32(&packer, message->known);
+	msgpack_pack_int(&packer, message->wants_full_state ? 1 : 0);
+	msgpack_pack_uint32(&packer, message->known_count);
 	pack_lists(&packer, message);
 	g_byte_array_append(bytes, (const guint8 *)buffer.data,
 			    (guint)buffer.size);
@@ -91,21 +95,20 @@
 }
 
 wwh_status_t wwh_gossip_decode(const uint8_t *data, size_t size,
-			       wwh_gossip_take_t take_message,
-			       void *client_data)
+			       wwh_gossip_handler_t handle, void *client_data)
 {
 	wwh_status_t status = WWH_STATUS_BAD_INPUT;
 	msgpack_unpacked unpacked;
 	wwh_gossip_t message;
 	cursor_t cursor = { 0 };
-	size_t at = 0;
+	size_t offset = 0;
 
 	if (!wwh_msgpack_bounded(data, size, DEPTH))
 		return status;
 	wwh_gossip_init(&message, WWH_GOSSIP_PING);
 	cursor.texts = g_ptr_array_new_with_free_func(g_free);
 	msgpack_unpacked_init(&unpacked);
-	if (msgpack_unpack_next(&unpacked, (const char *)data, size, &at) ==
+	if (msgpack_unpack_next(&unpacked, (const char *)data, size, &offset) ==
 		    MSGPACK_UNPACK_SUCCESS &&
 	    unpacked.data.type == MSGPACK_OBJECT_ARRAY &&
 	    unpacked.data.via.array.size == FIELDS) {
@@ -113,7 +116,7 @@
 		cursor.end = cursor.next + FIELDS;
 		if (read_message(&cursor, &message)) {
 			status = WWH_STATUS_OK;
-			take_message(&message, client_data);
+			handle(&message, client_data);
 		}
 	}
 	msgpack_unpacked_destroy(&unpacked);
@@ -146,16 +149,16 @@
 		pack_text(packer, fact->region);
 		msgpack_pack_int(packer, fact->left ? 1 : 0);
 	}
-	msgpack_pack_array(packer, message->briefs->len);
-	for (guint i = 0; i < message->briefs->len; i++) {
-		const wwh_brief_t *brief =
-			&g_array_index(message->briefs, wwh_brief_t, i);
-
-		msgpack_pack_array(packer, BRIEF_FIELDS);
-		pack_text(packer, brief->id);
-		msgpack_pack_uint32(packer, brief->tag);
-		msgpack_pack_uint32(packer, brief->sequence);
-		pack_summary(packer, &brief->summary);
+	msgpack_pack_array(packer, message->summaries->len);
+	for (guint i = 0; i < message->summaries->len; i++) {
+		const wwh_summary_update_t *update = &g_array_index(
+			message->summaries, wwh_summary_update_t, i);
+
+		msgpack_pack_array(packer, SUMMARY_FIELDS);
+		pack_text(packer, update->id);
+		msgpack_pack_uint32(packer, update->incarnation_tag);
+		msgpack_pack_uint32(packer, update->sequence);
+		pack_summary(packer, &update->summary);
 	}
 	msgpack_pack_array(packer, message->observations->len);
 	for (guint i = 0; i < message->observations->len; i++) {
@@ -168,20 +171,21 @@
 		msgpack_pack_uint32(packer, observation->refutation);
 		pack_text(packer, observation->observer);
 	}
-	msgpack_pack_array(packer, message->words->len);
-	for (guint i = 0; i < message->words->len; i++) {
-		const wwh_word_t *word =
-			&g_array_index(message->words, wwh_word_t, i);
-
-		msgpack_pack_array(packer, WORD_FIELDS);
-		pack_text(packer, word->minion);
-		msgpack_pack_int64(packer, word->age_ms);
+	msgpack_pack_array(packer, message->leaving_reports->len);
+	for (guint i = 0; i < message->leaving_reports->len; i++) {
+		const wwh_leaving_report_t *report = &g_array_index(
+			message->leaving_reports, wwh_leaving_report_t, i);
+
+		msgpack_pack_array(packer, LEAVING_REPORT_FIELDS);
+		pack_text(packer, report->minion);
+		msgpack_pack_int64(packer, report->age_ms);
 	}
-	msgpack_pack_array(packer, message->asked->len);
-	for (guint i = 0; i < message->asked->len; i++) {
-		msgpack_pack_array(packer, ASKED_FIELDS);
-		pack_text(packer,
-			  g_array_index(message->asked, wwh_asked_t, i).id);
+	msgpack_pack_array(packer, message->summary_requests->len);
+	for (guint i = 0; i < message->summary_requests->len; i++) {
+		msgpack_pack_array(packer, SUMMARY_REQUEST_FIELDS);
+		pack_text(packer, g_array_index(message->summary_requests,
+						wwh_summary_request_t, i)
+					  .id);
 	}
 }
 
@@ -196,26 +200,30 @@
 
 static bool read_message(cursor_t *cursor, wwh_gossip_t *message)
 {
-	message->type = (wwh_gossip_type_t)take_number(
+	message->type = (wwh_gossip_type_t)read_number(
 		cursor, WWH_GOSSIP_TYPE_COUNT - 1);
-	message->number = (uint32_t)take_number(cursor, UINT32_MAX);
-	message->from = take_text(cursor, false);
-	message->target = take_text(cursor, true);
-	message->target_address = take_text(cursor, true);
-	message->newest_version = (int64_t)take_number(cursor, INT64_MAX);
-	message->newest_address = take_text(cursor, true);
-	message->wants_all = take_flag(cursor);
-	message->known = (uint32_t)take_number(cursor, UINT32_MAX);
-	take_list(cursor, FACT_FIELDS, read_fact, message->facts);
-	take_list(cursor, BRIEF_FIELDS, read_brief, message->briefs);
-	take_list(cursor, OBSERVATION_FIELDS, read_observation,
+	message->number = (uint32_t)read_number(cursor, UINT32_MAX);
+	message->from = read_text(cursor, false);
+	message->target = read_text(cursor, true);
+	message->target_address = read_text(cursor, true);
+	message->newest_version = (int64_t)read_number(cursor, INT64_MAX);
+	message->newest_address = read_text(cursor, true);
+	message->wants_full_state = read_flag(cursor);
+	message->known_count = (uint32_t)read_number(cursor, UINT32_MAX);
+	read_list(cursor, FACT_FIELDS, read_fact, message->facts);
+	read_list(cursor, SUMMARY_FIELDS, read_summary_update,
+		  message->summaries);
+	read_list(cursor, OBSERVATION_FIELDS, read_observation,
 		  message->observations);
-	take_list(cursor, WORD_FIELDS, read_word, message->words);
-	take_list(cursor, ASKED_FIELDS, read_asked, message->asked);
+	read_list(cursor, LEAVING_REPORT_FIELDS, read_leaving_report,
+		  message->leaving_reports);
+	read_list(cursor, SUMMARY_REQUEST_FIELDS, read_summary_request,
+		  message->summary_requests);
 	return !cursor->failed;
 }
 
-static const msgpack_object *take(cursor_t *cursor, msgpack_object_type type)
+static const msgpack_object *next_object(cursor_t *cursor,
+					 msgpack_object_type type)
 {
 	const msgpack_object *object = cursor->next;
 
@@ -227,10 +235,10 @@
 	return object;
 }
 
-static uint64_t take_number(cursor_t *cursor, uint64_t max)
+static uint64_t read_number(cursor_t *cursor, uint64_t max)
 {
 	const msgpack_object *object =
-		take(cursor, MSGPACK_OBJECT_POSITIVE_INTEGER);
+		next_object(cursor, MSGPACK_OBJECT_POSITIVE_INTEGER);
 
 	if (object == NULL)
 		return 0;
@@ -239,10 +247,10 @@
 	return cursor->failed ? 0 : object->via.u64;
 }
 
-/* Never NULL; "" after a fault. */
-static const char *take_text(cursor_t *cursor, bool may_be_empty)
+/* Never returns NULL, but "" after an error. */
+static const char *read_text(cursor_t *cursor, bool may_be_empty)
 {
-	const msgpack_object *object = take(cursor, MSGPACK_OBJECT_STR);
+	const msgpack_object *object = next_object(cursor, MSGPACK_OBJECT_STR);
 	char *text;
 
 	if (object == NULL)
@@ -258,19 +266,19 @@
 	return text;
 }
 
-static bool take_flag(cursor_t *cursor)
+static bool read_flag(cursor_t *cursor)
 {
-	return take_number(cursor, 1) == 1;
+	return read_number(cursor, 1) == 1;
 }
 
-static void take_list(cursor_t *cursor, uint32_t fields, read_item_t read,
+static void read_list(cursor_t *cursor, uint32_t fields, read_item_t read,
 		      GArray *items)
 {
-	const msgpack_object *list = take(cursor, MSGPACK_OBJECT_ARRAY);
+	const msgpack_object *list = next_object(cursor, MSGPACK_OBJECT_ARRAY);
 
 	if (list == NULL)
 		return;
-	if (list->via.array.size > WWH_MESSAGE_FACTS_MAX) {
+	if (list->via.array.size > WWH_MESSAGE_ITEMS_MAX) {
 		cursor->failed = true;
 		return;
 	}
@@ -295,49 +303,51 @@
 {
 	wwh_fact_t *fact = item;
 
-	fact->id = take_text(cursor, false);
-	fact->incarnation = take_number(cursor, UINT64_MAX);
-	fact->refutation = (uint32_t)take_number(cursor, UINT32_MAX);
-	fact->address = take_text(cursor, false);
-	fact->zone = take_text(cursor, true);
-	fact->region = take_text(cursor, true);
-	fact->left = take_flag(cursor);
+	fact->id = read_text(cursor, false);
+	fact->incarnation = read_number(cursor, UINT64_MAX);
+	fact->refutation = (uint32_t)read_number(cursor, UINT32_MAX);
+	fact->address = read_text(cursor, false);
+	fact->zone = read_text(cursor, true);
+	fact->region = read_text(cursor, true);
+	fact->left = read_flag(cursor);
 }
 
-static void read_brief(cursor_t *cursor, void *item)
+static void read_summary_update(cursor_t *cursor, void *item)
 {
-	wwh_brief_t *brief = item;
-
-	brief->id = take_text(cursor, false);
-	brief->tag = (uint32_t)take_number(cursor, WWH_BRIEF_TAG_MASK);
-	brief->sequence = (uint32_t)take_number(cursor, UINT32_MAX);
-	brief->summary.config_version = (int64_t)take_number(cursor, INT64_MAX);
-	brief->summary.config_offset = (int64_t)take_number(cursor, INT64_MAX);
-	brief->summary.log_offset = (int64_t)take_number(cursor, INT64_MAX);
-	brief->summary.load_permille = (int32_t)take_number(cursor, INT32_MAX);
+	wwh_summary_update_t *update = item;
+
+	update->id = read_text(cursor, false);
+	update->incarnation_tag =
+		(uint32_t)read_number(cursor, WWH_INCARNATION_TAG_MASK);
+	update->sequence = (uint32_t)read_number(cursor, UINT32_MAX);
+	update->summary.config_version =
+		(int64_t)read_number(cursor, INT64_MAX);
+	update->summary.config_offset = (int64_t)read_number(cursor, INT64_MAX);
+	update->summary.log_offset = (int64_t)read_number(cursor, INT64_MAX);
+	update->summary.load_permille = (int32_t)read_number(cursor, INT32_MAX);
 }
 
 static void read_observation(cursor_t *cursor, void *item)
 {
 	wwh_observation_t *observation = item;
 
-	observation->target = take_text(cursor, false);
-	observation->incarnation = take_number(cursor, UINT64_MAX);
-	observation->refutation = (uint32_t)take_number(cursor, UINT32_MAX);
-	observation->observer = take_text(cursor, false);
+	observation->target = read_text(cursor, false);
+	observation->incarnation = read_number(cursor, UINT64_MAX);
+	observation->refutation = (uint32_t)read_number(cursor, UINT32_MAX);
+	observation->observer = read_text(cursor, false);
 }
 
-static void read_word(cursor_t *cursor, void *item)
+static void read_leaving_report(cursor_t *cursor, void *item)
 {
-	wwh_word_t *word = item;
+	wwh_leaving_report_t *report = item;
 
-	word->minion = take_text(cursor, false);
-	word->age_ms = (int64_t)take_number(cursor, INT64_MAX);
+	report->minion = read_text(cursor, false);
+	report->age_ms = (int64_t)read_number(cursor, INT64_MAX);
 }
 
-static void read_asked(cursor_t *cursor, void *item)
+static void read_summary_request(cursor_t *cursor, void *item)
 {
-	wwh_asked_t *asked = item;
+	wwh_summary_request_t *request = item;
 
-	asked->id = take_text(cursor, false);
+	request->id = read_text(cursor, false);
 }
--- a/src/libwaxwinghollow/membership_message.c
+++ b/src/libwaxwinghollow/membership_message.c
@@ -2,150 +2,164 @@
 
 #include "private/membership_private.h"
 
-#define OBSERVATION_AGAIN_MS 10000
-#define WORDS_MAX 16
-#define ASKED_MAX 24
-#define ASK_AFTER_MS 1000
-/* Bytes of the parts in MessagePack besides their strings. */
+#define OBSERVATION_RENEWAL_MS 10000
+#define LEAVING_REPORTS_MAX 16
+#define SUMMARY_REQUESTS_MAX 24
+#define SUMMARY_REQUEST_DELAY_MS 1000
+/* Encoded sizes of the parts without their strings. */
 #define HEADER_BYTES 40
 #define FACT_BYTES 22
-#define BRIEF_BYTES 32
+#define SUMMARY_BYTES 32
 #define OBSERVATION_BYTES 18
-#define WORD_BYTES 6
+#define LEAVING_REPORT_BYTES 6
 
-/* Fills a message up to the bytes that it may have. */
+/* Fills a message up to message_bytes. */
 typedef struct {
 	wwh_membership_t *membership;
 	wwh_gossip_t *message;
-	int64_t room;
-} filler_t;
+	int64_t bytes_left;
+} message_builder_t;
 
 static void send_message(wwh_membership_t *membership, const char *address,
 			 const wwh_gossip_t *message);
-static void add_fact(filler_t *filler, const wwh_row_t *row);
-static wwh_brief_t brief_of(const wwh_row_t *row);
-static void add_brief(filler_t *filler, const wwh_row_t *row);
-static void add_observation(filler_t *filler, const wwh_row_t *row,
-			    const char *observer);
-static void add_observations(filler_t *filler, const char *address);
-static void add_word(const char *minion, int64_t age_ms, void *client_data);
-static void add_news(filler_t *filler, wwh_row_t *row);
-static void add_one_in_turn(filler_t *filler);
-static void add_asked(filler_t *filler);
-static void add_everything(filler_t *filler);
-static void take_brief(wwh_membership_t *membership, const wwh_brief_t *brief);
-static void take_observation(wwh_membership_t *membership,
-			     const wwh_observation_t *observation,
-			     int64_t now_ms);
+static void add_fact(message_builder_t *builder, const wwh_member_row_t *row);
+static wwh_summary_update_t make_summary_update(const wwh_member_row_t *row);
+static void add_summary(message_builder_t *builder,
+			const wwh_member_row_t *row);
+static void add_observation(message_builder_t *builder,
+			    const wwh_member_row_t *row, const char *observer);
+static void add_observations(message_builder_t *builder, const char *address);
+static void add_leaving_report(const char *minion, int64_t age_ms,
+			       void *client_data);
+static void add_updates(message_builder_t *builder, wwh_member_row_t *row);
+static void add_next_member(message_builder_t *builder);
+static void add_summary_requests(message_builder_t *builder);
+static void add_full_state(message_builder_t *builder);
+static void apply_summary_update(wwh_membership_t *membership,
+				 const wwh_summary_update_t *update);
+static void apply_observation(wwh_membership_t *membership,
+			      const wwh_observation_t *observation,
+			      int64_t now_ms);
 static void refute(wwh_membership_t *membership,
 		   const wwh_observation_t *observation);
-static void count_word(const char *minion, int64_t age_ms, void *client_data);
+static void count_leaving_report(const char *minion, int64_t age_ms,
+				 void *client_data);
 
-void wwh_members_tell(wwh_membership_t *membership, const char *address,
-		      wwh_gossip_t *message, bool everything, int64_t now_ms)
+void wwh_members_send(wwh_membership_t *membership, const char *address,
+		      wwh_gossip_t *message, bool full_state, int64_t now_ms)
 {
-	filler_t filler = { membership, message,
-			    membership->options.message_bytes - HEADER_BYTES };
-	wwh_row_t *self = membership->self;
+	message_builder_t builder = { membership, message,
+				      membership->options.message_bytes -
+					      HEADER_BYTES };
+	wwh_member_row_t *self = membership->self;
 
 	message->from = self->id;
-	message->known = wwh_members_known(membership);
+	message->known_count = wwh_members_count_known(membership);
 	message->newest_version = membership->newest_version;
 	message->newest_address = membership->newest_address[0] == '\0'
 					  ? self->address
 					  : membership->newest_address;
-	add_fact(&filler, self);
-	if (self->spread_brief > 0 || everything) {
-		self->spread_brief = MAX(0, self->spread_brief - 1);
-		add_brief(&filler, self);
+	add_fact(&builder, self);
+	if (self->summary_transmits_left > 0 || full_state) {
+		self->summary_transmits_left =
+			MAX(0, self->summary_transmits_left - 1);
+		add_summary(&builder, self);
 	}
-	if (self->spread_fact > 0)
-		self->spread_fact--;
-	add_observations(&filler, address);
+	if (self->fact_transmits_left > 0)
+		self->fact_transmits_left--;
+	add_observations(&builder, address);
 	if (membership->options.leaving != NULL)
 		wwh_leaving_foreach_answer(membership->options.leaving, now_ms,
-					   add_word, &filler);
-	if (everything) {
-		add_everything(&filler);
+					   add_leaving_report, &builder);
+	if (full_state) {
+		add_full_state(&builder);
 	} else {
 		for (guint i = 0; i < membership->rows->len; i++)
-			add_news(&filler, membership->rows->pdata[i]);
-		add_one_in_turn(&filler);
+			add_updates(&builder, membership->rows->pdata[i]);
+		add_next_member(&builder);
 		if (message->type == WWH_GOSSIP_PING &&
-		    now_ms - membership->newest_ms > ASK_AFTER_MS)
-			add_asked(&filler);
+		    now_ms - membership->newest_learned_ms >
+			    SUMMARY_REQUEST_DELAY_MS)
+			add_summary_requests(&builder);
 	}
 	send_message(membership, address, message);
 }
 
-void wwh_members_take_parts(wwh_membership_t *membership,
-			    const wwh_gossip_t *message, int64_t now_ms)
+void wwh_members_apply_message(wwh_membership_t *membership,
+			       const wwh_gossip_t *message, int64_t now_ms)
 {
 	for (guint i = 0; i < message->facts->len; i++)
-		wwh_members_take_fact(
+		wwh_members_apply_fact(
 			membership,
 			&g_array_index(message->facts, wwh_fact_t, i), now_ms);
-	for (guint i = 0; i < message->briefs->len; i++)
-		take_brief(membership,
-			   &g_array_index(message->briefs, wwh_brief_t, i));
+	for (guint i = 0; i < message->summaries->len; i++)
+		apply_summary_update(membership,
+				     &g_array_index(message->summaries,
+						    wwh_summary_update_t, i));
 	for (guint i = 0; i < message->observations->len; i++)
-		take_observation(membership,
-				 &g_array_index(message->observations,
-						wwh_observation_t, i),
-				 now_ms);
-	for (guint i = 0;
-	     membership->options.leaving != NULL && i < message->words->len;
+		apply_observation(membership,
+				  &g_array_index(message->observations,
+						 wwh_observation_t, i),
+				  now_ms);
+	for (guint i = 0; membership->options.leaving != NULL &&
+			  i < message->leaving_reports->len;
 	     i++) {
-		const wwh_word_t *word =
-			&g_array_index(message->words, wwh_word_t, i);
+		const wwh_leaving_report_t *report = &g_array_index(
+			message->leaving_reports, wwh_leaving_report_t, i);
 
 		wwh_leaving_record_report(membership->options.leaving,
-					  word->minion, message->from,
-					  word->age_ms, now_ms);
+					  report->minion, message->from,
+					  report->age_ms, now_ms);
 	}
-	wwh_members_learn_newest(membership, message->newest_version,
-				 message->newest_address, now_ms);
-	membership->others_know = MAX(membership->others_know, message->known);
+	wwh_members_record_newest_config(membership, message->newest_version,
+					 message->newest_address, now_ms);
+	membership->max_peer_known_count =
+		MAX(membership->max_peer_known_count, message->known_count);
 }
 
-void wwh_members_answer_asked(const wwh_membership_t *membership,
-			      wwh_gossip_t *reply, const wwh_gossip_t *request)
+void wwh_members_answer_summary_requests(const wwh_membership_t *membership,
+					 wwh_gossip_t *reply,
+					 const wwh_gossip_t *request)
 {
-	for (guint i = 0; i < MIN(request->asked->len, ASKED_MAX); i++) {
-		const wwh_row_t *row = wwh_members_find(
-			membership,
-			g_array_index(request->asked, wwh_asked_t, i).id);
-		wwh_brief_t brief;
+	for (guint i = 0;
+	     i < MIN(request->summary_requests->len, SUMMARY_REQUESTS_MAX);
+	     i++) {
+		const wwh_member_row_t *row = wwh_members_find(
+			membership, g_array_index(request->summary_requests,
+						  wwh_summary_request_t, i)
+					    .id);
+		wwh_summary_update_t update;
 
 		if (row == NULL)
 			continue;
-		brief = brief_of(row);
-		g_array_append_val(reply->briefs, brief);
+		update = make_summary_update(row);
+		g_array_append_val(reply->summaries, update);
 	}
 }
 
-bool wwh_members_have_news(const wwh_membership_t *membership, int64_t now_ms)
+bool wwh_members_has_updates(const wwh_membership_t *membership, int64_t now_ms)
 {
-	const wwh_row_t *self = membership->self;
-	int32_t words = 0;
+	const wwh_member_row_t *self = membership->self;
+	int32_t reports = 0;
 
-	if (self->spread_fact > 0 || self->spread_brief > 0)
+	if (self->fact_transmits_left > 0 || self->summary_transmits_left > 0)
 		return true;
 	for (guint i = 0; i < membership->rows->len; i++) {
-		const wwh_row_t *row = membership->rows->pdata[i];
+		const wwh_member_row_t *row = membership->rows->pdata[i];
 
-		if (row->spread_fact > 0 || row->spread_brief > 0 ||
-		    row->spread_observed > 0)
+		if (row->fact_transmits_left > 0 ||
+		    row->summary_transmits_left > 0 ||
+		    row->observation_transmits_left > 0)
 			return true;
 		for (guint k = 0; k < row->observers->len; k++)
 			if (g_array_index(row->observers, wwh_observer_t, k)
-				    .spread > 0)
+				    .transmits_left > 0)
 				return true;
 	}
 	if (membership->options.leaving != NULL)
 		wwh_leaving_foreach_answer(membership->options.leaving, now_ms,
-					   count_word, &words);
-	return words > 0;
+					   count_leaving_report, &reports);
+	return reports > 0;
 }
 
 static void send_message(wwh_membership_t *membership, const char *address,
@@ -160,7 +174,7 @@
 	g_byte_array_unref(bytes);
 }
 
-static void add_fact(filler_t *filler, const wwh_row_t *row)
+static void add_fact(message_builder_t *builder, const wwh_member_row_t *row)
 {
 	wwh_fact_t fact = {
 		.id = row->id,
@@ -172,32 +186,32 @@
 		.left = row->left,
 	};
 
-	g_array_append_val(filler->message->facts, fact);
-	filler->room -=
+	g_array_append_val(builder->message->facts, fact);
+	builder->bytes_left -=
 		(int64_t)(FACT_BYTES + strlen(row->id) + strlen(row->address) +
 			  strlen(row->zone) + strlen(row->region));
 }
 
-static wwh_brief_t brief_of(const wwh_row_t *row)
+static wwh_summary_update_t make_summary_update(const wwh_member_row_t *row)
 {
-	return (wwh_brief_t){
+	return (wwh_summary_update_t){
 		.id = row->id,
-		.tag = row->incarnation & WWH_BRIEF_TAG_MASK,
+		.incarnation_tag = row->incarnation & WWH_INCARNATION_TAG_MASK,
 		.sequence = row->sequence,
 		.summary = row->summary,
 	};
 }
 
-static void add_brief(filler_t *filler, const wwh_row_t *row)
+static void add_summary(message_builder_t *builder, const wwh_member_row_t *row)
 {
-	wwh_brief_t brief = brief_of(row);
+	wwh_summary_update_t update = make_summary_update(row);
 
-	g_array_append_val(filler->message->briefs, brief);
-	filler->room -= (int64_t)(BRIEF_BYTES + strlen(row->id));
+	g_array_append_val(builder->message->summaries, update);
+	builder->bytes_left -= (int64_t)(SUMMARY_BYTES + strlen(row->id));
 }
 
-static void add_observation(filler_t *filler, const wwh_row_t *row,
-			    const char *observer)
+static void add_observation(message_builder_t *builder,
+			    const wwh_member_row_t *row, const char *observer)
 {
 	wwh_observation_t observation = {
 		.target = row->id,
@@ -206,141 +220,150 @@
 		.observer = observer,
 	};
 
-	g_array_append_val(filler->message->observations, observation);
-	filler->room -= (int64_t)(OBSERVATION_BYTES + strlen(row->id) +
-				  strlen(observer));
+	g_array_append_val(builder->message->observations, observation);
+	builder->bytes_left -= (int64_t)(OBSERVATION_BYTES + strlen(row->id) +
+					 strlen(observer));
 }
 
 /*
- * The one that is spoken to is told of its own case in any event: only its
- * objection can end it early. Observations from outside of the target's
- * region decide nothing and aren't spread.
+ * The recipient always receives the observations of itself, as only its own
+ * refutation can end a suspicion early. Observations from outside of the
+ * target's region can't make it dead and aren't sent to others.
  */
-static void add_observations(filler_t *filler, const char *address)
+static void add_observations(message_builder_t *builder, const char *address)
 {
-	const char *self_id = filler->membership->self->id;
+	const char *self_id = builder->membership->self->id;
 
-	for (guint i = 0; i < filler->membership->rows->len; i++) {
-		wwh_row_t *row = filler->membership->rows->pdata[i];
-		bool spoken_to = strcmp(row->address, address) == 0;
+	for (guint i = 0; i < builder->membership->rows->len; i++) {
+		wwh_member_row_t *row = builder->membership->rows->pdata[i];
+		bool is_recipient = strcmp(row->address, address) == 0;
 
-		if (row->observed_ms != 0 && filler->room > 0 &&
-		    (row->spread_observed > 0 || spoken_to)) {
-			row->spread_observed = MAX(0, row->spread_observed - 1);
-			add_observation(filler, row, self_id);
+		if (row->observed_ms != 0 && builder->bytes_left > 0 &&
+		    (row->observation_transmits_left > 0 || is_recipient)) {
+			row->observation_transmits_left =
+				MAX(0, row->observation_transmits_left - 1);
+			add_observation(builder, row, self_id);
 		}
 		for (guint k = 0; k < row->observers->len; k++) {
 			wwh_observer_t *observer = &g_array_index(
 				row->observers, wwh_observer_t, k);
 
-			if (filler->room <= 0 ||
-			    (observer->spread == 0 && !spoken_to))
+			if (builder->bytes_left <= 0 ||
+			    (observer->transmits_left == 0 && !is_recipient))
 				continue;
-			observer->spread = MAX(0, observer->spread - 1);
-			add_observation(filler, row, observer->id);
+			observer->transmits_left =
+				MAX(0, observer->transmits_left - 1);
+			add_observation(builder, row, observer->id);
 		}
 	}
 }
 
-static void add_word(const char *minion, int64_t age_ms, void *client_data)
+static void add_leaving_report(const char *minion, int64_t age_ms,
+			       void *client_data)
 {
-	filler_t *filler = client_data;
-	wwh_word_t word = { minion, age_ms };
+	message_builder_t *builder = client_data;
+	wwh_leaving_report_t report = { minion, age_ms };
 
-	if (filler->message->words->len >= WORDS_MAX || filler->room <= 0)
+	if (builder->message->leaving_reports->len >= LEAVING_REPORTS_MAX ||
+	    builder->bytes_left <= 0)
 		return;
-	g_array_append_val(filler->message->words, word);
-	filler->room -= (int64_t)(WORD_BYTES + strlen(minion));
+	g_array_append_val(builder->message->leaving_reports, report);
+	builder->bytes_left -= (int64_t)(LEAVING_REPORT_BYTES + strlen(minion));
 }
 
-static void add_news(filler_t *filler, wwh_row_t *row)
+static void add_updates(message_builder_t *builder, wwh_member_row_t *row)
 {
-	if (filler->room > 0 && row->spread_fact > 0) {
-		row->spread_fact--;
-		add_fact(filler, row);
+	if (builder->bytes_left > 0 && row->fact_transmits_left > 0) {
+		row->fact_transmits_left--;
+		add_fact(builder, row);
 	}
-	if (filler->room > 0 && row->spread_brief > 0) {
-		row->spread_brief--;
-		add_brief(filler, row);
+	if (builder->bytes_left > 0 && row->summary_transmits_left > 0) {
+		row->summary_transmits_left--;
+		add_summary(builder, row);
 	}
 }
 
-/* For whoever missed the news of it. */
-static void add_one_in_turn(filler_t *filler)
+/* Repeats one member in rotation, for recipients that missed its updates. */
+static void add_next_member(message_builder_t *builder)
 {
-	wwh_membership_t *membership = filler->membership;
-	const wwh_row_t *row;
+	wwh_membership_t *membership = builder->membership;
+	const wwh_member_row_t *row;
 
-	if (membership->rows->len == 0 || filler->room <= 0)
+	if (membership->rows->len == 0 || builder->bytes_left <= 0)
 		return;
-	membership->next_fact =
-		(membership->next_fact + 1) % membership->rows->len;
-	row = membership->rows->pdata[membership->next_fact];
-	if (wwh_members_gone(row))
+	membership->next_member =
+		(membership->next_member + 1) % membership->rows->len;
+	row = membership->rows->pdata[membership->next_member];
+	if (wwh_members_is_dead_or_left(row))
 		return;
-	add_fact(filler, row);
-	add_brief(filler, row);
+	add_fact(builder, row);
+	add_summary(builder, row);
 }
 
 /*
- * Random spreading leaves a few without a few summaries. Those that seem to
- * be behind the newest version are asked for; mostly only the news is missing.
+ * With random recipients, a few processes miss a few summaries. This requests
+ * the summaries of members that seem to have an old configuration version;
+ * mostly they have the newest, and only their summary is missing here.
  */
-static void add_asked(filler_t *filler)
+static void add_summary_requests(message_builder_t *builder)
 {
-	wwh_membership_t *membership = filler->membership;
+	wwh_membership_t *membership = builder->membership;
 
 	for (guint i = 0; i < membership->rows->len; i++) {
-		const wwh_row_t *row;
-		wwh_asked_t asked;
+		const wwh_member_row_t *row;
+		wwh_summary_request_t request;
 
-		if (filler->message->asked->len == ASKED_MAX)
+		if (builder->message->summary_requests->len ==
+		    SUMMARY_REQUESTS_MAX)
 			return;
-		membership->next_asked =
-			(membership->next_asked + 1) % membership->rows->len;
-		row = membership->rows->pdata[membership->next_asked];
+		membership->next_summary_request =
+			(membership->next_summary_request + 1) %
+			membership->rows->len;
+		row = membership->rows->pdata[membership->next_summary_request];
 		if (row->status != WWH_MEMBER_ALIVE ||
 		    row->summary.config_version >= membership->newest_version)
 			continue;
-		asked.id = row->id;
-		g_array_append_val(filler->message->asked, asked);
+		request.id = row->id;
+		g_array_append_val(builder->message->summary_requests, request);
 	}
 }
 
-static void add_everything(filler_t *filler)
+static void add_full_state(message_builder_t *builder)
 {
-	GPtrArray *rows = filler->membership->rows;
+	GPtrArray *rows = builder->membership->rows;
 
 	for (guint i = 0; i < rows->len; i++) {
-		const wwh_row_t *row = rows->pdata[i];
+		const wwh_member_row_t *row = rows->pdata[i];
 
-		if (wwh_members_gone(row) ||
-		    filler->message->facts->len >= WWH_MESSAGE_FACTS_MAX)
+		if (wwh_members_is_dead_or_left(row) ||
+		    builder->message->facts->len >= WWH_MESSAGE_ITEMS_MAX)
 			continue;
-		add_fact(filler, row);
-		add_brief(filler, row);
+		add_fact(builder, row);
+		add_summary(builder, row);
 	}
 }
 
-static void take_brief(wwh_membership_t *membership, const wwh_brief_t *brief)
+static void apply_summary_update(wwh_membership_t *membership,
+				 const wwh_summary_update_t *update)
 {
-	wwh_row_t *row = wwh_members_find(membership, brief->id);
+	wwh_member_row_t *row = wwh_members_find(membership, update->id);
 
 	if (row == NULL ||
-	    brief->tag != (row->incarnation & WWH_BRIEF_TAG_MASK) ||
-	    brief->sequence <= row->sequence)
+	    update->incarnation_tag !=
+		    (row->incarnation & WWH_INCARNATION_TAG_MASK) ||
+	    update->sequence <= row->sequence)
 		return;
-	row->sequence = brief->sequence;
-	row->summary = brief->summary;
-	row->spread_brief = WWH_BRIEF_SPREAD;
+	row->sequence = update->sequence;
+	row->summary = update->summary;
+	row->summary_transmits_left = WWH_SUMMARY_TRANSMITS;
 }
 
-static void take_observation(wwh_membership_t *membership,
-			     const wwh_observation_t *observation,
-			     int64_t now_ms)
+static void apply_observation(wwh_membership_t *membership,
+			      const wwh_observation_t *observation,
+			      int64_t now_ms)
 {
-	wwh_row_t *row;
-	wwh_observer_t observer = { .seen_ms = now_ms };
+	wwh_member_row_t *row;
+	wwh_observer_t observer = { .reported_ms = now_ms };
 
 	if (strcmp(observation->target, membership->self->id) == 0)
 		refute(membership, observation);
@@ -350,46 +373,48 @@
 	    strcmp(observation->observer, membership->self->id) == 0)
 		return;
 	for (guint i = 0; i < row->observers->len; i++) {
-		wwh_observer_t *known =
+		wwh_observer_t *existing =
 			&g_array_index(row->observers, wwh_observer_t, i);
 
-		if (strcmp(known->id, observation->observer) != 0)
+		if (strcmp(existing->id, observation->observer) != 0)
 			continue;
-		/* Sooner, it is the same observation told by another. */
-		if (now_ms - known->seen_ms >= OBSERVATION_AGAIN_MS) {
-			known->seen_ms = now_ms;
-			known->spread = wwh_members_spread(membership);
+		/* Before that, it is the same observation, relayed by another. */
+		if (now_ms - existing->reported_ms >= OBSERVATION_RENEWAL_MS) {
+			existing->reported_ms = now_ms;
+			existing->transmits_left =
+				wwh_members_transmit_limit(membership);
 		}
 		return;
 	}
 	if (row->observers->len >= WWH_OBSERVERS_MAX)
 		return;
 	observer.id = g_strdup(observation->observer);
-	observer.spread = wwh_members_spread(membership);
+	observer.transmits_left = wwh_members_transmit_limit(membership);
 	g_array_append_val(row->observers, observer);
-	row->confirm = row->observed_ms == 0 &&
-		       wwh_members_same_region(membership, row);
-	wwh_members_judge(membership, row, now_ms);
+	row->probe_soon = row->observed_ms == 0 &&
+			  wwh_members_is_same_region(membership, row);
+	wwh_members_update_status(membership, row, now_ms);
 }
 
 static void refute(wwh_membership_t *membership,
 		   const wwh_observation_t *observation)
 {
-	wwh_row_t *self = membership->self;
+	wwh_member_row_t *self = membership->self;
 
 	if (observation->incarnation != self->incarnation ||
 	    observation->refutation < self->refutation || self->left)
 		return;
 	self->refutation = observation->refutation + 1;
-	self->spread_fact = wwh_members_spread(membership);
+	self->fact_transmits_left = wwh_members_transmit_limit(membership);
 	membership->stats.refutations++;
 }
 
-static void count_word(const char *minion, int64_t age_ms, void *client_data)
+static void count_leaving_report(const char *minion, int64_t age_ms,
+				 void *client_data)
 {
-	int32_t *words = client_data;
+	int32_t *reports = client_data;
 
 	(void)minion;
 	(void)age_ms;
-	(*words)++;
+	(*reports)++;
 }
--- a/src/test_gossip_tcp/test_gossip_tcp.c
+++ b/src/test_gossip_tcp/test_gossip_tcp.c
@@ -11,9 +11,9 @@
 
 #define NODES 5
 #define TICK_US 10000
-#define PATIENCE_US (30 * G_USEC_PER_SEC)
+#define TIMEOUT_US (30 * G_USEC_PER_SEC)
 
-/* A membership over real connections, with a thread that ticks it. */
+/* A membership over TCP connections, with a thread that ticks it. */
 typedef struct {
 	char id[8];
 	char *address;
@@ -53,7 +53,7 @@
 	g_mutex_unlock(&node->lock);
 }
 
-static gpointer run(gpointer data)
+static gpointer run_ticks(gpointer data)
 {
 	node_t *node = data;
 
@@ -86,8 +86,8 @@
 	members.region = "r";
 	members.seeds = seeds;
 	members.round_ms = 200;
-	members.ack_ms = 100;
-	members.suspect_ms = 800;
+	members.ack_timeout_ms = 100;
+	members.suspicion_timeout_ms = 800;
 	node->membership =
 		wwh_membership_new(&members, node->rand, send_frame, node);
 	wwh_peer_options_defaults(&peers);
@@ -98,7 +98,7 @@
 	peers.client_data = node;
 	node->peer = wwh_peer_new(&peers);
 	assert_int_equal(wwh_peer_init(node->peer, NULL), WWH_STATUS_OK);
-	node->thread = g_thread_new("tick", run, node);
+	node->thread = g_thread_new("tick", run_ticks, node);
 }
 
 static void stop(node_t *node)
@@ -116,11 +116,11 @@
 	g_free(node->address);
 }
 
-/* Waits until each node that runs counts so many others as status. */
+/* Waits until each running node has exactly count members of the status. */
 static void wait_counts(node_t *nodes, wwh_member_status_t status,
 			int32_t count)
 {
-	int64_t end = g_get_monotonic_time() + PATIENCE_US;
+	int64_t end = g_get_monotonic_time() + TIMEOUT_US;
 
 	for (int32_t i = 0; i < NODES; i++) {
 		int32_t found = -1;
@@ -138,7 +138,7 @@
 
 static void wait_newest(node_t *nodes, int64_t version)
 {
-	int64_t end = g_get_monotonic_time() + PATIENCE_US;
+	int64_t end = g_get_monotonic_time() + TIMEOUT_US;
 
 	for (int32_t i = 0; i < NODES; i++) {
 		const char *address;
@@ -156,11 +156,11 @@
 }
 
 /*
- * Five processes' worth of peers and memberships over real connections find
- * each other from one address, learn of a new version, and find one that
- * stopped without a word.
+ * Five memberships, connected by TCP, find each other from one seed, receive a
+ * new configuration version, and detect a member that stopped without
+ * announcing its leave.
  */
-static void members_over_real_connections(void **unused)
+static void members_over_tcp_connections(void **unused)
 {
 	node_t nodes[NODES] = { 0 };
 	wwh_member_summary_t summary = { .config_version = 7 };
@@ -187,7 +187,7 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(members_over_real_connections),
+		cmocka_unit_test(members_over_tcp_connections),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
