--- a/include/waxwinghollow/lease_keeper.h
+++ b/include/waxwinghollow/lease_keeper.h
@@ -37,11 +37,11 @@
  *	Renewals go out at a third of the duration, so two may be lost.
  *
  * ORDER OF CALLS
- *	wwh_lease_keeper_new; then in each round: wwh_lease_keeper_members when
+ *	wwh_lease_keeper_new; then in each round: wwh_lease_keeper_set_members when
  *	they changed, wwh_lease_keeper_observe for every shard,
  *	wwh_lease_keeper_begin_round, wwh_lease_keeper_decide until it returns false, carrying out each
  *	action and reporting a renewal or take that was accepted by
- *	wwh_lease_keeper_confirmed; wwh_lease_keeper_delete. Not thread safe.
+ *	wwh_lease_keeper_confirm; wwh_lease_keeper_delete. Not thread safe.
  */
 
 #include <stdbool.h>
@@ -82,14 +82,14 @@
 void wwh_lease_keeper_delete(wwh_lease_keeper_t *keeper);
 
 /* rank: this process's place among count members, from 0. */
-void wwh_lease_keeper_members(wwh_lease_keeper_t *keeper, int32_t rank,
-			      int32_t count);
+void wwh_lease_keeper_set_members(wwh_lease_keeper_t *keeper, int32_t rank,
+				  int32_t count);
 
 /*
  * Only leases of shards that have work are taken: bit n is the n-th shard. All
  * are wanted at first.
  */
-void wwh_lease_keeper_wanted(wwh_lease_keeper_t *keeper, uint64_t shards);
+void wwh_lease_keeper_set_wanted(wwh_lease_keeper_t *keeper, uint64_t shards);
 
 /* The log could not be read: what was seen missing is seen anew. */
 void wwh_lease_keeper_log_gap(wwh_lease_keeper_t *keeper, int64_t now_ms);
@@ -111,8 +111,8 @@
 			     wwh_lease_action_t *action);
 
 /* A take or renewal that was begun at began_ms was accepted. */
-void wwh_lease_keeper_confirmed(wwh_lease_keeper_t *keeper, int32_t shard,
-				int64_t began_ms);
+void wwh_lease_keeper_confirm(wwh_lease_keeper_t *keeper, int32_t shard,
+			      int64_t began_ms);
 
 /*
  * Whether this process may act on the lease at now_ms, and until when. The
@@ -120,7 +120,8 @@
  */
 bool wwh_lease_keeper_holds(const wwh_lease_keeper_t *keeper, int64_t now_ms,
 			    int32_t shard, int64_t *until_ms);
-int32_t wwh_lease_keeper_held(const wwh_lease_keeper_t *keeper, int64_t now_ms);
+int32_t wwh_lease_keeper_held_count(const wwh_lease_keeper_t *keeper,
+				    int64_t now_ms);
 int32_t wwh_lease_keeper_target(const wwh_lease_keeper_t *keeper);
 
 #endif
--- a/include/waxwinghollow/shard_claim.h
+++ b/include/waxwinghollow/shard_claim.h
@@ -47,8 +47,9 @@
 	WWH_SHARD_NOT_HELD = 404, /* never, or by a process before this one */
 	WWH_SHARD_YIELDS = 409, /* held, and handed over when asked for */
 	WWH_SHARD_HANDED_OVER = 410, /* no order of this process is out */
-	WWH_SHARD_HANDED_OVER_EARLY = 425, /* the same, but orders to hosts */
-	WWH_SHARD_UNSURE = 503, /* claimed, or held without the store */
+	WWH_SHARD_HANDED_OVER_ORDERS_PENDING =
+		425, /* the same, but orders to hosts */
+	WWH_SHARD_UNCONFIRMED = 503, /* claimed, or held without the store */
 } wwh_shard_answer_t;
 
 typedef struct {
@@ -59,7 +60,7 @@
 	bool others_at_work; /* the holder before was silent, not ended */
 	bool others_ended; /* it was found ended, and hadn't given up */
 	bool inherits_load; /* it gave up or was silent, maybe by its load */
-} wwh_held_t;
+} wwh_shard_holding_t;
 
 typedef struct {
 	wwh_http_calls_t *calls;
@@ -75,10 +76,10 @@
 	 * A process with little processor time: it joins the group only when
 	 * no holder has answered for a while.
 	 */
-	bool reluctant;
+	bool is_standby;
 	wwh_bad_records_t *bad_records; /* NULL: they aren't told */
 	/* The shard is held; held and its records live during the call. */
-	void (*on_held)(const wwh_held_t *held, void *client_data);
+	void (*on_held)(const wwh_shard_holding_t *held, void *client_data);
 	/* NULL: nobody holds it. */
 	void (*on_holder)(const char *address, int64_t epoch,
 			  void *client_data);
@@ -102,29 +103,29 @@
 bool wwh_shard_claim_in_progress(const wwh_shard_claim_t *claim);
 
 /* The claim was lost to another or isn't wanted any more. */
-void wwh_shard_claim_lost(wwh_shard_claim_t *claim, int64_t now_ms);
+void wwh_shard_claim_handle_loss(wwh_shard_claim_t *claim, int64_t now_ms);
 
 /*
  * The same, and the process that asked for the shard is to claim it first: this
  * one leaves it alone for a while.
  */
-void wwh_shard_claim_handed_over(wwh_shard_claim_t *claim, int64_t now_ms);
+void wwh_shard_claim_handle_handover(wwh_shard_claim_t *claim, int64_t now_ms);
 
 /*
  * Whether this process, which holds the shard, leaves it to others: the group
  * then names another one, which asks for it, and this one stays out of the
  * group for a while.
  */
-void wwh_shard_claim_leave_to_others(wwh_shard_claim_t *claim, bool leave,
-				     int64_t now_ms);
+void wwh_shard_claim_set_withdrawn(wwh_shard_claim_t *claim, bool leave,
+				   int64_t now_ms);
 
 /*
  * For a stop that was announced: others may claim at once; this process
  * won't any more.
  */
-void wwh_shard_claim_give_up(wwh_shard_claim_t *claim, int64_t now_ms);
+void wwh_shard_claim_release(wwh_shard_claim_t *claim, int64_t now_ms);
 
 /* Whether the notice of giving up, and leaving the group, is settled. */
-bool wwh_shard_claim_given_up(const wwh_shard_claim_t *claim);
+bool wwh_shard_claim_is_released(const wwh_shard_claim_t *claim);
 
 #endif
--- a/include/waxwinghollow/shard_journal.h
+++ b/include/waxwinghollow/shard_journal.h
@@ -16,7 +16,7 @@
  *	be stored or not.
  *
  * ORDER OF CALLS
- *	wwh_shard_journal_new; wwh_shard_journal_keep and
+ *	wwh_shard_journal_new; wwh_shard_journal_append and
  *	wwh_shard_journal_run by the thread of its http_calls;
  *	wwh_shard_journal_delete, also from within a callback.
  */
@@ -31,8 +31,8 @@
 	const char *producer;
 	int64_t epoch;
 	int64_t next_sequence;
-	int64_t call_bytes; /* of one call, at most */
-	int64_t group_ms; /* records that nobody waits for wait this long */
+	int64_t max_call_bytes; /* of one call, at most */
+	int64_t batch_delay_ms; /* records that nobody waits for wait this long */
 	void (*on_durable)(int64_t record, void *client_data);
 	void (*on_lost)(const char *why, void *client_data);
 	void *client_data;
@@ -45,15 +45,15 @@
 void wwh_shard_journal_delete(wwh_shard_journal_t *journal);
 
 /* value NULL drops the key. urgent: somebody waits for it. */
-int64_t wwh_shard_journal_keep(wwh_shard_journal_t *journal, const char *key,
-			       GBytes *value, bool urgent, int64_t now_ms);
+int64_t wwh_shard_journal_append(wwh_shard_journal_t *journal, const char *key,
+				 GBytes *value, bool urgent, int64_t now_ms);
 void wwh_shard_journal_run(wwh_shard_journal_t *journal, int64_t now_ms);
 
 /*
  * Drops a record that is in no call so far: it is surely not stored and never
  * will be. False: it was sent, and may be stored.
  */
-bool wwh_shard_journal_take_back(wwh_shard_journal_t *journal, int64_t number);
+bool wwh_shard_journal_discard(wwh_shard_journal_t *journal, int64_t number);
 
 /* When the last append that succeeded was sent: the claim held then. */
 int64_t wwh_shard_journal_confirmed_ms(const wwh_shard_journal_t *journal);
@@ -63,10 +63,11 @@
 				 int64_t now_ms);
 
 /* How long the last append took that succeeded. */
-int64_t wwh_shard_journal_took_ms(const wwh_shard_journal_t *journal);
+int64_t
+wwh_shard_journal_last_append_duration_ms(const wwh_shard_journal_t *journal);
 
 /* When a call that failed was sent last; 0: none has. */
-int64_t wwh_shard_journal_failed_ms(const wwh_shard_journal_t *journal);
+int64_t wwh_shard_journal_last_failure_ms(const wwh_shard_journal_t *journal);
 
 /* The last call got no answer, or one that says that it had no effect. */
 bool wwh_shard_journal_failing(const wwh_shard_journal_t *journal);
--- a/include/waxwinghollow/store_follower.h
+++ b/include/waxwinghollow/store_follower.h
@@ -35,7 +35,7 @@
 	const char *topic;
 	int32_t part;
 	int64_t wait_ms; /* of a read */
-	int64_t gap_ms; /* between two reads; 0: none */
+	int64_t read_interval_ms; /* between two reads; 0: none */
 	/*
 	 * value NULL: the key was dropped. size 0 and a value: the key is
 	 * there, and its value can't be read.
@@ -43,7 +43,8 @@
 	void (*on_record)(const char *key, const uint8_t *value, size_t size,
 			  void *client_data);
 	/* A record without a key that can be read; may be NULL. */
-	void (*on_nameless)(int64_t offset, const char *why, void *client_data);
+	void (*on_unreadable_key)(int64_t offset, const char *why,
+				  void *client_data);
 	/* All that was there when it began has been reported. */
 	void (*on_caught_up)(void *client_data);
 	/* The store answers, or doesn't, as against the time before. */
@@ -71,6 +72,6 @@
 bool wwh_store_follower_failing(const wwh_store_follower_t *follower);
 
 /* It is reading all keys: what it has reported is partly old. */
-bool wwh_store_follower_reading_all(const wwh_store_follower_t *follower);
+bool wwh_store_follower_in_full_read(const wwh_store_follower_t *follower);
 
 #endif
--- a/src/libwaxwinghollow/entry_shards.c
+++ b/src/libwaxwinghollow/entry_shards.c
@@ -70,7 +70,7 @@
 	    2 * entry->settings->log_read_timeout_ms)
 		wwh_lease_keeper_log_gap(shards->keeper, now_ms);
 	set_rank(shards);
-	wwh_lease_keeper_wanted(shards->keeper, wanted_shards(shards));
+	wwh_lease_keeper_set_wanted(shards->keeper, wanted_shards(shards));
 	for (int32_t i = 0; i < WWH_SHARD_POOLS; i++) {
 		wwh_lease_view_t view;
 
@@ -86,7 +86,7 @@
 			break;
 	}
 	wwh_counter_set(shards->held,
-			wwh_lease_keeper_held(shards->keeper, now_ms));
+			wwh_lease_keeper_held_count(shards->keeper, now_ms));
 }
 
 /* False when the log doesn't answer: the others would fare no better. */
@@ -115,8 +115,8 @@
 		return false;
 	if (submitted.verdict == WWH_VERDICT_ACCEPTED &&
 	    action->kind != WWH_LEASE_RELEASE)
-		wwh_lease_keeper_confirmed(shards->keeper, action->shard,
-					   began_ms);
+		wwh_lease_keeper_confirm(shards->keeper, action->shard,
+					 began_ms);
 	return true;
 }
 
@@ -140,5 +140,5 @@
 	int32_t count;
 	int32_t rank = wwh_entry_peers_rank(shards->entry->peers, &count);
 
-	wwh_lease_keeper_members(shards->keeper, rank, count);
+	wwh_lease_keeper_set_members(shards->keeper, rank, count);
 }
--- a/src/libwaxwinghollow/job_holder.c
+++ b/src/libwaxwinghollow/job_holder.c
@@ -96,9 +96,9 @@
 		.endpoint = options->settings->store,
 		.topic = WIRE_TOPIC_UPSTREAMS,
 		.wait_ms = UPSTREAMS_WAIT_MS,
-		.gap_ms = UPSTREAMS_GAP_MS,
+		.read_interval_ms = UPSTREAMS_GAP_MS,
 		.on_record = job_holder_on_upstream,
-		.on_nameless = job_holder_on_keyless_upstream,
+		.on_unreadable_key = job_holder_on_keyless_upstream,
 		.on_reach = on_store_reachable,
 		.client_data = holder,
 	};
@@ -174,7 +174,8 @@
 void wwh_job_holder_apply_wave(wwh_job_holder_t *holder, const char *key,
 			       const uint8_t *value, size_t size)
 {
-	wwh_wave_order_t *order = wire_operator_wave(key, value, size, NULL);
+	wwh_wave_order_t *order =
+		wire_operator_parse_wave(key, value, size, NULL);
 
 	if (order != NULL)
 		wwh_host_duties_add_wave(holder->duties, order, holder->now_ms);
@@ -329,14 +330,14 @@
 	/* the first start at an upstream waits for this record */
 	bool urgent = holder->urgent ||
 		      (kind == WWH_SCHEDULER_RECORD_UPSTREAM && value != NULL);
-	int64_t number = wwh_shard_journal_keep(holder->journal, journal_key,
-						value, urgent, holder->now_ms);
+	int64_t number = wwh_shard_journal_append(
+		holder->journal, journal_key, value, urgent, holder->now_ms);
 
 	/* an unreadable record of this key is replaced now */
 	if (value == NULL)
-		wwh_bad_records_gone(holder->bad_records, journal_key);
+		wwh_bad_records_mark_removed(holder->bad_records, journal_key);
 	else
-		wwh_bad_records_whole(holder->bad_records, journal_key);
+		wwh_bad_records_mark_readable(holder->bad_records, journal_key);
 	g_free(journal_key);
 	return number;
 }
@@ -359,8 +360,9 @@
 		.producer = holder->options.producer,
 		.epoch = holder->options.epoch,
 		.next_sequence = holder->options.next_sequence,
-		.call_bytes = holder->options.settings->store_call_max_bytes,
-		.group_ms = RECORD_GROUP_MS,
+		.max_call_bytes =
+			holder->options.settings->store_call_max_bytes,
+		.batch_delay_ms = RECORD_GROUP_MS,
 		.on_durable = on_durable,
 		.on_lost = on_journal_lost,
 		.client_data = holder,
@@ -476,8 +478,8 @@
 				holder->scheduler, kind, key + 1, data, size,
 				holder->now_ms, holder->wall_ms, &message);
 		if (!ok)
-			wwh_bad_records_found(holder->bad_records, key,
-					      message.text);
+			wwh_bad_records_mark_unreadable(holder->bad_records,
+							key, message.text);
 	}
 }
 
@@ -541,8 +543,8 @@
 {
 	if (suspended && holder->unconfirmed_since_ms == 0) {
 		holder->unconfirmed_since_ms = holder->now_ms;
-		(void)wwh_shard_journal_keep(holder->journal, CONFIRM_KEY, NULL,
-					     true, holder->now_ms);
+		(void)wwh_shard_journal_append(holder->journal, CONFIRM_KEY,
+					       NULL, true, holder->now_ms);
 	}
 	return holder->unconfirmed_since_ms == 0;
 }
@@ -582,6 +584,6 @@
 	}
 	if (holder->now_ms - confirmed_ms >= CONFIRM_PERIOD_MS &&
 	    wwh_shard_journal_lag_ms(holder->journal, holder->now_ms) == 0)
-		(void)wwh_shard_journal_keep(holder->journal, CONFIRM_KEY, NULL,
-					     true, holder->now_ms);
+		(void)wwh_shard_journal_append(holder->journal, CONFIRM_KEY,
+					       NULL, true, holder->now_ms);
 }
--- a/src/libwaxwinghollow/job_holder_requests.c
+++ b/src/libwaxwinghollow/job_holder_requests.c
@@ -130,7 +130,7 @@
 			int64_t record)
 {
 	if (!wwh_scheduler_job_is_discardable(holder->scheduler, job) ||
-	    !wwh_shard_journal_take_back(holder->journal, record))
+	    !wwh_shard_journal_discard(holder->journal, record))
 		return false;
 	wwh_scheduler_discard_job(holder->scheduler, job);
 	return true;
@@ -158,7 +158,8 @@
 {
 	int64_t limit_ms =
 		MAX(STALLED_AFTER_MS,
-		    SLOW_APPENDS * wwh_shard_journal_took_ms(holder->journal));
+		    SLOW_APPENDS * wwh_shard_journal_last_append_duration_ms(
+					   holder->journal));
 
 	if (wwh_shard_journal_refused(holder->journal))
 		limit_ms = REFUSED_STALLED_AFTER_MS;
--- a/src/libwaxwinghollow/job_holder_starts.c
+++ b/src/libwaxwinghollow/job_holder_starts.c
@@ -18,7 +18,7 @@
 
 	if (store_is_unreachable(holder))
 		holder->store_unreachable_ms =
-			wwh_shard_journal_failed_ms(holder->journal);
+			wwh_shard_journal_last_failure_ms(holder->journal);
 	known_ms = MAX(wwh_store_follower_complete_ms(holder->upstreams),
 		       holder->store_unreachable_ms);
 	holder->starts_allowed_until_ms =
--- a/src/libwaxwinghollow/job_service_events.c
+++ b/src/libwaxwinghollow/job_service_events.c
@@ -39,7 +39,7 @@
 static void apply_config(wwh_job_service_t *service, const char *key,
 			 const uint8_t *value, size_t size);
 static void on_store_reachability(bool reached, const char *why, void *data);
-static void on_shard_held(const wwh_held_t *held, void *data);
+static void on_shard_held(const wwh_shard_holding_t *held, void *data);
 static void on_shard_lost(const char *why, void *data);
 static void on_holder_changed(const char *address, int64_t epoch, void *data);
 static void log_claim_event(const char *event, const char *detail, void *data);
@@ -56,8 +56,8 @@
 		.group = GROUP,
 		.self = service->own_address,
 		.producer = PRODUCER,
-		.reluctant = service->settings.cpu_permille <
-			     HOLDER_MIN_CPU_PERMILLE,
+		.is_standby = service->settings.cpu_permille <
+			      HOLDER_MIN_CPU_PERMILLE,
 		.member_ttl_ms =
 			MAX(MEMBER_TTL_MS, service->settings.member_ttl_min_ms),
 		.bad_records = service->bad_claims,
@@ -72,7 +72,7 @@
 		.topic = WIRE_TOPIC_OPERATOR,
 		.wait_ms = OPERATOR_READ_WAIT_MS,
 		.on_record = on_operator_record,
-		.on_nameless = on_unkeyed_record,
+		.on_unreadable_key = on_unkeyed_record,
 		.on_reach = on_store_reachability,
 		.client_data = service,
 	};
@@ -87,10 +87,11 @@
 	wwh_job_service_t *service = data;
 
 	if (value == NULL)
-		wwh_bad_records_gone(service->bad_operator_records, key);
-	else if (wire_operator_is_config(key))
+		wwh_bad_records_mark_removed(service->bad_operator_records,
+					     key);
+	else if (wire_operator_is_config_key(key))
 		apply_config(service, key, value, size);
-	else if (wire_operator_is_wave(key))
+	else if (wire_operator_is_wave_key(key))
 		apply_wave(service, key, value, size);
 }
 
@@ -99,7 +100,8 @@
 	wwh_job_service_t *service = data;
 	char *key = g_strdup_printf("(offset %" G_GINT64_FORMAT ")", offset);
 
-	wwh_bad_records_found(service->bad_operator_records, key, why);
+	wwh_bad_records_mark_unreadable(service->bad_operator_records, key,
+					why);
 	g_free(key);
 }
 
@@ -108,15 +110,16 @@
 		       const uint8_t *value, size_t size)
 {
 	wwh_message_t why;
-	wwh_wave_order_t *order = wire_operator_wave(key, value, size, &why);
+	wwh_wave_order_t *order =
+		wire_operator_parse_wave(key, value, size, &why);
 
 	if (order == NULL) {
-		wwh_bad_records_found(service->bad_operator_records, key,
-				      why.text);
+		wwh_bad_records_mark_unreadable(service->bad_operator_records,
+						key, why.text);
 		return;
 	}
 	wwh_wave_order_delete(order);
-	wwh_bad_records_whole(service->bad_operator_records, key);
+	wwh_bad_records_mark_readable(service->bad_operator_records, key);
 	g_hash_table_replace(service->waves, g_strdup(key),
 			     g_bytes_new(value, size));
 	if (service->holder != NULL)
@@ -132,16 +135,16 @@
 			 const uint8_t *value, size_t size)
 {
 	wwh_message_t why = { "version isn't a number above 0" };
-	wwh_job_config_t *config = wire_operator_config(
+	wwh_job_config_t *config = wire_operator_parse_config(
 		value, size, service->settings.checks_keys, &why);
 	bool newer;
 
 	if (config == NULL) {
-		wwh_bad_records_found(service->bad_operator_records, key,
-				      why.text);
+		wwh_bad_records_mark_unreadable(service->bad_operator_records,
+						key, why.text);
 		return;
 	}
-	wwh_bad_records_whole(service->bad_operator_records, key);
+	wwh_bad_records_mark_readable(service->bad_operator_records, key);
 	g_mutex_lock(&service->lock);
 	newer = service->config == NULL ||
 		config->version > service->config->version;
@@ -172,7 +175,7 @@
 			     "operator", "result=%s", why);
 }
 
-static void on_shard_held(const wwh_held_t *held, void *data)
+static void on_shard_held(const wwh_shard_holding_t *held, void *data)
 {
 	wwh_job_service_t *service = data;
 	wwh_job_holder_options_t options = {
@@ -216,7 +219,8 @@
 	wwh_job_service_t *service = data;
 
 	if (job_service_detach_holder(service, why))
-		wwh_shard_claim_lost(service->claim, job_service_now_ms());
+		wwh_shard_claim_handle_loss(service->claim,
+					    job_service_now_ms());
 }
 
 bool job_service_detach_holder(wwh_job_service_t *service, const char *why)
--- a/src/libwaxwinghollow/job_service_loop.c
+++ b/src/libwaxwinghollow/job_service_loop.c
@@ -177,10 +177,10 @@
 		service->detached_holder = g_steal_pointer(&service->holder);
 	}
 	if (stopping && service->holder == NULL)
-		wwh_shard_claim_give_up(service->claim, now_ms);
-	wwh_shard_claim_leave_to_others(service->claim,
-					wwh_loop_lag_is_host_slow(service->lag),
-					now_ms);
+		wwh_shard_claim_release(service->claim, now_ms);
+	wwh_shard_claim_set_withdrawn(service->claim,
+				      wwh_loop_lag_is_host_slow(service->lag),
+				      now_ms);
 	hand_over_if_requested(service, now_ms);
 	wwh_shard_claim_run(service->claim, now_ms);
 	if (service->detached_holder != NULL) {
@@ -243,7 +243,7 @@
 	    now_ms - service->handover_requested_ms < limit_ms)
 		return;
 	(void)job_service_detach_holder(service, "handed-over");
-	wwh_shard_claim_handed_over(service->claim, now_ms);
+	wwh_shard_claim_handle_handover(service->claim, now_ms);
 	service->handover_requested_ms = 0;
 	g_mutex_lock(&service->lock);
 	service->handover_requested = false;
@@ -324,5 +324,5 @@
 {
 	return service->holder == NULL &&
 	       g_hash_table_size(service->forwards) == 0 &&
-	       wwh_shard_claim_given_up(service->claim);
+	       wwh_shard_claim_is_released(service->claim);
 }
--- a/src/libwaxwinghollow/lease_keeper.c
+++ b/src/libwaxwinghollow/lease_keeper.c
@@ -91,15 +91,15 @@
 	g_free(keeper);
 }
 
-void wwh_lease_keeper_members(wwh_lease_keeper_t *keeper, int32_t rank,
-			      int32_t count)
+void wwh_lease_keeper_set_members(wwh_lease_keeper_t *keeper, int32_t rank,
+				  int32_t count)
 {
 	g_assert(rank >= 0 && rank < count);
 	keeper->rank = rank;
 	keeper->members = count;
 }
 
-void wwh_lease_keeper_wanted(wwh_lease_keeper_t *keeper, uint64_t shards)
+void wwh_lease_keeper_set_wanted(wwh_lease_keeper_t *keeper, uint64_t shards)
 {
 	keeper->wanted = shards;
 }
@@ -168,8 +168,8 @@
 	return true;
 }
 
-void wwh_lease_keeper_confirmed(wwh_lease_keeper_t *keeper, int32_t shard,
-				int64_t began_ms)
+void wwh_lease_keeper_confirm(wwh_lease_keeper_t *keeper, int32_t shard,
+			      int64_t began_ms)
 {
 	lease_t *lease = lease_of(keeper, shard);
 
@@ -188,7 +188,8 @@
 	return lease->mine && !lease->surplus && now_ms < lease->until_ms;
 }
 
-int32_t wwh_lease_keeper_held(const wwh_lease_keeper_t *keeper, int64_t now_ms)
+int32_t wwh_lease_keeper_held_count(const wwh_lease_keeper_t *keeper,
+				    int64_t now_ms)
 {
 	int32_t count = 0;
 
--- a/src/libwaxwinghollow/shard_claim.c
+++ b/src/libwaxwinghollow/shard_claim.c
@@ -46,7 +46,7 @@
 		.part = options->notice_part,
 		.wait_ms = NOTICE_WAIT_MS,
 		.on_record = claim_on_notice,
-		.on_nameless = claim_on_nameless,
+		.on_unreadable_key = claim_on_nameless,
 		.client_data = claim,
 	};
 
@@ -106,7 +106,7 @@
 	       claim->state == CLAIM_CONFIRMING;
 }
 
-void wwh_shard_claim_lost(wwh_shard_claim_t *claim, int64_t now_ms)
+void wwh_shard_claim_handle_loss(wwh_shard_claim_t *claim, int64_t now_ms)
 {
 	claim->now_ms = now_ms;
 	stop_reading(claim);
@@ -123,14 +123,14 @@
 	claim->probe_sent_ms = now_ms;
 }
 
-void wwh_shard_claim_handed_over(wwh_shard_claim_t *claim, int64_t now_ms)
+void wwh_shard_claim_handle_handover(wwh_shard_claim_t *claim, int64_t now_ms)
 {
-	wwh_shard_claim_lost(claim, now_ms);
+	wwh_shard_claim_handle_loss(claim, now_ms);
 	claim->retry_ms = now_ms + LEFT_TO_SUCCESSOR_MS;
 }
 
-void wwh_shard_claim_leave_to_others(wwh_shard_claim_t *claim, bool leave,
-				     int64_t now_ms)
+void wwh_shard_claim_set_withdrawn(wwh_shard_claim_t *claim, bool leave,
+				   int64_t now_ms)
 {
 	bool has_left = now_ms < claim->left_until_ms;
 
@@ -144,7 +144,7 @@
 	leave_group(claim, on_left_to_others);
 }
 
-void wwh_shard_claim_give_up(wwh_shard_claim_t *claim, int64_t now_ms)
+void wwh_shard_claim_release(wwh_shard_claim_t *claim, int64_t now_ms)
 {
 	bool held = claim->state == CLAIM_HELD;
 
@@ -157,7 +157,7 @@
 	leave_group(claim, on_left);
 }
 
-bool wwh_shard_claim_given_up(const wwh_shard_claim_t *claim)
+bool wwh_shard_claim_is_released(const wwh_shard_claim_t *claim)
 {
 	return claim->state == CLAIM_GIVEN_UP && claim->leave_settled &&
 	       !claim->notice_pending;
@@ -184,7 +184,7 @@
 		.part = claim->options.journal_part,
 		.wait_ms = JOURNAL_WAIT_MS,
 		.on_record = on_journal,
-		.on_nameless = claim_on_nameless,
+		.on_unreadable_key = claim_on_nameless,
 		.client_data = claim,
 	};
 
@@ -260,8 +260,8 @@
 	}
 	writer.epoch = claim->epoch;
 	body = g_byte_array_new();
-	wire_store_pack(body, CLAIM_KEY, (const uint8_t *)claim->nonce,
-			strlen(claim->nonce));
+	wire_store_pack_record(body, CLAIM_KEY, (const uint8_t *)claim->nonce,
+			       strlen(claim->nonce));
 	call = wire_store_append(claim->store, claim->topic,
 				 claim->options.journal_part, &writer, body,
 				 APPEND_LIMIT_MS);
@@ -313,7 +313,7 @@
 {
 	GBytes *value = g_hash_table_lookup(claim->records, CLAIM_KEY);
 	GHashTable *records = claim->records;
-	wwh_held_t held;
+	wwh_shard_holding_t held;
 	int64_t epoch = 0;
 	const char *text;
 	gsize size = 0;
@@ -322,7 +322,7 @@
 	 * While all keys are read again, as the log was trimmed meanwhile,
 	 * the claim may be among those read and others still be old.
 	 */
-	if (value == NULL || wwh_store_follower_reading_all(claim->journal))
+	if (value == NULL || wwh_store_follower_in_full_read(claim->journal))
 		return;
 	text = g_bytes_get_data(value, &size);
 	if (claim_read_record((const uint8_t *)text, size, &epoch) &&
@@ -331,7 +331,7 @@
 			      "epoch=%" G_GINT64_FORMAT
 			      " other=%" G_GINT64_FORMAT,
 			      claim->epoch, epoch);
-		wwh_shard_claim_lost(claim, claim->now_ms);
+		wwh_shard_claim_handle_loss(claim, claim->now_ms);
 		return;
 	}
 	if (size != strlen(claim->nonce) ||
@@ -374,8 +374,8 @@
 			       claim->state == CLAIM_GIVEN_UP ? ""
 							      : claim->self);
 	body = g_byte_array_new();
-	wire_store_pack(body, CLAIM_NOTICE_KEY, (const uint8_t *)text,
-			strlen(text));
+	wire_store_pack_record(body, CLAIM_NOTICE_KEY, (const uint8_t *)text,
+			       strlen(text));
 	g_free(text);
 	call = wire_store_append(claim->store, claim->topic,
 				 claim->options.notice_part, &writer, body,
--- a/src/libwaxwinghollow/shard_claim_watch.c
+++ b/src/libwaxwinghollow/shard_claim_watch.c
@@ -11,7 +11,7 @@
 #define PROBE_EVERY_MS 400
 #define PROBE_LIMIT_MS 600
 
-/* The same for a reluctant process, and how long it leaves it to others. */
+/* The same for a is_standby process, and how long it leaves it to others. */
 #define RELUCTANT_PROBE_MS 1500
 #define RELUCTANT_MS 5000
 
@@ -148,7 +148,7 @@
  */
 static bool held_before_it_started(const wwh_shard_claim_t *claim)
 {
-	return !claim->options.reluctant && !claim->has_claimed &&
+	return !claim->options.is_standby && !claim->has_claimed &&
 	       g_strcmp0(claim->holder, claim->self) == 0;
 }
 
@@ -191,7 +191,7 @@
 {
 	bool has_left = claim->now_ms < claim->left_until_ms;
 
-	if (!claim->options.reluctant && !has_left)
+	if (!claim->options.is_standby && !has_left)
 		return true;
 	if (claim->state != CLAIM_WATCHING)
 		return !has_left;
@@ -295,7 +295,7 @@
 				: claim->probes_failed + 1;
 		claim->holder_gave_up = status == WWH_SHARD_HANDED_OVER;
 		claim->holder_orders_hosts =
-			status == WWH_SHARD_HANDED_OVER_EARLY;
+			status == WWH_SHARD_HANDED_OVER_ORDERS_PENDING;
 		claim->holder_ended = answer->outcome == WWH_CALL_REFUSED ||
 				      status == WWH_SHARD_NOT_HELD ||
 				      claim->holder_gave_up ||
@@ -341,7 +341,7 @@
 	    claim->now_ms - claim->proof_failed_ms < PROBE_SOON_MS)
 		return;
 	body = g_byte_array_new();
-	wire_store_pack(body, PROOF_KEY, NULL, 0);
+	wire_store_pack_record(body, PROOF_KEY, NULL, 0);
 	call = wire_store_append(claim->store, claim->topic,
 				 claim->options.journal_part, &plain, body,
 				 PROOF_LIMIT_MS);
--- a/src/libwaxwinghollow/shard_journal.c
+++ b/src/libwaxwinghollow/shard_journal.c
@@ -96,8 +96,8 @@
 	unref(journal);
 }
 
-int64_t wwh_shard_journal_keep(wwh_shard_journal_t *journal, const char *key,
-			       GBytes *value, bool urgent, int64_t now_ms)
+int64_t wwh_shard_journal_append(wwh_shard_journal_t *journal, const char *key,
+				 GBytes *value, bool urgent, int64_t now_ms)
 {
 	entry_t *entry = g_new0(entry_t, 1);
 
@@ -111,7 +111,7 @@
 	return entry->number;
 }
 
-bool wwh_shard_journal_take_back(wwh_shard_journal_t *journal, int64_t number)
+bool wwh_shard_journal_discard(wwh_shard_journal_t *journal, int64_t number)
 {
 	for (GList *at = journal->waiting->tail; at != NULL; at = at->prev) {
 		entry_t *entry = at->data;
@@ -153,7 +153,7 @@
 	return first == NULL ? 0 : now_ms - first->kept_ms;
 }
 
-int64_t wwh_shard_journal_failed_ms(const wwh_shard_journal_t *journal)
+int64_t wwh_shard_journal_last_failure_ms(const wwh_shard_journal_t *journal)
 {
 	return journal->failed_ms;
 }
@@ -163,7 +163,8 @@
 	return journal->failures > 0;
 }
 
-int64_t wwh_shard_journal_took_ms(const wwh_shard_journal_t *journal)
+int64_t
+wwh_shard_journal_last_append_duration_ms(const wwh_shard_journal_t *journal)
 {
 	return journal->took_ms;
 }
@@ -202,7 +203,7 @@
 
 	return first != NULL &&
 	       (journal->urgent ||
-		now_ms - first->kept_ms >= journal->options.group_ms);
+		now_ms - first->kept_ms >= journal->options.batch_delay_ms);
 }
 
 static void gather(wwh_shard_journal_t *journal)
@@ -222,11 +223,11 @@
 		if (journal->batch->len > 0 &&
 		    (int64_t)(journal->batch->len + size) +
 				    (int64_t)strlen(entry->key) + 8 >
-			    journal->options.call_bytes) {
+			    journal->options.max_call_bytes) {
 			journal->urgent = true;
 			return;
 		}
-		wire_store_pack(journal->batch, entry->key, value, size);
+		wire_store_pack_record(journal->batch, entry->key, value, size);
 		journal->batch_last = entry->number;
 		entry_delete(g_queue_pop_head(journal->waiting));
 	}
@@ -243,7 +244,7 @@
 		journal->endpoint, journal->topic, journal->options.part,
 		&writer, g_byte_array_ref(journal->batch), limit_ms(journal));
 
-	call->taken_first = true;
+	call->has_priority = true;
 	journal->in_flight = true;
 	journal->sent_us = g_get_monotonic_time();
 	journal->sent_ms = now_ms;
--- a/src/libwaxwinghollow/store_follower.c
+++ b/src/libwaxwinghollow/store_follower.c
@@ -109,7 +109,7 @@
 		call = wire_store_newest(follower->endpoint, follower->topic,
 					 follower->options.part,
 					 follower->after, NEWEST_LIMIT_MS);
-		call->taken_first = true;
+		call->has_priority = true;
 		wwh_http_calls_send(follower->options.calls, call, on_all,
 				    follower);
 		return;
@@ -118,7 +118,7 @@
 			       follower->options.part, follower->next,
 			       follower->read_kb, follower->options.wait_ms,
 			       follower->options.wait_ms + ANSWER_LIMIT_MS);
-	call->taken_first = true;
+	call->has_priority = true;
 	wwh_http_calls_send(follower->options.calls, call, on_read, follower);
 }
 
@@ -127,7 +127,7 @@
 	return follower->caught_up;
 }
 
-bool wwh_store_follower_reading_all(const wwh_store_follower_t *follower)
+bool wwh_store_follower_in_full_read(const wwh_store_follower_t *follower)
 {
 	return follower->reading_all;
 }
@@ -224,8 +224,8 @@
 		if (next >= end) {
 			follower->complete_ms =
 				answered_as_of(follower, has_records);
-			follower->retry_ms =
-				follower->sent_ms + follower->options.gap_ms;
+			follower->retry_ms = follower->sent_ms +
+					     follower->options.read_interval_ms;
 		}
 		if (!follower->deleted && is_far_behind(follower, end))
 			begin_all(follower);
@@ -292,8 +292,8 @@
 	if (follower->deleted)
 		return;
 	if (record->key == NULL) {
-		if (follower->options.on_nameless != NULL)
-			follower->options.on_nameless(
+		if (follower->options.on_unreadable_key != NULL)
+			follower->options.on_unreadable_key(
 				record->offset, record->why,
 				follower->options.client_data);
 		return;
--- a/src/test_lease_keeper/test_lease_keeper.c
+++ b/src/test_lease_keeper/test_lease_keeper.c
@@ -98,8 +98,8 @@
 				       &action)) {
 		if (append(fleet, process, &action) == WWH_VERDICT_ACCEPTED &&
 		    action.kind != WWH_LEASE_RELEASE)
-			wwh_lease_keeper_confirmed(keeper, action.shard,
-						   fleet->now_ms);
+			wwh_lease_keeper_confirm(keeper, action.shard,
+						 fleet->now_ms);
 	}
 }
 
@@ -128,13 +128,14 @@
 
 static int32_t held(fleet_t *fleet, int process)
 {
-	return wwh_lease_keeper_held(fleet->keepers[process], fleet->now_ms);
+	return wwh_lease_keeper_held_count(fleet->keepers[process],
+					   fleet->now_ms);
 }
 
 static void all_know(fleet_t *fleet, int32_t count)
 {
 	for (int i = 0; i < count; i++)
-		wwh_lease_keeper_members(fleet->keepers[i], i, count);
+		wwh_lease_keeper_set_members(fleet->keepers[i], i, count);
 }
 
 static void a_newcomer_gets_its_part(void **test_state)
@@ -167,8 +168,8 @@
 	all_know(fleet, 3);
 	run_rounds(fleet, 5000);
 	fleet->paused[0] = true;
-	wwh_lease_keeper_members(fleet->keepers[1], 0, 2);
-	wwh_lease_keeper_members(fleet->keepers[2], 1, 2);
+	wwh_lease_keeper_set_members(fleet->keepers[1], 0, 2);
+	wwh_lease_keeper_set_members(fleet->keepers[2], 1, 2);
 	run_rounds(fleet, 8000);
 	assert_int_equal(held(fleet, 1), 4);
 	assert_int_equal(held(fleet, 2), 4);
@@ -191,7 +192,7 @@
 	fleet->paused[2] = true;
 	run_rounds(fleet, 5000);
 	fleet->paused[0] = true;
-	wwh_lease_keeper_members(fleet->keepers[1], 0, 1);
+	wwh_lease_keeper_set_members(fleet->keepers[1], 0, 1);
 	fleet->now_ms += 60 * 1000;
 	wwh_lease_keeper_log_gap(fleet->keepers[1], fleet->now_ms);
 	observe_all(fleet, 1);
@@ -212,7 +213,7 @@
 	int32_t taken = 0;
 
 	for (int i = 0; i < PROCESSES; i++)
-		wwh_lease_keeper_wanted(fleet->keepers[i], 1);
+		wwh_lease_keeper_set_wanted(fleet->keepers[i], 1);
 	all_know(fleet, 3);
 	run_rounds(fleet, 1000);
 	assert_int_equal(held(fleet, 0), 1);
--- a/src/test_shard_claim/claim_fixture.h
+++ b/src/test_shard_claim/claim_fixture.h
@@ -36,7 +36,7 @@
 	char *holder; /* as the claim made it known */
 	int64_t holder_epoch;
 	char *lines; /* what it explained */
-	wwh_held_t held; /* epoch 0: not held */
+	wwh_shard_holding_t held; /* epoch 0: not held */
 	guint records;
 	const char *late_notice; /* of another, written once this one holds */
 	int32_t others; /* notices of others that it took while it holds */
@@ -93,7 +93,7 @@
 	g_mutex_unlock(&fixture->standin->lock);
 }
 
-static inline void on_held(const wwh_held_t *held, void *client_data)
+static inline void on_held(const wwh_shard_holding_t *held, void *client_data)
 {
 	fixture_t *fixture = client_data;
 
@@ -173,7 +173,7 @@
 	return 0;
 }
 
-static inline void start_claim(fixture_t *fixture, bool reluctant)
+static inline void start_claim(fixture_t *fixture, bool is_standby)
 {
 	char *store = g_strdup_printf(
 		"127.0.0.1:%d", wwh_listener_port(fixture->standin->store));
@@ -187,7 +187,7 @@
 		.self = SELF,
 		.producer = "p",
 		.member_ttl_ms = MEMBER_TTL_MS,
-		.reluctant = reluctant,
+		.is_standby = is_standby,
 		.on_held = on_held,
 		.on_holder = on_holder,
 		.explain = on_explain,
--- a/src/test_shard_claim/test_hand_over.c
+++ b/src/test_shard_claim/test_hand_over.c
@@ -119,16 +119,15 @@
 	run_until_held(fixture);
 	run_for(fixture, 500);
 	assert_true(is_member(fixture));
-	wwh_shard_claim_leave_to_others(fixture->claim, true, standin_now_ms());
+	wwh_shard_claim_set_withdrawn(fixture->claim, true, standin_now_ms());
 	run_for(fixture, MEMBER_TTL_MS + 500);
 	assert_false(is_member(fixture));
-	wwh_shard_claim_leave_to_others(fixture->claim, false,
-					standin_now_ms());
+	wwh_shard_claim_set_withdrawn(fixture->claim, false, standin_now_ms());
 	run_for(fixture, MEMBER_TTL_MS);
 	assert_true(is_member(fixture));
-	wwh_shard_claim_leave_to_others(fixture->claim, true, standin_now_ms());
+	wwh_shard_claim_set_withdrawn(fixture->claim, true, standin_now_ms());
 	make_holder(fixture, fixture->peers[0].address, EPOCH(9));
-	wwh_shard_claim_handed_over(fixture->claim, standin_now_ms());
+	wwh_shard_claim_handle_handover(fixture->claim, standin_now_ms());
 	run_for(fixture, MEMBER_TTL_MS + 500);
 	assert_false(is_member(fixture));
 }
--- a/src/test_shard_claim/test_shard_claim.c
+++ b/src/test_shard_claim/test_shard_claim.c
@@ -148,7 +148,7 @@
 	run_until_held(fixture);
 	first = fixture->held.epoch;
 	fixture->held.epoch = 0;
-	wwh_shard_claim_lost(fixture->claim, standin_now_ms());
+	wwh_shard_claim_handle_loss(fixture->claim, standin_now_ms());
 	run_until_held(fixture);
 	assert_true(fixture->held.epoch > first);
 	run_for(fixture, 1500);
@@ -263,7 +263,7 @@
 	run_for(fixture, MEMBER_TTL_MS / 2);
 	assert_non_null(strstr(fixture->lines, "shard-assigned assigned=0"));
 	assign_to_another(fixture);
-	wwh_shard_claim_lost(fixture->claim, standin_now_ms());
+	wwh_shard_claim_handle_loss(fixture->claim, standin_now_ms());
 	run_for(fixture, MEMBER_TTL_MS / 2);
 	assert_int_equal(fixture->held.epoch, 0);
 }
--- a/src/test_shard_journal/test_shard_journal.c
+++ b/src/test_shard_journal/test_shard_journal.c
@@ -47,7 +47,7 @@
 		.producer = "p",
 		.epoch = 1,
 		.next_sequence = 0,
-		.call_bytes = CALL_BYTES,
+		.max_call_bytes = CALL_BYTES,
 		.on_durable = on_durable,
 		.on_lost = on_lost,
 		.client_data = fixture,
@@ -121,8 +121,8 @@
 	int64_t record;
 
 	set_busy(fixture, true);
-	record = wwh_shard_journal_keep(fixture->journal, "Ja", NULL, true,
-					fixture->now_ms);
+	record = wwh_shard_journal_append(fixture->journal, "Ja", NULL, true,
+					  fixture->now_ms);
 	for (int32_t return_ms = 0; return_ms < 400; return_ms += 100) {
 		run_for(fixture, 3000 + return_ms);
 		assert_true(fixture->durable < record);
@@ -130,8 +130,8 @@
 		run_for(fixture, 120);
 		assert_int_equal(fixture->durable, record);
 		set_busy(fixture, true);
-		record = wwh_shard_journal_keep(fixture->journal, "Ja", NULL,
-						true, fixture->now_ms);
+		record = wwh_shard_journal_append(fixture->journal, "Ja", NULL,
+						  true, fixture->now_ms);
 	}
 }
 
@@ -141,8 +141,8 @@
 	fixture_t *fixture = *state;
 
 	set_busy(fixture, true);
-	(void)wwh_shard_journal_keep(fixture->journal, "Ja", NULL, true,
-				     fixture->now_ms);
+	(void)wwh_shard_journal_append(fixture->journal, "Ja", NULL, true,
+				       fixture->now_ms);
 	run_for(fixture, 5000);
 	assert_true(calls_sent(fixture) <= 52);
 }
@@ -154,8 +154,8 @@
 static void a_slow_store_takes_records(void **state)
 {
 	fixture_t *fixture = *state;
-	int64_t record = wwh_shard_journal_keep(fixture->journal, "Ja", NULL,
-						true, fixture->now_ms);
+	int64_t record = wwh_shard_journal_append(fixture->journal, "Ja", NULL,
+						  true, fixture->now_ms);
 
 	g_mutex_lock(&fixture->standin->lock);
 	fixture->standin->append_delay_ms = SLOW_APPEND_MS;
@@ -164,8 +164,8 @@
 	assert_int_equal(fixture->durable, record);
 	assert_true(calls_sent(fixture) <= 2);
 	/* and the next one is waited for at its first try */
-	record = wwh_shard_journal_keep(fixture->journal, "Jb", NULL, true,
-					fixture->now_ms);
+	record = wwh_shard_journal_append(fixture->journal, "Jb", NULL, true,
+					  fixture->now_ms);
 	run_for(fixture, 20);
 	assert_int_equal(fixture->durable, record);
 	assert_true(calls_sent(fixture) <= 3);
--- a/src/test_store_follower/test_store_follower.c
+++ b/src/test_store_follower/test_store_follower.c
@@ -49,7 +49,7 @@
 static int64_t number_of(const wwh_http_request_t *http, const char *name,
 			 int64_t missing)
 {
-	char *text = wwh_http_query(http->target, name);
+	char *text = wwh_http_query_value(http->target, name);
 	int64_t number =
 		text == NULL ? missing : g_ascii_strtoll(text, NULL, 10);
 
@@ -83,7 +83,7 @@
 		     wwh_http_response_t *response, void *data)
 {
 	fixture_t *fixture = data;
-	char *path = wwh_http_path(http->target);
+	char *path = wwh_http_target_path(http->target);
 
 	g_mutex_lock(&fixture->lock);
 	if (g_str_has_suffix(path, "/log-newest")) {
@@ -116,7 +116,8 @@
 					     : "=");
 }
 
-static void on_nameless(int64_t offset, const char *why, void *client_data)
+static void on_unreadable_key(int64_t offset, const char *why,
+			      void *client_data)
 {
 	fixture_t *fixture = client_data;
 
@@ -129,9 +130,10 @@
 	fixture_t *fixture = g_new0(fixture_t, 1);
 	wwh_store_follower_options_t options = { .topic = "t",
 						 .wait_ms = 100,
-						 .gap_ms = GAP_MS,
+						 .read_interval_ms = GAP_MS,
 						 .on_record = on_record,
-						 .on_nameless = on_nameless };
+						 .on_unreadable_key =
+							 on_unreadable_key };
 	char *endpoint;
 
 	fixture->standin = standin_new();
@@ -263,7 +265,7 @@
 	list_first(fixture);
 	list_again(fixture, "{\"items\":7,\"end\":9}");
 	assert_string_equal(fixture->seen->str, "");
-	assert_true(wwh_store_follower_reading_all(fixture->follower));
+	assert_true(wwh_store_follower_in_full_read(fixture->follower));
 	list_first(fixture);
 }
 
