--- a/src/libwaxwinghollow/operator_client.c
+++ b/src/libwaxwinghollow/operator_client.c
@@ -11,19 +11,20 @@
 	GByteArray *body;
 	size_t limit;
 	bool too_large;
-} sink_t;
-
-static void set_up(CURL *curl, const wwh_operator_options_t *options,
-		   const char *url, sink_t *sink);
-static struct curl_slist *set_body(CURL *curl,
-				   const wwh_operator_request_t *request);
-static size_t take_bytes(char *data, size_t unit, size_t count,
-			 void *client_data);
-static wwh_status_t failure(CURL *curl, CURLcode code, const sink_t *sink,
-			    const char *server, wwh_message_t *message);
-static void fill_answer(CURL *curl, sink_t *sink,
+} body_sink_t;
+
+static void set_options(CURL *curl, const wwh_operator_options_t *options,
+			const char *url, body_sink_t *sink);
+static struct curl_slist *
+set_request_body(CURL *curl, const wwh_operator_request_t *request);
+static size_t receive_body(char *data, size_t unit, size_t count,
+			   void *client_data);
+static wwh_status_t report_failure(CURL *curl, CURLcode code,
+				   const body_sink_t *sink, const char *server,
+				   wwh_message_t *message);
+static void fill_answer(CURL *curl, body_sink_t *sink,
 			wwh_operator_answer_t *answer);
-static int64_t version_header(CURL *curl);
+static int64_t parse_version_header(CURL *curl);
 
 wwh_operator_options_t wwh_operator_options_defaults(void)
 {
@@ -39,7 +40,8 @@
 			       wwh_operator_answer_t *answer,
 			       wwh_message_t *message)
 {
-	sink_t sink = { g_byte_array_new(), options->max_answer_bytes, false };
+	body_sink_t sink = { g_byte_array_new(), options->max_answer_bytes,
+			     false };
 	char *url =
 		g_strdup_printf("http://%s%s", options->server, request->path);
 	CURL *curl = curl_easy_init();
@@ -48,13 +50,14 @@
 	CURLcode code;
 
 	memset(answer, 0, sizeof(*answer));
-	set_up(curl, options, url, &sink);
-	headers = set_body(curl, request);
+	set_options(curl, options, url, &sink);
+	headers = set_request_body(curl, request);
 	code = curl_easy_perform(curl);
 	if (code == CURLE_OK)
 		fill_answer(curl, &sink, answer);
 	else
-		status = failure(curl, code, &sink, options->server, message);
+		status = report_failure(curl, code, &sink, options->server,
+					message);
 	curl_slist_free_all(headers);
 	curl_easy_cleanup(curl);
 	if (sink.body != NULL)
@@ -69,8 +72,8 @@
 	memset(answer, 0, sizeof(*answer));
 }
 
-static void set_up(CURL *curl, const wwh_operator_options_t *options,
-		   const char *url, sink_t *sink)
+static void set_options(CURL *curl, const wwh_operator_options_t *options,
+			const char *url, body_sink_t *sink)
 {
 	curl_easy_setopt(curl, CURLOPT_URL, url);
 	curl_easy_setopt(curl, CURLOPT_PROTOCOLS_STR, "http");
@@ -83,12 +86,12 @@
 	curl_easy_setopt(curl, CURLOPT_CONNECTTIMEOUT_MS,
 			 (long)options->connect_timeout_ms);
 	curl_easy_setopt(curl, CURLOPT_TIMEOUT_MS, (long)options->timeout_ms);
-	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, take_bytes);
+	curl_easy_setopt(curl, CURLOPT_WRITEFUNCTION, receive_body);
 	curl_easy_setopt(curl, CURLOPT_WRITEDATA, sink);
 }
 
-static struct curl_slist *set_body(CURL *curl,
-				   const wwh_operator_request_t *request)
+static struct curl_slist *
+set_request_body(CURL *curl, const wwh_operator_request_t *request)
 {
 	struct curl_slist *headers;
 	char *line;
@@ -97,7 +100,10 @@
 		return NULL;
 	line = g_strdup_printf("Content-Type: %s", request->content_type);
 	headers = curl_slist_append(NULL, line);
-	/* Without it libcurl waits a second for "100 Continue". */
+	/*
+	 * Disables "Expect: 100-continue", for which libcurl would wait 1 s
+	 * for "100 Continue" before it sends the body.
+	 */
 	headers = curl_slist_append(headers, "Expect:");
 	g_free(line);
 	curl_easy_setopt(curl, CURLOPT_HTTPHEADER, headers);
@@ -109,10 +115,10 @@
 	return headers;
 }
 
-static size_t take_bytes(char *data, size_t unit, size_t count,
-			 void *client_data)
+static size_t receive_body(char *data, size_t unit, size_t count,
+			   void *client_data)
 {
-	sink_t *sink = client_data;
+	body_sink_t *sink = client_data;
 	size_t size = unit * count;
 
 	if (size > sink->limit - sink->body->len) {
@@ -123,36 +129,42 @@
 	return size;
 }
 
-/* Nothing was sent as long as libcurl counts no byte of a request. */
-static wwh_status_t failure(CURL *curl, CURLcode code, const sink_t *sink,
-			    const char *server, wwh_message_t *message)
+/*
+ * The request surely had no effect as long as CURLINFO_REQUEST_SIZE is 0: then
+ * libcurl has sent no byte of it.
+ */
+static wwh_status_t report_failure(CURL *curl, CURLcode code,
+				   const body_sink_t *sink, const char *server,
+				   wwh_message_t *message)
 {
 	long sent = 0;
 
 	curl_easy_getinfo(curl, CURLINFO_REQUEST_SIZE, &sent);
 	wwh_message_set(message, "%s: %s", server, curl_easy_strerror(code));
 	if (sink->too_large) {
-		wwh_message_set(message, "%s: answer above %zu bytes", server,
-				sink->limit);
+		wwh_message_set(message,
+				"%s: answer exceeds the limit of %zu bytes",
+				server, sink->limit);
 		return WWH_STATUS_LIMIT;
 	}
 	return sent == 0 ? WWH_STATUS_UNAVAILABLE : WWH_STATUS_UNKNOWN;
 }
 
-static void fill_answer(CURL *curl, sink_t *sink, wwh_operator_answer_t *answer)
+static void fill_answer(CURL *curl, body_sink_t *sink,
+			wwh_operator_answer_t *answer)
 {
 	long http_status = 0;
 
 	curl_easy_getinfo(curl, CURLINFO_RESPONSE_CODE, &http_status);
 	answer->http_status = (int32_t)http_status;
-	answer->config_version = version_header(curl);
+	answer->config_version = parse_version_header(curl);
 	answer->body_size = sink->body->len;
 	g_byte_array_append(sink->body, (const guint8 *)"", 1);
 	answer->body = (char *)g_byte_array_free(sink->body, FALSE);
 	sink->body = NULL;
 }
 
-static int64_t version_header(CURL *curl)
+static int64_t parse_version_header(CURL *curl)
 {
 	struct curl_header *header;
 	gint64 version;
--- a/src/waxwinghollow/cli.c
+++ b/src/waxwinghollow/cli.c
@@ -20,9 +20,9 @@
 	HTTP_UNAVAILABLE = 503
 };
 
-static bool parse_with(GOptionContext *context, int *argc, char ***argv);
-static bool check_servers(wwh_cli_t *cli, const char *command);
-static int exit_for(int32_t http_status);
+static bool parse_context(GOptionContext *context, int *argc, char ***argv);
+static bool resolve_servers(wwh_cli_t *cli, const char *command);
+static int exit_code_of(int32_t http_status);
 
 void wwh_cli_init(wwh_cli_t *cli)
 {
@@ -48,9 +48,10 @@
 		{ "json", 0, 0, G_OPTION_ARG_NONE, &cli->json,
 		  "print JSON for scripts", NULL },
 		{ "timeout-ms", 0, 0, G_OPTION_ARG_INT, &cli->timeout_ms,
-		  "limit of one call (default 5000)", "N" },
+		  "timeout of each call in ms (default 5000)", "N" },
 		{ "author", 0, 0, G_OPTION_ARG_STRING, &cli->author,
-		  "who asks, for the log (default: the user's name)", "NAME" },
+		  "author of the change in the log (default: the user's name)",
+		  "NAME" },
 		{ NULL },
 	};
 	const char *command = (*argv)[0];
@@ -60,7 +61,7 @@
 	g_option_context_add_main_entries(context, common, NULL);
 	if (extra != NULL)
 		g_option_context_add_main_entries(context, extra, NULL);
-	if (!parse_with(context, argc, argv))
+	if (!parse_context(context, argc, argv))
 		return false;
 	if (cli->timeout_ms < 1 || cli->timeout_ms > MAX_TIMEOUT_MS) {
 		fprintf(stderr, "%s: --timeout-ms is %d, expected 1 to %d\n",
@@ -69,17 +70,17 @@
 	}
 	if (cli->author == NULL)
 		cli->author = g_strdup(g_get_user_name());
-	return check_servers(cli, command);
+	return resolve_servers(cli, command);
 }
 
-bool wwh_cli_parse_plain(int *argc, char ***argv, const char *summary,
-			 const GOptionEntry *options)
+bool wwh_cli_parse_without_server(int *argc, char ***argv, const char *summary,
+				  const GOptionEntry *options)
 {
 	GOptionContext *context = g_option_context_new("[FILE...]");
 
 	g_option_context_set_summary(context, summary);
 	g_option_context_add_main_entries(context, options, NULL);
-	return parse_with(context, argc, argv);
+	return parse_context(context, argc, argv);
 }
 
 wwh_status_t wwh_cli_call(const wwh_cli_t *cli,
@@ -91,11 +92,11 @@
 	wwh_status_t status = WWH_STATUS_UNAVAILABLE;
 
 	options.timeout_ms = cli->timeout_ms;
-	for (char **at = cli->servers; *at != NULL; at++) {
-		bool is_last = at[1] == NULL;
+	for (char **entry = cli->servers; *entry != NULL; entry++) {
+		bool is_last = entry[1] == NULL;
 
-		options.server = *at;
-		*server = *at;
+		options.server = *entry;
+		*server = *entry;
 		status = wwh_operator_call(&options, request, answer, message);
 		if (status == WWH_STATUS_OK &&
 		    (answer->http_status != HTTP_UNAVAILABLE || is_last))
@@ -109,7 +110,8 @@
 	return status;
 }
 
-int wwh_cli_call_failed(wwh_status_t status, const wwh_message_t *message)
+int wwh_cli_report_call_failure(wwh_status_t status,
+				const wwh_message_t *message)
 {
 	fprintf(stderr, "%s: %s\n", message->text,
 		status == WWH_STATUS_UNKNOWN
@@ -122,7 +124,7 @@
 int wwh_cli_print_answer(const wwh_cli_t *cli,
 			 const wwh_operator_answer_t *answer)
 {
-	int code = exit_for(answer->http_status);
+	int code = exit_code_of(answer->http_status);
 	JsonParser *parser = json_parser_new();
 	JsonNode *root = NULL;
 
@@ -144,7 +146,7 @@
 	return code;
 }
 
-int wwh_cli_show(const wwh_cli_t *cli, const char *path)
+int wwh_cli_get_and_print(const wwh_cli_t *cli, const char *path)
 {
 	const wwh_operator_request_t request = { .path = path };
 	wwh_operator_answer_t answer;
@@ -163,7 +165,7 @@
 	return code;
 }
 
-bool wwh_cli_no_arguments(int argc, char **argv)
+bool wwh_cli_check_no_arguments(int argc, char **argv)
 {
 	if (argc == 1)
 		return true;
@@ -182,7 +184,7 @@
 		fprintf(stderr, "%s: %s\n", file, text);
 }
 
-static bool parse_with(GOptionContext *context, int *argc, char ***argv)
+static bool parse_context(GOptionContext *context, int *argc, char ***argv)
 {
 	GError *error = NULL;
 	bool ok = g_option_context_parse(context, argc, argv, &error);
@@ -196,7 +198,7 @@
 	return ok;
 }
 
-static bool check_servers(wwh_cli_t *cli, const char *command)
+static bool resolve_servers(wwh_cli_t *cli, const char *command)
 {
 	const char *variable = g_getenv(WWH_SERVER_VARIABLE);
 
@@ -209,13 +211,13 @@
 			command);
 		return false;
 	}
-	for (char **at = cli->servers; *at != NULL; at++) {
+	for (char **entry = cli->servers; *entry != NULL; entry++) {
 		char *address;
 		int32_t port;
 
-		if (!wwh_endpoint_split(*at, &address, &port)) {
+		if (!wwh_endpoint_split(*entry, &address, &port)) {
 			fprintf(stderr, "%s: server '%s', expected IP:PORT\n",
-				command, *at);
+				command, *entry);
 			return false;
 		}
 		g_free(address);
@@ -223,7 +225,7 @@
 	return true;
 }
 
-static int exit_for(int32_t http_status)
+static int exit_code_of(int32_t http_status)
 {
 	switch (http_status) {
 	case HTTP_OK:
--- a/src/waxwinghollow/cli.h
+++ b/src/waxwinghollow/cli.h
@@ -3,11 +3,11 @@
 
 /*
  * NAME
- *	cli - what the subcommands share
+ *	cli - options, calls and output common to the subcommands
  *
  * USE
- *	Options, the servers to ask and how an answer becomes output and exit
- *	code.
+ *	Parses the common options, calls the entry processes given by them,
+ *	and turns an answer into output and an exit code.
  *
  * ORDER OF CALLS
  *	wwh_cli_init; wwh_cli_parse; wwh_cli_call; wwh_cli_finish.
@@ -24,49 +24,56 @@
 typedef struct {
 	char **servers; /* "IP:port" of operator listeners */
 	gboolean json;
-	gint timeout_ms; /* of one call */
-	char *author; /* who asks, for the log */
+	gint timeout_ms; /* of each call */
+	char *author; /* logged as the author of a change */
 } wwh_cli_t;
 
 void wwh_cli_init(wwh_cli_t *cli);
 void wwh_cli_finish(wwh_cli_t *cli);
 
 /*
- * Reads the options of cli and of extra (may be NULL); the arguments stay in
- * argv. Prints what is wrong and returns false, which is WWH_EXIT_USAGE.
+ * Parses the common options into cli, and those of extra (may be NULL). The
+ * arguments that are not options remain in argv. On an error it prints the
+ * reason and returns false; the command then exits with WWH_EXIT_USAGE.
  */
 bool wwh_cli_parse(wwh_cli_t *cli, int *argc, char ***argv,
 		   const char *arguments, const char *summary,
 		   const GOptionEntry *extra);
 
-/* wwh_cli_parse for commands that ask no server. */
-bool wwh_cli_parse_plain(int *argc, char ***argv, const char *summary,
-			 const GOptionEntry *options);
+/* wwh_cli_parse for commands that call no server. */
+bool wwh_cli_parse_without_server(int *argc, char ***argv, const char *summary,
+				  const GOptionEntry *options);
 
 /*
- * Asks the servers in their order. The next one is asked only while the one
- * before surely did nothing: no connection, or 503. *server is the one that
- * answered.
+ * Sends the request to the servers in their order, until one gives an answer
+ * other than 503. A POST goes to the next server only if the previous one
+ * surely did not run it, that is, could not be connected to or answered 503; a
+ * GET goes to the next server after any failure. An answer of 503 is returned
+ * from the last server only. *server is the last server called.
  */
 wwh_status_t wwh_cli_call(const wwh_cli_t *cli,
 			  const wwh_operator_request_t *request,
 			  wwh_operator_answer_t *answer, const char **server,
 			  wwh_message_t *message);
 
-/* Prints why a call failed; gives the exit code for it. */
-int wwh_cli_call_failed(wwh_status_t status, const wwh_message_t *message);
+/* Prints why a call failed and returns the exit code for it. */
+int wwh_cli_report_call_failure(wwh_status_t status,
+				const wwh_message_t *message);
 
-/* Prints an answer, as JSON or for people, and gives its exit code. */
+/* Prints an answer, as JSON or as text, and returns its exit code. */
 int wwh_cli_print_answer(const wwh_cli_t *cli,
 			 const wwh_operator_answer_t *answer);
 
-/* GETs path and prints the answer; gives the exit code. */
-int wwh_cli_show(const wwh_cli_t *cli, const char *path);
+/* Sends a GET of path, prints the answer and returns the exit code. */
+int wwh_cli_get_and_print(const wwh_cli_t *cli, const char *path);
 
-/* Prints what is wrong when there are arguments; false is a usage error. */
-bool wwh_cli_no_arguments(int argc, char **argv);
+/* False, after printing a usage error, when arguments remain in argv. */
+bool wwh_cli_check_no_arguments(int argc, char **argv);
 
-/* "file:line: text" on standard error; a wwh_config_error_t. */
+/*
+ * A wwh_config_error_t. Prints "file:line: text" on standard error, without the
+ * line if it is 0.
+ */
 void wwh_cli_print_error(const char *file, int32_t line, const char *text,
 			 void *unused);
 
--- a/src/waxwinghollow/cmd_check.c
+++ b/src/waxwinghollow/cmd_check.c
@@ -9,12 +9,13 @@
 #include "waxwinghollow/input_file.h"
 #include "waxwinghollow/settings.h"
 
-static int check_platform(char **paths);
+static int check_platform_settings(char **paths);
 static int check_files(char **paths);
-static bool sort_files(char **paths, GPtrArray *settings,
-		       const char **inventory, const char **rules, bool *usage);
-static bool place_once(const char **place, const char *path,
-		       wwh_input_kind_t kind);
+static bool classify_files(char **paths, GPtrArray *settings,
+			   const char **inventory, const char **rules,
+			   bool *usage_error);
+static bool set_once(const char **slot, const char *path,
+		     wwh_input_kind_t kind);
 static bool check_settings(const GPtrArray *paths);
 static bool check_config(const char *inventory, const char *rules);
 static bool check_charts(void);
@@ -24,11 +25,11 @@
 	gboolean platform = FALSE;
 	const GOptionEntry options[] = {
 		{ "platform", 'p', 0, G_OPTION_ARG_NONE, &platform,
-		  "each FILE is a settings file of the platform's", NULL },
+		  "each FILE is a platform settings file", NULL },
 		{ NULL }
 	};
 
-	if (!wwh_cli_parse_plain(
+	if (!wwh_cli_parse_without_server(
 		    &argc, &argv,
 		    "Checks settings, an inventory (JSON or CSV) and rules "
 		    "without starting\nanything, and the state charts of this "
@@ -39,10 +40,11 @@
 		fprintf(stderr, "check: no file, expected FILE...\n");
 		return WWH_EXIT_USAGE;
 	}
-	return platform ? check_platform(argv + 1) : check_files(argv + 1);
+	return platform ? check_platform_settings(argv + 1)
+			: check_files(argv + 1);
 }
 
-static int check_platform(char **paths)
+static int check_platform_settings(char **paths)
 {
 	bool ok = true;
 
@@ -54,7 +56,7 @@
 			ok = false;
 			continue;
 		}
-		printf("%s: the platform's settings of process %s\n", *paths,
+		printf("%s: platform settings of process %s\n", *paths,
 		       settings.name);
 		wwh_host_settings_clear(&settings);
 	}
@@ -66,22 +68,25 @@
 	GPtrArray *settings = g_ptr_array_new();
 	const char *inventory = NULL;
 	const char *rules = NULL;
-	bool usage = false;
-	bool ok = sort_files(paths, settings, &inventory, &rules, &usage);
+	bool usage_error = false;
+	bool ok = classify_files(paths, settings, &inventory, &rules,
+				 &usage_error);
 
-	if (!usage) {
+	if (!usage_error) {
 		ok = check_settings(settings) && ok;
 		ok = check_config(inventory, rules) && ok;
 		ok = check_charts() && ok;
 	}
 	g_ptr_array_free(settings, TRUE);
-	if (usage)
+	if (usage_error)
 		return WWH_EXIT_USAGE;
 	return ok ? WWH_EXIT_OK : WWH_EXIT_BAD_INPUT;
 }
 
-static bool sort_files(char **paths, GPtrArray *settings,
-		       const char **inventory, const char **rules, bool *usage)
+/* Sets *usage_error when two files are inventories, or two are rules. */
+static bool classify_files(char **paths, GPtrArray *settings,
+			   const char **inventory, const char **rules,
+			   bool *usage_error)
 {
 	bool ok = true;
 
@@ -96,21 +101,22 @@
 		if (kind == WWH_INPUT_SETTINGS)
 			g_ptr_array_add(settings, *paths);
 		else if (kind == WWH_INPUT_INVENTORY)
-			*usage = !place_once(inventory, *paths, kind) || *usage;
+			*usage_error = !set_once(inventory, *paths, kind) ||
+				       *usage_error;
 		else
-			*usage = !place_once(rules, *paths, kind) || *usage;
+			*usage_error =
+				!set_once(rules, *paths, kind) || *usage_error;
 	}
 	return ok;
 }
 
-static bool place_once(const char **place, const char *path,
-		       wwh_input_kind_t kind)
+static bool set_once(const char **slot, const char *path, wwh_input_kind_t kind)
 {
-	if (*place == NULL) {
-		*place = path;
+	if (*slot == NULL) {
+		*slot = path;
 		return true;
 	}
-	fprintf(stderr, "check: %s and %s are both %s, expected one\n", *place,
+	fprintf(stderr, "check: %s and %s are both %s, expected one\n", *slot,
 		path, wwh_input_kind_names[kind]);
 	return false;
 }
@@ -157,8 +163,8 @@
 		       wwh_config_team_count(config),
 		       wwh_config_window_count(config));
 	if (ok && rules == NULL)
-		printf("%s: pools and services were not looked up, expected "
-		       "the rules beside it for that\n",
+		printf("%s: references to pools and services were not "
+		       "checked, expected a rules file as well\n",
 		       inventory);
 	wwh_config_unref(config);
 	return ok;
--- a/src/waxwinghollow/cmd_dump.c
+++ b/src/waxwinghollow/cmd_dump.c
@@ -14,11 +14,11 @@
 
 	wwh_cli_init(&cli);
 	if (wwh_cli_parse(&cli, &argc, &argv, NULL,
-			  "Shows the whole state of one entry process: the "
-			  "first server that answers.",
+			  "Prints the complete state of one entry process: "
+			  "the first server that answers.",
 			  extra) &&
-	    wwh_cli_no_arguments(argc, argv))
-		code = wwh_cli_show(&cli, "/v1/dump");
+	    wwh_cli_check_no_arguments(argc, argv))
+		code = wwh_cli_get_and_print(&cli, "/v1/dump");
 	wwh_cli_finish(&cli);
 	return code;
 }
--- a/src/waxwinghollow/cmd_explain.c
+++ b/src/waxwinghollow/cmd_explain.c
@@ -6,36 +6,36 @@
 #include "cli.h"
 #include "commands.h"
 
-/* A line of a log that is about what was asked for. */
+/* A log line about the requested id. */
 typedef struct {
 	int64_t wall_ms;
 	char *node;
 	char *event;
 	char *id;
 	char *detail;
-	char *line; /* as it was read */
-} story_line_t;
+	char *line; /* the JSON object as read */
+} log_entry_t;
 
-static bool read_file(const char *path, const char *id, GPtrArray *story);
-static story_line_t *read_line(const char *line, const char *id);
+static bool read_file(const char *path, const char *id, GPtrArray *entries);
+static log_entry_t *parse_entry(const char *line, const char *id);
 static bool is_about(const char *id, const char *line_id, const char *detail);
-static const char *text_of(JsonObject *object, const char *name);
-static void story_line_free(gpointer data);
-static gint by_time(gconstpointer a, gconstpointer b);
-static void print_story(const GPtrArray *story, bool as_json);
+static const char *string_member(JsonObject *object, const char *name);
+static void log_entry_free(gpointer data);
+static gint compare_by_time(gconstpointer a, gconstpointer b);
+static void print_entries(const GPtrArray *entries, bool as_json);
 
 int wwh_cmd_explain(int argc, char **argv)
 {
 	gboolean as_json = FALSE;
 	const GOptionEntry options[] = {
 		{ "json", 0, 0, G_OPTION_ARG_NONE, &as_json,
-		  "the lines as they stand in the logs", NULL },
+		  "print the log lines as JSON", NULL },
 		{ NULL },
 	};
-	GPtrArray *story;
+	GPtrArray *entries;
 	int code = WWH_EXIT_OK;
 
-	if (!wwh_cli_parse_plain(
+	if (!wwh_cli_parse_without_server(
 		    &argc, &argv,
 		    "ID FILE...\n\nTells what the logs of all "
 		    "processes say of a job, a task, a queue or an "
@@ -46,22 +46,22 @@
 		fprintf(stderr, "explain: expected ID FILE...\n");
 		return WWH_EXIT_USAGE;
 	}
-	story = g_ptr_array_new_with_free_func(story_line_free);
+	entries = g_ptr_array_new_with_free_func(log_entry_free);
 	for (int i = 2; i < argc; i++) {
-		if (!read_file(argv[i], argv[1], story))
+		if (!read_file(argv[i], argv[1], entries))
 			code = WWH_EXIT_BAD_INPUT;
 	}
-	g_ptr_array_sort(story, by_time);
-	print_story(story, as_json);
-	if (code == WWH_EXIT_OK && story->len == 0) {
+	g_ptr_array_sort(entries, compare_by_time);
+	print_entries(entries, as_json);
+	if (code == WWH_EXIT_OK && entries->len == 0) {
 		fprintf(stderr, "explain: no line is about %s\n", argv[1]);
 		code = WWH_EXIT_FAILED;
 	}
-	g_ptr_array_unref(story);
+	g_ptr_array_unref(entries);
 	return code;
 }
 
-static bool read_file(const char *path, const char *id, GPtrArray *story)
+static bool read_file(const char *path, const char *id, GPtrArray *entries)
 {
 	GError *error = NULL;
 	char *text;
@@ -75,41 +75,42 @@
 	lines = g_strsplit(text, "\n", -1);
 	g_free(text);
 	for (int32_t i = 0; lines[i] != NULL; i++) {
-		story_line_t *line;
+		log_entry_t *entry;
 
-		/* most lines are about others; parsing is dear */
+		/* Most lines have other ids, and parsing JSON is expensive. */
 		if (strstr(lines[i], id) == NULL)
 			continue;
-		line = read_line(lines[i], id);
-		if (line != NULL)
-			g_ptr_array_add(story, line);
+		entry = parse_entry(lines[i], id);
+		if (entry != NULL)
+			g_ptr_array_add(entries, entry);
 	}
 	g_strfreev(lines);
 	return true;
 }
 
-/* NULL: isn't a line of the log, or is about something else. */
-static story_line_t *read_line(const char *line, const char *id)
+/* Returns NULL if line is not a log line or is not about id. */
+static log_entry_t *parse_entry(const char *line, const char *id)
 {
 	const char *json = strchr(line, '{');
 	JsonParser *parser = json_parser_new();
-	story_line_t *found = NULL;
+	log_entry_t *found = NULL;
 	JsonObject *object;
 
 	if (json != NULL &&
 	    json_parser_load_from_data(parser, json, -1, NULL) &&
 	    JSON_NODE_HOLDS_OBJECT(json_parser_get_root(parser))) {
 		object = json_node_get_object(json_parser_get_root(parser));
-		if (is_about(id, text_of(object, "id"),
-			     text_of(object, "detail"))) {
-			found = g_new0(story_line_t, 1);
+		if (is_about(id, string_member(object, "id"),
+			     string_member(object, "detail"))) {
+			found = g_new0(log_entry_t, 1);
 			found->wall_ms =
 				json_object_get_int_member_with_default(object,
 									"t", 0);
-			found->node = g_strdup(text_of(object, "node"));
-			found->event = g_strdup(text_of(object, "event"));
-			found->id = g_strdup(text_of(object, "id"));
-			found->detail = g_strdup(text_of(object, "detail"));
+			found->node = g_strdup(string_member(object, "node"));
+			found->event = g_strdup(string_member(object, "event"));
+			found->id = g_strdup(string_member(object, "id"));
+			found->detail =
+				g_strdup(string_member(object, "detail"));
 			found->line = g_strdup(json);
 		}
 	}
@@ -117,7 +118,10 @@
 	return found;
 }
 
-/* A job's lines are those of its tasks too. */
+/*
+ * A line is about id if it has that id, the id of one of its tasks ("ID.TASK"),
+ * or the id in its detail.
+ */
 static bool is_about(const char *id, const char *line_id, const char *detail)
 {
 	size_t size = strlen(id);
@@ -128,43 +132,44 @@
 	return strstr(detail, id) != NULL;
 }
 
-static const char *text_of(JsonObject *object, const char *name)
+static const char *string_member(JsonObject *object, const char *name)
 {
 	return json_object_get_string_member_with_default(object, name, "");
 }
 
-static void story_line_free(gpointer data)
+static void log_entry_free(gpointer data)
 {
-	story_line_t *line = data;
-
-	g_free(line->node);
-	g_free(line->event);
-	g_free(line->id);
-	g_free(line->detail);
-	g_free(line->line);
-	g_free(line);
+	log_entry_t *entry = data;
+
+	g_free(entry->node);
+	g_free(entry->event);
+	g_free(entry->id);
+	g_free(entry->detail);
+	g_free(entry->line);
+	g_free(entry);
 }
 
-static gint by_time(gconstpointer a, gconstpointer b)
+static gint compare_by_time(gconstpointer a, gconstpointer b)
 {
-	const story_line_t *left = *(story_line_t *const *)a;
-	const story_line_t *right = *(story_line_t *const *)b;
+	const log_entry_t *left = *(log_entry_t *const *)a;
+	const log_entry_t *right = *(log_entry_t *const *)b;
 
 	return left->wall_ms < right->wall_ms ? -1
 					      : left->wall_ms > right->wall_ms;
 }
 
-static void print_story(const GPtrArray *story, bool as_json)
+static void print_entries(const GPtrArray *entries, bool as_json)
 {
-	for (guint i = 0; i < story->len; i++) {
-		const story_line_t *line = g_ptr_array_index(story, i);
-		const story_line_t *first = g_ptr_array_index(story, 0);
+	for (guint i = 0; i < entries->len; i++) {
+		const log_entry_t *entry = g_ptr_array_index(entries, i);
+		const log_entry_t *first = g_ptr_array_index(entries, 0);
 
 		if (as_json)
-			printf("%s\n", line->line);
+			printf("%s\n", entry->line);
 		else
 			printf("%+8.3f s  %-14s %-16s %s  %s\n",
-			       (double)(line->wall_ms - first->wall_ms) / 1000,
-			       line->node, line->event, line->id, line->detail);
+			       (double)(entry->wall_ms - first->wall_ms) / 1000,
+			       entry->node, entry->event, entry->id,
+			       entry->detail);
 	}
 }
--- a/src/waxwinghollow/cmd_job.c
+++ b/src/waxwinghollow/cmd_job.c
@@ -19,11 +19,12 @@
 	  NULL,
 	  NULL,
 	  { "job", "pool" },
-	  "place a job; the same id again is the same job" },
+	  "submit a job; repeating an id submits no second job" },
 	{ "cancel", "/v1/job/cancel", NULL, NULL, { "job" }, "stop a job" },
 };
 
-static void add_job(JsonBuilder *builder, const char *verb, void *client_data);
+static void add_job_members(JsonBuilder *builder, const char *verb,
+			    void *client_data);
 static void add_flag(JsonBuilder *builder, const char *name, gboolean value);
 
 int wwh_cmd_job(int argc, char **argv)
@@ -31,9 +32,9 @@
 	job_options_t job = { .cores = 1, .memory_mb = 256 };
 	const GOptionEntry options[] = {
 		{ "team", 0, 0, G_OPTION_ARG_STRING, &job.team,
-		  "whose quota it counts against", "ID" },
+		  "team whose quota the job counts against", "ID" },
 		{ "group", 0, 0, G_OPTION_ARG_STRING, &job.group,
-		  "jobs of one group are spread over zones", "ID" },
+		  "group whose jobs are spread over zones", "ID" },
 		{ "cores", 0, 0, G_OPTION_ARG_INT, &job.cores, "default 1",
 		  "N" },
 		{ "memory-mb", 0, 0, G_OPTION_ARG_INT64, &job.memory_mb,
@@ -41,9 +42,9 @@
 		{ "accelerators", 0, 0, G_OPTION_ARG_INT, &job.accelerators,
 		  "default 0", "N" },
 		{ "urgent", 0, 0, G_OPTION_ARG_NONE, &job.urgent,
-		  "goes before others", NULL },
+		  "has priority over other jobs", NULL },
 		{ "idempotent", 0, 0, G_OPTION_ARG_NONE, &job.idempotent,
-		  "may run twice; without it, it runs at most once", NULL },
+		  "may run twice (default: at most once)", NULL },
 		{ NULL },
 	};
 	const wwh_verb_command_t command = {
@@ -51,7 +52,7 @@
 		.verbs = verbs,
 		.verb_count = G_N_ELEMENTS(verbs),
 		.options = options,
-		.add_options = add_job,
+		.add_options = add_job_members,
 		.client_data = &job,
 	};
 	int code = wwh_verb_run(&command, argc, argv);
@@ -61,14 +62,15 @@
 	return code;
 }
 
-static void add_job(JsonBuilder *builder, const char *verb, void *client_data)
+static void add_job_members(JsonBuilder *builder, const char *verb,
+			    void *client_data)
 {
 	const job_options_t *job = client_data;
 
 	if (strcmp(verb, "submit") != 0)
 		return;
-	wwh_verb_add_text(builder, "team", job->team);
-	wwh_verb_add_text(builder, "group", job->group);
+	wwh_verb_add_string(builder, "team", job->team);
+	wwh_verb_add_string(builder, "group", job->group);
 	wwh_verb_add_number(builder, "cores", job->cores);
 	wwh_verb_add_number(builder, "memory_mb", job->memory_mb);
 	wwh_verb_add_number(builder, "accelerators", job->accelerators);
--- a/src/waxwinghollow/cmd_move.c
+++ b/src/waxwinghollow/cmd_move.c
@@ -13,7 +13,7 @@
 	  NULL,
 	  NULL,
 	  { "move" },
-	  "undo a move that has not joined the other pool" },
+	  "cancel a move before the worker has joined the other pool" },
 };
 
 int wwh_cmd_move(int argc, char **argv)
--- a/src/waxwinghollow/cmd_publish.c
+++ b/src/waxwinghollow/cmd_publish.c
@@ -9,7 +9,7 @@
 #include "waxwinghollow/config.h"
 
 #define DEFAULT_WAIT_MS 10000
-#define LOOK_ROUND_MS 200
+#define OUTCOME_POLL_INTERVAL_MS 200
 #define US_PER_MS 1000
 #define HTTP_OK 200
 #define HTTP_ACCEPTED 202
@@ -20,25 +20,26 @@
 	char *inventory_path;
 	char *rules_path;
 	gint wait_ms;
-	wwh_config_t *wanted;
+	wwh_config_t *desired;
 	wwh_config_t *in_force;
-	const char *server; /* that answered last */
-	int64_t sent_us;
+	const char *server; /* last one called */
+	int64_t sent_us; /* monotonic */
 } publish_t;
 
 static bool parse_options(publish_t *publish, int *argc, char ***argv);
-static int run(publish_t *publish);
+static int publish_files(publish_t *publish);
 static int fetch_in_force(publish_t *publish);
-static int read_in_force(publish_t *publish,
-			 const wwh_operator_answer_t *answer);
-static bool is_in_force(const publish_t *publish);
+static int decode_in_force(publish_t *publish,
+			   const wwh_operator_answer_t *answer);
+static bool is_desired_in_force(const publish_t *publish);
 static int post_change(publish_t *publish);
-static int read_verdict(publish_t *publish,
-			const wwh_operator_answer_t *answer);
+static int handle_verdict(publish_t *publish,
+			  const wwh_operator_answer_t *answer);
 static void print_conflict(const publish_t *publish, JsonObject *object,
 			   int64_t version);
-static int look_for_outcome(publish_t *publish);
-static int finish(publish_t *publish, const char *verdict, int64_t version);
+static int poll_for_outcome(publish_t *publish);
+static int wait_and_report(publish_t *publish, const char *verdict,
+			   int64_t version);
 
 int wwh_cmd_publish(int argc, char **argv)
 {
@@ -47,10 +48,10 @@
 
 	wwh_cli_init(&publish.cli);
 	if (parse_options(&publish, &argc, &argv)) {
-		publish.wanted = wwh_config_new();
-		code = run(&publish);
+		publish.desired = wwh_config_new();
+		code = publish_files(&publish);
 	}
-	wwh_config_unref(publish.wanted);
+	wwh_config_unref(publish.desired);
 	wwh_config_unref(publish.in_force);
 	g_free(publish.inventory_path);
 	g_free(publish.rules_path);
@@ -67,7 +68,7 @@
 		{ "rules", 'r', 0, G_OPTION_ARG_FILENAME, &publish->rules_path,
 		  "pools, services, teams, windows and rules", "FILE" },
 		{ "wait-ms", 0, 0, G_OPTION_ARG_INT, &publish->wait_ms,
-		  "how long to wait until it is in force everywhere "
+		  "time to wait in ms until it is in force everywhere "
 		  "(default 10000)",
 		  "N" },
 		{ NULL },
@@ -79,7 +80,7 @@
 			   "configuration in force,\nand waits until it is in "
 			   "force on every entry process.",
 			   extra) ||
-	    !wwh_cli_no_arguments(*argc, *argv))
+	    !wwh_cli_check_no_arguments(*argc, *argv))
 		return false;
 	if (publish->inventory_path != NULL && publish->rules_path != NULL &&
 	    publish->wait_ms >= 0)
@@ -91,11 +92,11 @@
 	return false;
 }
 
-static int run(publish_t *publish)
+static int publish_files(publish_t *publish)
 {
 	int code;
 
-	if (wwh_config_load(publish->wanted, publish->inventory_path,
+	if (wwh_config_load(publish->desired, publish->inventory_path,
 			    publish->rules_path, wwh_cli_print_error,
 			    NULL) != WWH_STATUS_OK)
 		return WWH_EXIT_BAD_INPUT;
@@ -103,9 +104,9 @@
 	if (code != WWH_EXIT_OK)
 		return code;
 	publish->sent_us = g_get_monotonic_time();
-	if (is_in_force(publish))
-		return finish(publish, "unchanged",
-			      wwh_config_version(publish->in_force));
+	if (is_desired_in_force(publish))
+		return wait_and_report(publish, "unchanged",
+				       wwh_config_version(publish->in_force));
 	return post_change(publish);
 }
 
@@ -122,13 +123,13 @@
 		fprintf(stderr, "%s: not run\n", message.text);
 		return WWH_EXIT_UNAVAILABLE;
 	}
-	code = read_in_force(publish, &answer);
+	code = decode_in_force(publish, &answer);
 	wwh_operator_answer_clear(&answer);
 	return code;
 }
 
-static int read_in_force(publish_t *publish,
-			 const wwh_operator_answer_t *answer)
+static int decode_in_force(publish_t *publish,
+			   const wwh_operator_answer_t *answer)
 {
 	wwh_config_change_t *change = NULL;
 	wwh_config_t *config = NULL;
@@ -158,10 +159,10 @@
 	return WWH_EXIT_OK;
 }
 
-static bool is_in_force(const publish_t *publish)
+static bool is_desired_in_force(const publish_t *publish)
 {
 	wwh_config_change_t *change =
-		wwh_config_diff(publish->in_force, publish->wanted);
+		wwh_config_diff(publish->in_force, publish->desired);
 	bool same = wwh_config_change_count(change) == 0;
 
 	wwh_config_change_delete(change);
@@ -171,7 +172,7 @@
 static int post_change(publish_t *publish)
 {
 	wwh_config_change_t *change =
-		wwh_config_diff(publish->in_force, publish->wanted);
+		wwh_config_diff(publish->in_force, publish->desired);
 	GBytes *body = wwh_config_change_encode(change);
 	char *author = g_uri_escape_string(publish->cli.author, NULL, FALSE);
 	char *path = g_strdup_printf(
@@ -190,14 +191,14 @@
 	status = wwh_cli_call(&publish->cli, &request, &answer,
 			      &publish->server, &message);
 	if (status == WWH_STATUS_OK) {
-		code = read_verdict(publish, &answer);
+		code = handle_verdict(publish, &answer);
 		wwh_operator_answer_clear(&answer);
 	} else if (status == WWH_STATUS_UNAVAILABLE) {
-		code = wwh_cli_call_failed(status, &message);
+		code = wwh_cli_report_call_failure(status, &message);
 	} else {
 		fprintf(stderr, "%s: looking whether it was published\n",
 			message.text);
-		code = look_for_outcome(publish);
+		code = poll_for_outcome(publish);
 	}
 	g_free(path);
 	g_free(author);
@@ -206,7 +207,8 @@
 	return code;
 }
 
-static int read_verdict(publish_t *publish, const wwh_operator_answer_t *answer)
+static int handle_verdict(publish_t *publish,
+			  const wwh_operator_answer_t *answer)
 {
 	JsonParser *parser = json_parser_new();
 	JsonObject *object = NULL;
@@ -217,7 +219,7 @@
 		g_object_unref(parser);
 		fprintf(stderr, "%s: looking whether it was published\n",
 			publish->server);
-		return look_for_outcome(publish);
+		return poll_for_outcome(publish);
 	}
 	if (json_parser_load_from_data(parser, answer->body,
 				       (gssize)answer->body_size, NULL) &&
@@ -228,7 +230,7 @@
 		version = json_object_get_int_member_with_default(
 			object, "version", -1);
 	if (answer->http_status == HTTP_OK && version > 0) {
-		code = finish(publish, "accepted", version);
+		code = wait_and_report(publish, "accepted", version);
 	} else {
 		if (answer->http_status == HTTP_CONFLICT && object != NULL)
 			print_conflict(publish, object, version);
@@ -260,20 +262,22 @@
 }
 
 /*
- * The answer was lost, but the change may have been appended. It is not sent
- * again: what is in force tells whether it took effect.
+ * Called when the answer was lost or left the outcome open: the change may have
+ * been appended. It is not sent again; the configuration in force shows whether
+ * it took effect.
  */
-static int look_for_outcome(publish_t *publish)
+static int poll_for_outcome(publish_t *publish)
 {
 	int64_t end_us =
 		g_get_monotonic_time() + (int64_t)publish->wait_ms * US_PER_MS;
 
 	do {
-		g_usleep(LOOK_ROUND_MS * US_PER_MS);
+		g_usleep(OUTCOME_POLL_INTERVAL_MS * US_PER_MS);
 		if (fetch_in_force(publish) == WWH_EXIT_OK &&
-		    is_in_force(publish))
-			return finish(publish, "accepted",
-				      wwh_config_version(publish->in_force));
+		    is_desired_in_force(publish))
+			return wait_and_report(
+				publish, "accepted",
+				wwh_config_version(publish->in_force));
 	} while (g_get_monotonic_time() < end_us);
 	fprintf(stderr,
 		"%s; publishing the same files again is harmless: "
@@ -282,14 +286,15 @@
 	return WWH_EXIT_UNKNOWN;
 }
 
-static int finish(publish_t *publish, const char *verdict, int64_t version)
+static int wait_and_report(publish_t *publish, const char *verdict,
+			   int64_t version)
 {
 	const wwh_rollout_t rollout = {
 		.cli = &publish->cli,
 		.server = publish->server,
 		.version = version,
 		.start_us = publish->sent_us,
-		.limit_ms = publish->wait_ms,
+		.timeout_ms = publish->wait_ms,
 	};
 	JsonBuilder *builder = json_builder_new();
 	JsonNode *root;
--- a/src/waxwinghollow/cmd_rehearse.c
+++ b/src/waxwinghollow/cmd_rehearse.c
@@ -1,13 +1,18 @@
 #include "commands.h"
 #include "verbs.h"
 
-#define START "/v1/rehearse/start"
+#define START_PATH "/v1/rehearse/start"
 
 static const wwh_verb_t verbs[] = {
-	{ "worker", START, "domain", "worker", { "id" }, "lose one worker" },
-	{ "rack", START, "domain", "rack", { "id" }, "lose a rack" },
+	{ "worker",
+	  START_PATH,
+	  "domain",
+	  "worker",
+	  { "id" },
+	  "lose one worker" },
+	{ "rack", START_PATH, "domain", "rack", { "id" }, "lose a rack" },
 	{ "zone",
-	  START,
+	  START_PATH,
 	  "domain",
 	  "zone",
 	  { "id" },
@@ -17,7 +22,7 @@
 	  NULL,
 	  NULL,
 	  { "rehearsal" },
-	  "give everything back now" },
+	  "end the rehearsal now and restore the domain" },
 	{ "report",
 	  "/v1/rehearse/report",
 	  NULL,
--- a/src/waxwinghollow/cmd_serve.c
+++ b/src/waxwinghollow/cmd_serve.c
@@ -14,8 +14,8 @@
 		{ "settings", 's', 0, G_OPTION_ARG_FILENAME, &path,
 		  "settings of this process", "FILE" },
 		{ "platform", 'p', 0, G_OPTION_ARG_NONE, &on_platform,
-		  "run the job service; FILE is the platform's, by default "
-		  "the one that it names",
+		  "run the job service; FILE is a platform settings file "
+		  "(default: the one that the platform names)",
 		  NULL },
 		{ NULL },
 	};
@@ -23,8 +23,8 @@
 	wwh_status_t status;
 	int code;
 
-	if (!wwh_cli_parse_plain(&argc, &argv, "run one entry process",
-				 options))
+	if (!wwh_cli_parse_without_server(&argc, &argv, "run one entry process",
+					  options))
 		return WWH_EXIT_USAGE;
 	if (on_platform && argc == 1) {
 		code = wwh_serve_platform(path);
--- a/src/waxwinghollow/cmd_status.c
+++ b/src/waxwinghollow/cmd_status.c
@@ -19,9 +19,9 @@
 			  "Shows processes, pools and waves as one entry "
 			  "process sees them.",
 			  options) &&
-	    wwh_cli_no_arguments(argc, argv))
-		code = wwh_cli_show(&cli,
-				    capacity ? "/v1/capacity" : "/v1/status");
+	    wwh_cli_check_no_arguments(argc, argv))
+		code = wwh_cli_get_and_print(&cli, capacity ? "/v1/capacity"
+							    : "/v1/status");
 	wwh_cli_finish(&cli);
 	return code;
 }
--- a/src/waxwinghollow/cmd_wave.c
+++ b/src/waxwinghollow/cmd_wave.c
@@ -19,14 +19,19 @@
 	  NULL,
 	  NULL,
 	  { "wave" },
-	  "begin no more workers" },
-	{ "resume", "/v1/wave/resume", NULL, NULL, { "wave" }, "go on" },
+	  "take no more workers out" },
+	{ "resume",
+	  "/v1/wave/resume",
+	  NULL,
+	  NULL,
+	  { "wave" },
+	  "continue a paused wave" },
 	{ "abort",
 	  "/v1/wave/abort",
 	  NULL,
 	  NULL,
 	  { "wave" },
-	  "begin no more workers for good; those begun are finished" },
+	  "end a wave; workers already taken out are finished" },
 };
 
 int wwh_cmd_wave(int argc, char **argv)
--- a/src/waxwinghollow/commands.h
+++ b/src/waxwinghollow/commands.h
@@ -13,16 +13,16 @@
 typedef enum {
 	WWH_EXIT_OK = 0,
 	WWH_EXIT_FAILED, /* the reason is on standard error */
-	WWH_EXIT_USAGE, /* bad options */
-	WWH_EXIT_BAD_INPUT, /* a file or argument is refused */
-	WWH_EXIT_CONFLICT, /* someone else's change came first */
-	WWH_EXIT_UNAVAILABLE, /* surely not run; may be tried again */
-	WWH_EXIT_UNKNOWN, /* may have taken effect; look before repeating */
+	WWH_EXIT_USAGE, /* invalid options */
+	WWH_EXIT_BAD_INPUT, /* a file or argument was rejected */
+	WWH_EXIT_CONFLICT, /* another change was made first */
+	WWH_EXIT_UNAVAILABLE, /* not run, safe to retry */
+	WWH_EXIT_UNKNOWN, /* may have taken effect: check before a retry */
 	WWH_EXIT_INCOMPLETE, /* published, but not in force everywhere yet */
 	WWH_EXIT_COUNT
 } wwh_exit_t;
 
-/* One line on each wwh_exit_t, in the same order. */
+/* Descriptions of the exit codes for --help, indexed by wwh_exit_t. */
 extern const char *const wwh_exit_texts[WWH_EXIT_COUNT];
 
 int wwh_cmd_serve(int argc, char **argv);
--- a/src/waxwinghollow/main.c
+++ b/src/waxwinghollow/main.c
@@ -12,7 +12,7 @@
 typedef struct {
 	const char *name;
 	int (*run)(int argc, char **argv);
-	const char *text;
+	const char *summary; /* for --help */
 } command_t;
 
 static const command_t commands[] = {
@@ -20,12 +20,12 @@
 	{ "check", wwh_cmd_check, "check settings, inventory and rules" },
 	{ "publish", wwh_cmd_publish, "put inventory and rules in force" },
 	{ "status", wwh_cmd_status, "processes, pools and waves" },
-	{ "dump", wwh_cmd_dump, "the whole state of one process" },
+	{ "dump", wwh_cmd_dump, "the complete state of one process" },
 	{ "wave", wwh_cmd_wave, "plan and run maintenance waves" },
 	{ "rehearse", wwh_cmd_rehearse, "cause a failure on purpose" },
 	{ "move", wwh_cmd_move, "move a worker to another pool" },
 	{ "job", wwh_cmd_job, "submit and cancel jobs" },
-	{ "explain", wwh_cmd_explain, "what logs say of a job or task" },
+	{ "explain", wwh_cmd_explain, "list the log lines of a job or task" },
 };
 
 const char *const wwh_exit_texts[WWH_EXIT_COUNT] = {
@@ -34,7 +34,7 @@
 	"bad options",
 	"a file or argument is refused",
 	"someone else's change came first",
-	"surely not run, may be tried again",
+	"not run, safe to retry",
 	"outcome unknown, look before repeating",
 	"published, but not in force everywhere within the time limit",
 };
@@ -71,8 +71,8 @@
 		     "Commands (each has --help):\n");
 	for (size_t i = 0; i < G_N_ELEMENTS(commands); i++)
 		fprintf(out, "  %-10s %s\n", commands[i].name,
-			commands[i].text);
-	fprintf(out, "\nOptions:\n  --help     this text\n"
+			commands[i].summary);
+	fprintf(out, "\nOptions:\n  --help     show help\n"
 		     "  --version  the version\n\nExit codes:\n");
 	for (int code = 0; code < WWH_EXIT_COUNT; code++)
 		fprintf(out, "  %d  %s\n", code, wwh_exit_texts[code]);
--- a/src/waxwinghollow/print_json.c
+++ b/src/waxwinghollow/print_json.c
@@ -14,14 +14,14 @@
 static void print_scalars(printer_t *printer, JsonObject *object, GList *names);
 static void print_nested(printer_t *printer, const char *name, JsonNode *node);
 static void print_table(printer_t *printer, JsonArray *rows);
-static GPtrArray *columns_of(JsonArray *rows);
+static GPtrArray *collect_columns(JsonArray *rows);
 static void add_columns(GPtrArray *columns, JsonObject *row);
 static void print_row(printer_t *printer, GPtrArray *cells, const int *widths);
 static bool is_table(JsonNode *node);
-static bool is_plain(JsonNode *node);
-static char *cell_text(JsonNode *node);
-static int columns_wide(const char *text);
-static void pad(printer_t *printer, int columns);
+static bool is_single_line(JsonNode *node);
+static char *format_cell(JsonNode *node);
+static int text_width(const char *text);
+static void print_padding(printer_t *printer, int columns);
 
 void wwh_print_json(JsonNode *node, FILE *out)
 {
@@ -33,7 +33,7 @@
 	} else if (is_table(node)) {
 		print_table(&printer, json_node_get_array(node));
 	} else {
-		text = cell_text(node);
+		text = format_cell(node);
 		fprintf(out, "%s\n", text);
 		g_free(text);
 	}
@@ -44,11 +44,11 @@
 	GList *names = json_object_get_members(object);
 
 	print_scalars(printer, object, names);
-	for (GList *at = names; at != NULL; at = at->next) {
-		JsonNode *node = json_object_get_member(object, at->data);
+	for (GList *link = names; link != NULL; link = link->next) {
+		JsonNode *node = json_object_get_member(object, link->data);
 
-		if (!is_plain(node))
-			print_nested(printer, at->data, node);
+		if (!is_single_line(node))
+			print_nested(printer, link->data, node);
 	}
 	g_list_free(names);
 }
@@ -57,20 +57,20 @@
 {
 	int width = 0;
 
-	for (GList *at = names; at != NULL; at = at->next) {
-		if (is_plain(json_object_get_member(object, at->data)))
-			width = MAX(width, columns_wide(at->data));
+	for (GList *link = names; link != NULL; link = link->next) {
+		if (is_single_line(json_object_get_member(object, link->data)))
+			width = MAX(width, text_width(link->data));
 	}
-	for (GList *at = names; at != NULL; at = at->next) {
-		JsonNode *node = json_object_get_member(object, at->data);
+	for (GList *link = names; link != NULL; link = link->next) {
+		JsonNode *node = json_object_get_member(object, link->data);
 		char *text;
 
-		if (!is_plain(node))
+		if (!is_single_line(node))
 			continue;
-		text = cell_text(node);
-		pad(printer, printer->indent);
-		fprintf(printer->out, "%s", (char *)at->data);
-		pad(printer, width - columns_wide(at->data) + INDENT);
+		text = format_cell(node);
+		print_padding(printer, printer->indent);
+		fprintf(printer->out, "%s", (char *)link->data);
+		print_padding(printer, width - text_width(link->data) + INDENT);
 		fprintf(printer->out, "%s\n", text);
 		g_free(text);
 	}
@@ -78,7 +78,7 @@
 
 static void print_nested(printer_t *printer, const char *name, JsonNode *node)
 {
-	pad(printer, printer->indent);
+	print_padding(printer, printer->indent);
 	fprintf(printer->out, "%s:\n", name);
 	printer->indent += INDENT;
 	if (is_table(node))
@@ -90,22 +90,22 @@
 
 static void print_table(printer_t *printer, JsonArray *rows)
 {
-	GPtrArray *columns = columns_of(rows);
+	GPtrArray *columns = collect_columns(rows);
 	guint row_count = json_array_get_length(rows);
 	GPtrArray **cells = g_new0(GPtrArray *, row_count + 1);
 	int *widths = g_new0(int, columns->len + 1);
 
 	for (guint i = 0; i < columns->len; i++)
-		widths[i] = columns_wide(g_ptr_array_index(columns, i));
+		widths[i] = text_width(g_ptr_array_index(columns, i));
 	for (guint row = 0; row < row_count; row++) {
 		JsonObject *object = json_array_get_object_element(rows, row);
 
 		cells[row] = g_ptr_array_new_with_free_func(g_free);
 		for (guint i = 0; i < columns->len; i++) {
-			char *text = cell_text(json_object_get_member(
+			char *text = format_cell(json_object_get_member(
 				object, g_ptr_array_index(columns, i)));
 
-			widths[i] = MAX(widths[i], columns_wide(text));
+			widths[i] = MAX(widths[i], text_width(text));
 			g_ptr_array_add(cells[row], text);
 		}
 	}
@@ -119,8 +119,8 @@
 	g_ptr_array_unref(columns);
 }
 
-/* The members of all rows, in the order in which they first appear. */
-static GPtrArray *columns_of(JsonArray *rows)
+/* Returns the member names of all rows in the order of their first use. */
+static GPtrArray *collect_columns(JsonArray *rows)
 {
 	GPtrArray *columns = g_ptr_array_new_with_free_func(g_free);
 
@@ -133,28 +133,29 @@
 {
 	GList *names = json_object_get_members(row);
 
-	for (GList *at = names; at != NULL; at = at->next) {
-		if (!g_ptr_array_find_with_equal_func(columns, at->data,
+	for (GList *link = names; link != NULL; link = link->next) {
+		if (!g_ptr_array_find_with_equal_func(columns, link->data,
 						      g_str_equal, NULL))
-			g_ptr_array_add(columns, g_strdup(at->data));
+			g_ptr_array_add(columns, g_strdup(link->data));
 	}
 	g_list_free(names);
 }
 
 static void print_row(printer_t *printer, GPtrArray *cells, const int *widths)
 {
-	pad(printer, printer->indent);
+	print_padding(printer, printer->indent);
 	for (guint i = 0; i < cells->len; i++) {
 		const char *text = g_ptr_array_index(cells, i);
 
 		fprintf(printer->out, "%s", text);
 		if (i + 1 < cells->len)
-			pad(printer, widths[i] - columns_wide(text) + INDENT);
+			print_padding(printer,
+				      widths[i] - text_width(text) + INDENT);
 	}
 	fprintf(printer->out, "\n");
 }
 
-/* A list of one object or more. */
+/* A table is a non-empty list of objects only. */
 static bool is_table(JsonNode *node)
 {
 	JsonArray *array;
@@ -169,13 +170,13 @@
 	return json_array_get_length(array) > 0;
 }
 
-/* What fits on one line. */
-static bool is_plain(JsonNode *node)
+/* Values printed on one line: all but objects and tables. */
+static bool is_single_line(JsonNode *node)
 {
 	return !JSON_NODE_HOLDS_OBJECT(node) && !is_table(node);
 }
 
-static char *cell_text(JsonNode *node)
+static char *format_cell(JsonNode *node)
 {
 	if (node == NULL || JSON_NODE_HOLDS_NULL(node))
 		return g_strdup("-");
@@ -185,12 +186,12 @@
 	return json_to_string(node, FALSE);
 }
 
-static int columns_wide(const char *text)
+static int text_width(const char *text)
 {
 	return (int)g_utf8_strlen(text, -1);
 }
 
-static void pad(printer_t *printer, int columns)
+static void print_padding(printer_t *printer, int columns)
 {
 	fprintf(printer->out, "%*s", MAX(columns, 0), "");
 }
--- a/src/waxwinghollow/print_json.h
+++ b/src/waxwinghollow/print_json.h
@@ -3,12 +3,12 @@
 
 /*
  * NAME
- *	print_json - a JSON value as lines and tables for people
+ *	print_json - prints a JSON value as readable lines and tables
  *
  * USE
- *	An object becomes one line a member, a list of objects a table with a
- *	column a member. What a server adds to its answers shows up without a
- *	change here.
+ *	An object is printed with one line for each member, a list of objects
+ *	as a table with one column for each member. Members that a server adds
+ *	to its answers are printed without a change here.
  */
 
 #include <json-glib/json-glib.h>
--- a/src/waxwinghollow/rollout.c
+++ b/src/waxwinghollow/rollout.c
@@ -4,64 +4,65 @@
 #include <string.h>
 #include <unistd.h>
 
-#define ROUND_MS 20
+#define POLL_INTERVAL_MS 20
 #define CALL_TIMEOUT_MS 1000
 #define US_PER_MS 1000
 
 typedef struct {
 	char *process;
-	char *address; /* of its operator listener */
-	int64_t version; /* -1: has not answered */
-	bool listed; /* in this round */
-	bool asked; /* in this round */
-	char *note; /* why it did not answer */
+	char *address; /* operator listener, "" while unknown */
+	int64_t version; /* -1 until the process has answered */
+	bool listed; /* in this poll */
+	bool queried; /* in this poll */
+	char *note; /* why the last query failed, or NULL */
 } member_t;
 
 static void member_free(gpointer data);
-static JsonParser *get_status(const wwh_cli_t *cli, const char *address,
-			      wwh_message_t *message);
-static bool refresh(const wwh_cli_t *cli, const char *server,
-		    GPtrArray *members);
-static bool refresh_from(const wwh_cli_t *cli, const char *server,
-			 GPtrArray *members);
-static void note_silence(GPtrArray *members, const char *address,
-			 const wwh_message_t *message);
+static JsonParser *fetch_status(const wwh_cli_t *cli, const char *address,
+				wwh_message_t *message);
+static bool refresh_members(const wwh_cli_t *cli, const char *server,
+			    GPtrArray *members);
+static bool refresh_from_server(const wwh_cli_t *cli, const char *server,
+				GPtrArray *members);
+static void mark_unanswered(GPtrArray *members, const char *address,
+			    const wwh_message_t *message);
 static void set_note(member_t *member, const char *note);
-static void note_listed(GPtrArray *members, JsonArray *listed);
+static void mark_listed(GPtrArray *members, JsonArray *listed);
 static member_t *find_or_add(GPtrArray *members, const char *process,
 			     const char *address);
 static bool has_left(const char *state);
-static void ask(const wwh_cli_t *cli, member_t *member);
+static void query_member(const wwh_cli_t *cli, member_t *member);
 static int32_t count_in_force(const GPtrArray *members, int64_t version);
-static void show_progress(const GPtrArray *members, int64_t version);
-static void add_report(const GPtrArray *members, int64_t version,
+static void print_progress(const GPtrArray *members, int64_t version);
+static void add_result(const GPtrArray *members, int64_t version,
 		       bool everywhere, JsonBuilder *builder);
-static const char *text_member(JsonObject *object, const char *name);
+static const char *string_member(JsonObject *object, const char *name);
 
 bool wwh_rollout_wait(const wwh_rollout_t *rollout, JsonBuilder *builder)
 {
 	const wwh_cli_t *cli = rollout->cli;
 	const int64_t version = rollout->version;
-	int64_t end_us = g_get_monotonic_time() + rollout->limit_ms * US_PER_MS;
+	int64_t end_us =
+		g_get_monotonic_time() + rollout->timeout_ms * US_PER_MS;
 	GPtrArray *members = g_ptr_array_new_with_free_func(member_free);
 	bool everywhere = false;
 
 	for (;;) {
-		bool listed = refresh(cli, rollout->server, members);
+		bool listed = refresh_members(cli, rollout->server, members);
 
 		for (guint i = 0; i < members->len; i++) {
 			member_t *member = g_ptr_array_index(members, i);
 
-			if (member->version < version && !member->asked)
-				ask(cli, member);
+			if (member->version < version && !member->queried)
+				query_member(cli, member);
 		}
-		show_progress(members, version);
+		print_progress(members, version);
 		everywhere = listed && members->len > 0 &&
 			     count_in_force(members, version) ==
 				     (int32_t)members->len;
 		if (everywhere || g_get_monotonic_time() >= end_us)
 			break;
-		g_usleep(ROUND_MS * US_PER_MS);
+		g_usleep(POLL_INTERVAL_MS * US_PER_MS);
 	}
 	if (isatty(STDERR_FILENO))
 		fprintf(stderr, "\n");
@@ -69,7 +70,7 @@
 	json_builder_add_int_value(
 		builder,
 		(g_get_monotonic_time() - rollout->start_us) / US_PER_MS);
-	add_report(members, version, everywhere, builder);
+	add_result(members, version, everywhere, builder);
 	g_ptr_array_unref(members);
 	return everywhere;
 }
@@ -84,9 +85,9 @@
 	g_free(member);
 }
 
-/* NULL and a message when there is no usable answer. */
-static JsonParser *get_status(const wwh_cli_t *cli, const char *address,
-			      wwh_message_t *message)
+/* Returns NULL and sets message unless the answer is a JSON object with 200. */
+static JsonParser *fetch_status(const wwh_cli_t *cli, const char *address,
+				wwh_message_t *message)
 {
 	const wwh_operator_request_t request = { .path = "/v1/status" };
 	wwh_operator_options_t options = wwh_operator_options_defaults();
@@ -116,12 +117,14 @@
 }
 
 /*
- * Asks all servers that were given, not only the one that accepted: just after
- * a start it may not know its peers yet, and "everywhere" would mean itself.
- * Members that are no longer listed are dropped.
+ * Queries all servers of the command line, not only the one that accepted the
+ * change: just after its start that process may not know its peers yet, and the
+ * version would count as in force everywhere when only that process has it.
+ * Removes members that are no longer listed. Returns false, and removes none,
+ * if no server answers.
  */
-static bool refresh(const wwh_cli_t *cli, const char *server,
-		    GPtrArray *members)
+static bool refresh_members(const wwh_cli_t *cli, const char *server,
+			    GPtrArray *members)
 {
 	bool answered = false;
 
@@ -129,13 +132,13 @@
 		member_t *member = g_ptr_array_index(members, i);
 
 		member->listed = false;
-		member->asked = false;
+		member->queried = false;
 	}
-	answered = refresh_from(cli, server, members);
+	answered = refresh_from_server(cli, server, members);
 	for (char **other = cli->servers; *other != NULL; other++) {
 		if (strcmp(*other, server) != 0)
-			answered =
-				refresh_from(cli, *other, members) || answered;
+			answered = refresh_from_server(cli, *other, members) ||
+				   answered;
 	}
 	if (!answered)
 		return false;
@@ -146,44 +149,47 @@
 	return true;
 }
 
-/* A server that doesn't answer counts only when another lists it. */
-static bool refresh_from(const wwh_cli_t *cli, const char *server,
-			 GPtrArray *members)
+/* A server that doesn't answer is a member only if another server lists it. */
+static bool refresh_from_server(const wwh_cli_t *cli, const char *server,
+				GPtrArray *members)
 {
 	wwh_message_t message;
-	JsonParser *parser = get_status(cli, server, &message);
+	JsonParser *parser = fetch_status(cli, server, &message);
 	JsonObject *status;
 	JsonNode *listed;
 	member_t *self;
 
 	if (parser == NULL) {
-		note_silence(members, server, &message);
+		mark_unanswered(members, server, &message);
 		return false;
 	}
 	status = json_node_get_object(json_parser_get_root(parser));
-	self = find_or_add(members, text_member(status, "process"), server);
+	self = find_or_add(members, string_member(status, "process"), server);
 	self->listed = true;
-	self->asked = true;
+	self->queried = true;
 	set_note(self, NULL);
 	self->version = json_object_get_int_member_with_default(
 		status, "config_version", -1);
 	listed = json_object_get_member(status, "members");
 	if (listed != NULL && JSON_NODE_HOLDS_ARRAY(listed))
-		note_listed(members, json_node_get_array(listed));
+		mark_listed(members, json_node_get_array(listed));
 	g_object_unref(parser);
 	return true;
 }
 
-/* Spares a second wait for the same silent process in this round. */
-static void note_silence(GPtrArray *members, const char *address,
-			 const wwh_message_t *message)
+/*
+ * Records the failure for the member at an address that didn't answer, and marks
+ * it as queried, so that this poll doesn't wait for its timeout a second time.
+ */
+static void mark_unanswered(GPtrArray *members, const char *address,
+			    const wwh_message_t *message)
 {
 	for (guint i = 0; i < members->len; i++) {
 		member_t *member = g_ptr_array_index(members, i);
 
 		if (strcmp(member->address, address) != 0)
 			continue;
-		member->asked = true;
+		member->queried = true;
 		set_note(member, message->text);
 	}
 }
@@ -194,7 +200,7 @@
 	member->note = g_strdup(note);
 }
 
-static void note_listed(GPtrArray *members, JsonArray *listed)
+static void mark_listed(GPtrArray *members, JsonArray *listed)
 {
 	for (guint i = 0; i < json_array_get_length(listed); i++) {
 		JsonNode *node = json_array_get_element(listed, i);
@@ -203,15 +209,15 @@
 		if (!JSON_NODE_HOLDS_OBJECT(node))
 			continue;
 		object = json_node_get_object(node);
-		if (has_left(text_member(object, "state")))
+		if (has_left(string_member(object, "state")))
 			continue;
-		find_or_add(members, text_member(object, "process"),
-			    text_member(object, "operator_address"))
+		find_or_add(members, string_member(object, "process"),
+			    string_member(object, "operator_address"))
 			->listed = true;
 	}
 }
 
-/* The first address that is known for a process is kept. */
+/* The address of a member is the first known one; later ones are ignored. */
 static member_t *find_or_add(GPtrArray *members, const char *process,
 			     const char *address)
 {
@@ -243,27 +249,27 @@
 	return g_strv_contains(states, state);
 }
 
-static void ask(const wwh_cli_t *cli, member_t *member)
+static void query_member(const wwh_cli_t *cli, member_t *member)
 {
 	wwh_message_t message = { "" };
 	JsonParser *parser;
 	JsonObject *status;
 
-	member->asked = true;
+	member->queried = true;
 	if (*member->address == '\0') {
 		set_note(member, "listed without an operator address, and no "
 				 "--server answers as it");
 		return;
 	}
-	parser = get_status(cli, member->address, &message);
+	parser = fetch_status(cli, member->address, &message);
 	if (parser == NULL) {
 		set_note(member, message.text);
 		return;
 	}
 	set_note(member, NULL);
 	status = json_node_get_object(json_parser_get_root(parser));
-	/* Another process may have got the address since. */
-	if (strcmp(text_member(status, "process"), member->process) != 0)
+	/* The address may have been reassigned to another process. */
+	if (strcmp(string_member(status, "process"), member->process) != 0)
 		set_note(member, "another process answers there");
 	else
 		member->version = json_object_get_int_member_with_default(
@@ -283,7 +289,7 @@
 	return count;
 }
 
-static void show_progress(const GPtrArray *members, int64_t version)
+static void print_progress(const GPtrArray *members, int64_t version)
 {
 	if (!isatty(STDERR_FILENO))
 		return;
@@ -294,7 +300,7 @@
 	(void)fflush(stderr);
 }
 
-static void add_report(const GPtrArray *members, int64_t version,
+static void add_result(const GPtrArray *members, int64_t version,
 		       bool everywhere, JsonBuilder *builder)
 {
 	json_builder_set_member_name(builder, "in_force_everywhere");
@@ -322,8 +328,8 @@
 	json_builder_end_array(builder);
 }
 
-/* "" when there is no such text. */
-static const char *text_member(JsonObject *object, const char *name)
+/* Returns "" if the member is absent or not a string. */
+static const char *string_member(JsonObject *object, const char *name)
 {
 	JsonNode *node = json_object_get_member(object, name);
 
--- a/src/waxwinghollow/serve.c
+++ b/src/waxwinghollow/serve.c
@@ -47,18 +47,24 @@
 	return WWH_EXIT_OK;
 }
 
-/* Lines above the wanted level are dropped; GLib's writer does the rest. */
+/*
+ * Drops messages less severe than the configured level and passes the others
+ * to GLib's standard writer.
+ */
 static GLogWriterOutput write_log(GLogLevelFlags level, const GLogField *fields,
 				  gsize field_count, gpointer client_data)
 {
-	int32_t wanted = GPOINTER_TO_INT(client_data);
+	int32_t max_level = GPOINTER_TO_INT(client_data);
 
-	if ((int32_t)(level & G_LOG_LEVEL_MASK) > wanted)
+	if ((int32_t)(level & G_LOG_LEVEL_MASK) > max_level)
 		return G_LOG_WRITER_HANDLED;
 	return g_log_writer_standard_streams(level, fields, field_count, NULL);
 }
 
-/* Every thread inherits the mask, so only sigwait sees the signals. */
+/*
+ * Called before any thread is started: threads inherit the mask, so that the
+ * signals are delivered to sigwait only.
+ */
 static void block_signals(sigset_t *signals)
 {
 	sigemptyset(signals);
--- a/src/waxwinghollow/serve_platform.c
+++ b/src/waxwinghollow/serve_platform.c
@@ -10,7 +10,7 @@
 #include "waxwinghollow/job_service.h"
 
 static void block_signals(sigset_t *signals);
-static void reload(wwh_job_service_t *service, const char *path);
+static void reload_settings(wwh_job_service_t *service, const char *path);
 
 int wwh_serve_platform(const char *path)
 {
@@ -35,14 +35,17 @@
 	while (signal_number != SIGTERM && signal_number != SIGINT) {
 		sigwait(&signals, &signal_number);
 		if (signal_number == SIGHUP)
-			reload(service, path);
+			reload_settings(service, path);
 	}
 	cut_off = wwh_job_service_finish(service);
 	wwh_job_service_delete(service);
 	return cut_off == 0 ? WWH_EXIT_OK : WWH_EXIT_FAILED;
 }
 
-/* Every thread inherits the mask, so only sigwait sees the signals. */
+/*
+ * Called before any thread is started: threads inherit the mask, so that the
+ * signals are delivered to sigwait only.
+ */
 static void block_signals(sigset_t *signals)
 {
 	sigemptyset(signals);
@@ -53,8 +56,8 @@
 	signal(SIGPIPE, SIG_IGN);
 }
 
-/* A file with errors changes nothing; its errors are printed. */
-static void reload(wwh_job_service_t *service, const char *path)
+/* Prints the errors of an invalid file and keeps the current settings. */
+static void reload_settings(wwh_job_service_t *service, const char *path)
 {
 	wwh_host_settings_t settings;
 
--- a/src/waxwinghollow/verbs.c
+++ b/src/waxwinghollow/verbs.c
@@ -3,17 +3,17 @@
 #include <stdio.h>
 #include <string.h>
 
-static char *summary_of(const wwh_verb_command_t *command);
+static char *build_summary(const wwh_verb_command_t *command);
 static const wwh_verb_t *find_verb(const wwh_verb_command_t *command, int argc,
 				   char **argv);
 static int count_parameters(const wwh_verb_t *verb);
-static char *body_of(const wwh_verb_command_t *command, const wwh_cli_t *cli,
-		     const wwh_verb_t *verb, char **arguments);
-static int post(const wwh_cli_t *cli, const char *path, const char *body);
+static char *build_body(const wwh_verb_command_t *command, const wwh_cli_t *cli,
+			const wwh_verb_t *verb, char **arguments);
+static int post_json(const wwh_cli_t *cli, const char *path, const char *body);
 
 int wwh_verb_run(const wwh_verb_command_t *command, int argc, char **argv)
 {
-	char *summary = summary_of(command);
+	char *summary = build_summary(command);
 	const wwh_verb_t *verb = NULL;
 	int code = WWH_EXIT_USAGE;
 	wwh_cli_t cli;
@@ -23,9 +23,9 @@
 			  command->options))
 		verb = find_verb(command, argc, argv);
 	if (verb != NULL) {
-		char *body = body_of(command, &cli, verb, argv + 2);
+		char *body = build_body(command, &cli, verb, argv + 2);
 
-		code = post(&cli, verb->path, body);
+		code = post_json(&cli, verb->path, body);
 		g_free(body);
 	}
 	wwh_cli_finish(&cli);
@@ -33,8 +33,8 @@
 	return code;
 }
 
-void wwh_verb_add_text(JsonBuilder *builder, const char *name,
-		       const char *value)
+void wwh_verb_add_string(JsonBuilder *builder, const char *name,
+			 const char *value)
 {
 	if (value == NULL)
 		return;
@@ -50,7 +50,7 @@
 	json_builder_add_int_value(builder, value);
 }
 
-static char *summary_of(const wwh_verb_command_t *command)
+static char *build_summary(const wwh_verb_command_t *command)
 {
 	GString *text = g_string_new("Verbs:");
 
@@ -65,7 +65,7 @@
 			g_free(upper);
 		}
 		g_string_append_printf(text, "\n  %-24s %s", usage->str,
-				       verb->text);
+				       verb->summary);
 		g_string_free(usage, TRUE);
 	}
 	return g_string_free(text, FALSE);
@@ -104,13 +104,14 @@
 {
 	int count = 0;
 
-	while (count < WWH_VERB_PARAMETERS && verb->parameters[count] != NULL)
+	while (count < WWH_VERB_MAX_PARAMETERS &&
+	       verb->parameters[count] != NULL)
 		count++;
 	return count;
 }
 
-static char *body_of(const wwh_verb_command_t *command, const wwh_cli_t *cli,
-		     const wwh_verb_t *verb, char **arguments)
+static char *build_body(const wwh_verb_command_t *command, const wwh_cli_t *cli,
+			const wwh_verb_t *verb, char **arguments)
 {
 	JsonBuilder *builder = json_builder_new_immutable();
 	char *request_id = g_uuid_string_random();
@@ -118,12 +119,13 @@
 	char *body;
 
 	json_builder_begin_object(builder);
-	wwh_verb_add_text(builder, "author", cli->author);
-	wwh_verb_add_text(builder, "request_id", request_id);
+	wwh_verb_add_string(builder, "author", cli->author);
+	wwh_verb_add_string(builder, "request_id", request_id);
 	if (verb->fixed_key != NULL)
-		wwh_verb_add_text(builder, verb->fixed_key, verb->fixed_value);
+		wwh_verb_add_string(builder, verb->fixed_key,
+				    verb->fixed_value);
 	for (int i = 0; i < count_parameters(verb); i++)
-		wwh_verb_add_text(builder, verb->parameters[i], arguments[i]);
+		wwh_verb_add_string(builder, verb->parameters[i], arguments[i]);
 	if (command->add_options != NULL)
 		command->add_options(builder, verb->name, command->client_data);
 	json_builder_end_object(builder);
@@ -135,7 +137,7 @@
 	return body;
 }
 
-static int post(const wwh_cli_t *cli, const char *path, const char *body)
+static int post_json(const wwh_cli_t *cli, const char *path, const char *body)
 {
 	const wwh_operator_request_t request = {
 		.path = path,
@@ -151,7 +153,7 @@
 	int code;
 
 	if (status != WWH_STATUS_OK)
-		return wwh_cli_call_failed(status, &message);
+		return wwh_cli_report_call_failure(status, &message);
 	code = wwh_cli_print_answer(cli, &answer);
 	wwh_operator_answer_clear(&answer);
 	return code;
