--- a/src/test_cli/fake_operator.c
+++ b/src/test_cli/fake_operator.c
@@ -12,18 +12,19 @@
 	GString *members;
 	fake_mode_t mode;
 	wwh_config_t *config;
-	int32_t posts;
+	int32_t post_count;
 	GString *last_post; /* "PATH BODY" */
 };
 
-/* The body so far of one request. */
-typedef GByteArray request_t;
+/* The part of a request's body received so far. */
+typedef GByteArray request_body_t;
 
-static enum MHD_Result handle(void *context, struct MHD_Connection *connection,
-			      const char *url, const char *method,
-			      const char *version, const char *data,
-			      size_t *data_size, void **request);
-static void request_done(void *context, struct MHD_Connection *connection,
+static enum MHD_Result handle_request(void *context,
+				      struct MHD_Connection *connection,
+				      const char *url, const char *method,
+				      const char *version, const char *data,
+				      size_t *data_size, void **request);
+static void free_request(void *context, struct MHD_Connection *connection,
 			 void **request, enum MHD_RequestTerminationCode code);
 static enum MHD_Result answer_get(fake_operator_t *fake,
 				  struct MHD_Connection *connection,
@@ -32,18 +33,19 @@
 				     struct MHD_Connection *connection);
 static enum MHD_Result answer_post(fake_operator_t *fake,
 				   struct MHD_Connection *connection,
-				   const char *url, request_t *body);
-static void apply(fake_operator_t *fake, const request_t *body);
-static enum MHD_Result answer(struct MHD_Connection *connection,
-			      unsigned int status, const char *format, ...)
-	__attribute__((format(printf, 3, 4)));
-static enum MHD_Result half_answer(struct MHD_Connection *connection);
-static ssize_t half_body(void *context, uint64_t at, char *buffer, size_t size);
+				   const char *url, request_body_t *body);
+static void apply_change(fake_operator_t *fake, const request_body_t *body);
+static enum MHD_Result queue_answer(struct MHD_Connection *connection,
+				    unsigned int status, const char *format,
+				    ...) __attribute__((format(printf, 3, 4)));
+static enum MHD_Result queue_half_answer(struct MHD_Connection *connection);
+static ssize_t read_half_body(void *context, uint64_t position, char *buffer,
+			      size_t size);
 
 fake_operator_t *fake_operator_new(const char *process)
 {
 	fake_operator_t *fake = g_new0(fake_operator_t, 1);
-	struct sockaddr_in any = {
+	struct sockaddr_in loopback = {
 		.sin_family = AF_INET,
 		.sin_addr.s_addr = htonl(INADDR_LOOPBACK),
 	};
@@ -55,9 +57,9 @@
 	fake->last_post = g_string_new(NULL);
 	fake->config = wwh_config_new();
 	fake->daemon = MHD_start_daemon(
-		MHD_USE_INTERNAL_POLLING_THREAD, 0, NULL, NULL, handle, fake,
-		MHD_OPTION_SOCK_ADDR, (struct sockaddr *)&any,
-		MHD_OPTION_NOTIFY_COMPLETED, request_done, NULL,
+		MHD_USE_INTERNAL_POLLING_THREAD, 0, NULL, NULL, handle_request,
+		fake, MHD_OPTION_SOCK_ADDR, (struct sockaddr *)&loopback,
+		MHD_OPTION_NOTIFY_COMPLETED, free_request, NULL,
 		MHD_OPTION_END);
 	g_assert_nonnull(fake->daemon);
 	info = MHD_get_daemon_info(fake->daemon, MHD_DAEMON_INFO_BIND_PORT);
@@ -120,14 +122,14 @@
 	return version;
 }
 
-int32_t fake_operator_posts(fake_operator_t *fake)
+int32_t fake_operator_post_count(fake_operator_t *fake)
 {
-	int32_t posts;
+	int32_t post_count;
 
 	g_mutex_lock(&fake->lock);
-	posts = fake->posts;
+	post_count = fake->post_count;
 	g_mutex_unlock(&fake->lock);
-	return posts;
+	return post_count;
 }
 
 char *fake_operator_last_post(fake_operator_t *fake)
@@ -140,10 +142,11 @@
 	return text;
 }
 
-static enum MHD_Result handle(void *context, struct MHD_Connection *connection,
-			      const char *url, const char *method,
-			      const char *version, const char *data,
-			      size_t *data_size, void **request)
+static enum MHD_Result handle_request(void *context,
+				      struct MHD_Connection *connection,
+				      const char *url, const char *method,
+				      const char *version, const char *data,
+				      size_t *data_size, void **request)
 {
 	fake_operator_t *fake = context;
 	enum MHD_Result result;
@@ -168,7 +171,7 @@
 	return result;
 }
 
-static void request_done(void *context, struct MHD_Connection *connection,
+static void free_request(void *context, struct MHD_Connection *connection,
 			 void **request, enum MHD_RequestTerminationCode code)
 {
 	(void)context;
@@ -183,17 +186,17 @@
 				  const char *url)
 {
 	if (fake->mode == FAKE_CLOSES_IN_BODY)
-		return half_answer(connection);
+		return queue_half_answer(connection);
 	if (fake->mode == FAKE_UNAVAILABLE)
-		return answer(connection, MHD_HTTP_SERVICE_UNAVAILABLE,
-			      "{\"verdict\": \"not run\"}");
+		return queue_answer(connection, MHD_HTTP_SERVICE_UNAVAILABLE,
+				    "{\"verdict\": \"not run\"}");
 	if (strcmp(url, "/v1/config") == 0)
 		return answer_config(fake, connection);
-	return answer(connection, MHD_HTTP_OK,
-		      "{\"process\": \"%s\", \"config_version\": "
-		      "%" G_GINT64_FORMAT ", \"members\": [%s]}",
-		      fake->process, wwh_config_version(fake->config),
-		      fake->members->str);
+	return queue_answer(connection, MHD_HTTP_OK,
+			    "{\"process\": \"%s\", \"config_version\": "
+			    "%" G_GINT64_FORMAT ", \"members\": [%s]}",
+			    fake->process, wwh_config_version(fake->config),
+			    fake->members->str);
 }
 
 static enum MHD_Result answer_config(fake_operator_t *fake,
@@ -222,43 +225,44 @@
 
 static enum MHD_Result answer_post(fake_operator_t *fake,
 				   struct MHD_Connection *connection,
-				   const char *url, request_t *body)
+				   const char *url, request_body_t *body)
 {
-	fake->posts++;
+	fake->post_count++;
 	g_string_printf(fake->last_post, "%s %.*s", url, (int)body->len,
 			(const char *)body->data);
 	switch (fake->mode) {
 	case FAKE_LOSES_REQUEST:
 		return MHD_NO;
 	case FAKE_CONFLICT:
-		return answer(connection, MHD_HTTP_CONFLICT,
-			      "{\"verdict\": \"stale-base\", \"version\": 9, "
-			      "\"author\": \"ann\"}");
+		return queue_answer(
+			connection, MHD_HTTP_CONFLICT,
+			"{\"verdict\": \"stale-base\", \"version\": 9, "
+			"\"author\": \"ann\"}");
 	case FAKE_MALFORMED:
-		return answer(connection, 422,
-			      "{\"verdict\": \"malformed\", \"message\": "
-			      "\"no such pool\"}");
+		return queue_answer(connection, 422,
+				    "{\"verdict\": \"malformed\", \"message\": "
+				    "\"no such pool\"}");
 	case FAKE_UNAVAILABLE:
-		return answer(connection, MHD_HTTP_SERVICE_UNAVAILABLE,
-			      "{\"verdict\": \"not run\"}");
+		return queue_answer(connection, MHD_HTTP_SERVICE_UNAVAILABLE,
+				    "{\"verdict\": \"not run\"}");
 	case FAKE_CLOSES_IN_BODY:
-		return half_answer(connection);
+		return queue_half_answer(connection);
 	default:
 		break;
 	}
 	if (strcmp(url, "/v1/publish") == 0)
-		apply(fake, body);
+		apply_change(fake, body);
 	if (fake->mode == FAKE_LOSES_ANSWER)
 		return MHD_NO;
-	return answer(connection,
-		      fake->mode == FAKE_UNKNOWN ? MHD_HTTP_ACCEPTED
-						 : MHD_HTTP_OK,
-		      "{\"verdict\": \"accepted\", \"version\": "
-		      "%" G_GINT64_FORMAT ", \"offset\": 77}",
-		      wwh_config_version(fake->config));
+	return queue_answer(connection,
+			    fake->mode == FAKE_UNKNOWN ? MHD_HTTP_ACCEPTED
+						       : MHD_HTTP_OK,
+			    "{\"verdict\": \"accepted\", \"version\": "
+			    "%" G_GINT64_FORMAT ", \"offset\": 77}",
+			    wwh_config_version(fake->config));
 }
 
-static void apply(fake_operator_t *fake, const request_t *body)
+static void apply_change(fake_operator_t *fake, const request_body_t *body)
 {
 	wwh_config_change_t *change;
 	wwh_config_t *next;
@@ -275,8 +279,9 @@
 	fake->config = next;
 }
 
-static enum MHD_Result answer(struct MHD_Connection *connection,
-			      unsigned int status, const char *format, ...)
+static enum MHD_Result queue_answer(struct MHD_Connection *connection,
+				    unsigned int status, const char *format,
+				    ...)
 {
 	struct MHD_Response *response;
 	enum MHD_Result result;
@@ -294,11 +299,11 @@
 	return result;
 }
 
-/* Declares 100 bytes and closes after half of them. */
-static enum MHD_Result half_answer(struct MHD_Connection *connection)
+/* Announces a body of 100 bytes and closes after 50 of them. */
+static enum MHD_Result queue_half_answer(struct MHD_Connection *connection)
 {
 	struct MHD_Response *response = MHD_create_response_from_callback(
-		100, 50, half_body, NULL, NULL);
+		100, 50, read_half_body, NULL, NULL);
 	enum MHD_Result result =
 		MHD_queue_response(connection, MHD_HTTP_OK, response);
 
@@ -306,12 +311,13 @@
 	return result;
 }
 
-static ssize_t half_body(void *context, uint64_t at, char *buffer, size_t size)
+static ssize_t read_half_body(void *context, uint64_t position, char *buffer,
+			      size_t size)
 {
 	size_t part = MIN(size, (size_t)50);
 
 	(void)context;
-	if (at > 0)
+	if (position > 0)
 		return MHD_CONTENT_READER_END_WITH_ERROR;
 	memset(buffer, ' ', part);
 	return (ssize_t)part;
--- a/src/test_cli/fake_operator.h
+++ b/src/test_cli/fake_operator.h
@@ -3,11 +3,12 @@
 
 /*
  * NAME
- *	fake_operator - the operator listener of an entry process, for tests
+ *	fake_operator - fake operator listener of an entry process
  *
  * USE
- *	Holds one configuration, takes changes as the real one does, and can
- *	be told to answer in each way that the API allows.
+ *	Holds one configuration and applies published changes as an entry
+ *	process does. Its mode selects the way in which it answers; the modes
+ *	cover each kind of answer that the API allows.
  */
 
 #include <glib.h>
@@ -18,13 +19,13 @@
 
 typedef enum {
 	FAKE_ACCEPTS = 0,
-	FAKE_LOSES_ANSWER, /* takes effect, then the connection closes */
-	FAKE_LOSES_REQUEST, /* closes the connection, no effect */
-	FAKE_UNKNOWN, /* takes effect, answers 202 */
+	FAKE_LOSES_ANSWER, /* applies the change, closes without an answer */
+	FAKE_LOSES_REQUEST, /* closes without an answer, applies nothing */
+	FAKE_UNKNOWN, /* applies the change, answers 202 */
 	FAKE_CONFLICT,
 	FAKE_MALFORMED,
 	FAKE_UNAVAILABLE,
-	FAKE_CLOSES_IN_BODY, /* half of the answer, then closes */
+	FAKE_CLOSES_IN_BODY, /* closes after half of the answer's body */
 } fake_mode_t;
 
 typedef struct fake_operator fake_operator_t;
@@ -34,14 +35,15 @@
 const char *fake_operator_address(const fake_operator_t *fake);
 
 void fake_operator_set_mode(fake_operator_t *fake, fake_mode_t mode);
-/* Another process that /v1/status lists as a member. */
+/* Adds a process to the members that /v1/status lists. */
 void fake_operator_add_member(fake_operator_t *fake, const char *process,
 			      const char *address, const char *state);
-/* Takes over config; /v1/status tells its version. */
+/* Takes ownership of config; /v1/status reports its version. */
 void fake_operator_set_config(fake_operator_t *fake, wwh_config_t *config);
 int64_t fake_operator_version(fake_operator_t *fake);
-/* POSTs that arrived whole; the body of the last. */
-int32_t fake_operator_posts(fake_operator_t *fake);
+/* Number of POSTs received completely. */
+int32_t fake_operator_post_count(fake_operator_t *fake);
+/* "PATH BODY" of the last of them; g_free. */
 char *fake_operator_last_post(fake_operator_t *fake);
 
 #endif
--- a/src/test_cli/test_cli.c
+++ b/src/test_cli/test_cli.c
@@ -27,13 +27,13 @@
 	for (size_t i = 0; i < G_N_ELEMENTS(lines); i++) {
 		run_t run = run_program(lines[i]);
 
-		run_expect(&run, 0);
+		run_expect_exit_code(&run, 0);
 		assert_string_equal(run.err, "");
 		run_clear(&run);
 	}
 }
 
-static void csv_and_json_examples_say_the_same(void **unused)
+static void csv_and_json_examples_are_equal(void **unused)
 {
 	static const char *const inventories[] = {
 		WWH_SOURCE_DIR "/examples/inventory.csv",
@@ -101,7 +101,7 @@
 	run_t run = run_program(line);
 
 	(void)unused;
-	run_expect(&run, 3);
+	run_expect_exit_code(&run, 3);
 	assert_string_equal(run.err, expected);
 	run_clear(&run);
 	g_assert_cmpint(g_remove(settings), ==, 0);
@@ -119,10 +119,10 @@
 }
 
 /*
- * A settings file of the platform was taken for an inventory in CSV, and the
- * only error named its first line a column.
+ * Guards against parsing a platform settings file as an inventory in CSV: the
+ * only error reported then was about its first line, taken for a column name.
  */
-static void check_knows_the_platforms_settings(void **unused)
+static void check_validates_platform_settings(void **unused)
 {
 	char *directory = g_dir_make_tmp("wwh-XXXXXX", NULL);
 	char *path = write_file(directory, "n",
@@ -134,7 +134,7 @@
 	run_t run = run_program(line);
 
 	(void)unused;
-	run_expect(&run, 3);
+	run_expect_exit_code(&run, 3);
 	assert_true(g_str_has_prefix(run.err, bad));
 	assert_non_null(strstr(run.err, "platform.address: is missing\n"));
 	run_clear(&run);
@@ -144,7 +144,7 @@
 			  "internalPorts=7060,7075\n"
 			  "platform.address=1.2.3.5:3\n"));
 	run = run_program(line);
-	run_expect(&run, 0);
+	run_expect_exit_code(&run, 0);
 	run_clear(&run);
 	g_assert_cmpint(g_remove(path), ==, 0);
 	g_assert_cmpint(g_remove(directory), ==, 0);
@@ -186,7 +186,7 @@
 	for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
 		run_t run = run_program(rows[i].line);
 
-		run_expect(&run, 2);
+		run_expect_exit_code(&run, 2);
 		if (strstr(run.err, rows[i].error) == NULL)
 			fail_msg("%s: %s", rows[i].line, run.err);
 		run_clear(&run);
@@ -205,7 +205,7 @@
 		char *line = g_strdup_printf("%s --help", commands[i]);
 		run_t run = run_program(line);
 
-		run_expect(&run, 0);
+		run_expect_exit_code(&run, 0);
 		assert_non_null(strstr(run.out, "Usage:"));
 		run_clear(&run);
 		g_free(line);
@@ -213,10 +213,10 @@
 }
 
 /*
- * A request's story out of the logs of two processes: only its lines and
- * those of its tasks, in order of time, whatever the order of the files.
+ * The logs of two processes are merged: explain prints only the lines of the
+ * request and of its tasks, in order of time, whatever the order of the files.
  */
-static void explain_tells_the_story_of_a_request(void **unused)
+static void explain_lists_the_log_lines_of_a_request(void **unused)
 {
 	static const char first[] =
 		"{\"t\":2000,\"node\":\"n1\",\"event\":\"job-ended\",\"id\":"
@@ -235,26 +235,26 @@
 	char *line =
 		g_strdup_printf("explain 00000000000000aa %s %s", one, two);
 	run_t run;
-	const char *at[3];
+	const char *positions[3];
 
 	(void)unused;
 	assert_true(g_file_set_contents(one, first, -1, NULL));
 	assert_true(g_file_set_contents(two, second, -1, NULL));
 	run = run_program(line);
-	run_expect(&run, 0);
-	at[0] = strstr(run.out, "not-served");
-	at[1] = strstr(run.out, "run-ended");
-	at[2] = strstr(run.out, "job-ended");
-	assert_non_null(at[0]);
-	assert_non_null(at[1]);
-	assert_non_null(at[2]);
-	assert_true(at[0] < at[1] && at[1] < at[2]);
+	run_expect_exit_code(&run, 0);
+	positions[0] = strstr(run.out, "not-served");
+	positions[1] = strstr(run.out, "run-ended");
+	positions[2] = strstr(run.out, "job-ended");
+	assert_non_null(positions[0]);
+	assert_non_null(positions[1]);
+	assert_non_null(positions[2]);
+	assert_true(positions[0] < positions[1] && positions[1] < positions[2]);
 	assert_null(strstr(run.out, "why=other"));
 	run_clear(&run);
 	g_free(line);
 	line = g_strdup_printf("explain --json 00000000000000bb %s", one);
 	run = run_program(line);
-	run_expect(&run, 1);
+	run_expect_exit_code(&run, 1);
 	run_clear(&run);
 	(void)remove(one);
 	(void)remove(two);
@@ -276,7 +276,7 @@
 	(void)unused;
 	fake_operator_add_member(fake, "e2", "127.0.0.1:1", "alive");
 	run = run_program(line);
-	run_expect(&run, 0);
+	run_expect_exit_code(&run, 0);
 	assert_string_equal(
 		run.out, "process         e1\n"
 			 "config_version  0\n"
@@ -285,7 +285,7 @@
 			 "  e2       127.0.0.1:1       alive  0\n");
 	run_clear(&run);
 	run = run_program(json_line);
-	run_expect(&run, 0);
+	run_expect_exit_code(&run, 0);
 	assert_true(g_str_has_prefix(run.out, "{\"process\": \"e1\","));
 	run_clear(&run);
 	g_free(line);
@@ -297,8 +297,8 @@
 {
 	static const struct {
 		const char *line;
-		const char *post; /* up to the author */
-		const char *parts[3];
+		const char *post; /* expected start of "PATH BODY" */
+		const char *parts[3]; /* expected in the body */
 	} rows[] = {
 		{ "wave start p",
 		  "/v1/wave/start {\"author\":\"ben\"",
@@ -324,7 +324,7 @@
 		run_t run = run_program(line);
 		char *post = fake_operator_last_post(fake);
 
-		run_expect(&run, 0);
+		run_expect_exit_code(&run, 0);
 		assert_true(g_str_has_prefix(post, rows[i].post));
 		for (int j = 0; j < 3 && rows[i].parts[j] != NULL; j++) {
 			if (strstr(post, rows[i].parts[j]) == NULL)
@@ -337,11 +337,11 @@
 	fake_operator_delete(fake);
 }
 
-static void verdicts_become_exit_codes(void **unused)
+static void verdicts_map_to_exit_codes(void **unused)
 {
 	static const struct {
 		fake_mode_t mode;
-		int code;
+		int exit_code;
 	} rows[] = {
 		{ FAKE_ACCEPTS, 0 },	   { FAKE_CONFLICT, 4 },
 		{ FAKE_MALFORMED, 3 },	   { FAKE_UNAVAILABLE, 5 },
@@ -358,8 +358,8 @@
 
 		fake_operator_set_mode(fake, rows[i].mode);
 		run = run_program(line);
-		run_expect(&run, rows[i].code);
-		assert_int_equal(fake_operator_posts(fake), i + 1);
+		run_expect_exit_code(&run, rows[i].exit_code);
+		assert_int_equal(fake_operator_post_count(fake), i + 1);
 		run_clear(&run);
 	}
 	g_free(line);
@@ -370,28 +370,30 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(examples_pass_the_check),
-		cmocka_unit_test(csv_and_json_examples_say_the_same),
+		cmocka_unit_test(csv_and_json_examples_are_equal),
 		cmocka_unit_test(check_reports_every_error_of_every_file),
-		cmocka_unit_test(check_knows_the_platforms_settings),
+		cmocka_unit_test(check_validates_platform_settings),
 		cmocka_unit_test(bad_command_lines_are_usage_errors),
 		cmocka_unit_test(each_command_has_help),
-		cmocka_unit_test(explain_tells_the_story_of_a_request),
+		cmocka_unit_test(explain_lists_the_log_lines_of_a_request),
 		cmocka_unit_test(status_is_a_table_or_json),
 		cmocka_unit_test(verbs_post_their_arguments),
-		cmocka_unit_test(verdicts_become_exit_codes),
+		cmocka_unit_test(verdicts_map_to_exit_codes),
 		cmocka_unit_test(publish_is_accepted_and_in_force_everywhere),
 		cmocka_unit_test(publish_without_a_difference_sends_nothing),
-		cmocka_unit_test(publish_tells_of_another_operators_change),
-		cmocka_unit_test(publish_looks_when_the_answer_was_lost),
-		cmocka_unit_test(publish_says_unknown_when_nobody_can_tell),
-		cmocka_unit_test(publish_asks_the_next_server_only_if_not_run),
-		cmocka_unit_test(publish_names_the_process_that_lags),
-		cmocka_unit_test(publish_asks_every_server_it_was_given),
-		cmocka_unit_test(publish_refuses_what_a_server_finds_malformed),
-		cmocka_unit_test(a_post_is_never_sent_twice),
+		cmocka_unit_test(publish_reports_a_conflicting_change),
 		cmocka_unit_test(
-			a_silent_server_is_unknown_and_none_is_unavailable),
-		cmocka_unit_test(an_answer_above_the_limit_is_refused),
+			publish_polls_for_the_outcome_when_the_answer_is_lost),
+		cmocka_unit_test(publish_reports_an_unknown_outcome),
+		cmocka_unit_test(publish_tries_the_next_server_only_if_not_run),
+		cmocka_unit_test(publish_reports_processes_with_an_old_version),
+		cmocka_unit_test(publish_queries_every_given_server),
+		cmocka_unit_test(
+			publish_fails_on_malformed_verdict_or_truncated_answer),
+		cmocka_unit_test(a_post_is_not_retried_on_connection_loss),
+		cmocka_unit_test(
+			a_timeout_is_unknown_and_no_listener_is_unavailable),
+		cmocka_unit_test(an_answer_above_the_limit_is_rejected),
 	};
 
 	g_unsetenv("WAXWINGHOLLOW_SERVER");
--- a/src/test_cli/test_operator_client.c
+++ b/src/test_cli/test_operator_client.c
@@ -33,11 +33,11 @@
 
 /*
  * The entry process answers one POST, reads the next and closes without an
- * answer. libcurl sends a POST again when that happens on a kept connection:
- * the server then sees three, and a wave or job is started twice. The client
- * says "unknown" instead and the server sees two.
+ * answer. On a reused connection libcurl would send the second POST again: the
+ * server would receive three, and a wave or job would be started twice. The
+ * client must return UNKNOWN instead, and the server must receive two.
  */
-void a_post_is_never_sent_twice(void **unused)
+void a_post_is_not_retried_on_connection_loss(void **unused)
 {
 	fake_operator_t *fake = fake_operator_new("e1");
 
@@ -47,16 +47,16 @@
 	fake_operator_set_mode(fake, FAKE_LOSES_REQUEST);
 	assert_int_equal(post(fake_operator_address(fake), 5000, 1000),
 			 WWH_STATUS_UNKNOWN);
-	assert_int_equal(fake_operator_posts(fake), 2);
+	assert_int_equal(fake_operator_post_count(fake), 2);
 	fake_operator_delete(fake);
 }
 
 /*
- * A server accepts the connection, reads and says nothing. The call ends at
- * its limit; whether it ran is unknown. Where nobody listens, it surely
- * did not run.
+ * A server accepts the connection and sends no answer: the call times out, and
+ * whether the request ran is unknown. If no process listens on the port, the
+ * request surely did not run.
  */
-void a_silent_server_is_unknown_and_none_is_unavailable(void **unused)
+void a_timeout_is_unknown_and_no_listener_is_unavailable(void **unused)
 {
 	GSocketListener *listener = g_socket_listener_new();
 	guint16 port =
@@ -71,7 +71,7 @@
 	g_free(server);
 }
 
-void an_answer_above_the_limit_is_refused(void **unused)
+void an_answer_above_the_limit_is_rejected(void **unused)
 {
 	fake_operator_t *fake = fake_operator_new("e1");
 
--- a/src/test_cli/test_publish.c
+++ b/src/test_cli/test_publish.c
@@ -10,14 +10,14 @@
 #include "run_program.h"
 #include "test_cli.h"
 
-#define FILES                                                                  \
+#define PUBLISH_EXAMPLES                                                       \
 	"publish --inventory examples/inventory.csv "                          \
 	"--rules examples/rules.json --author ben --server "
 
 static run_t publish_to(const fake_operator_t *fake, const char *options)
 {
-	char *line = g_strdup_printf(FILES "%s%s", fake_operator_address(fake),
-				     options);
+	char *line = g_strdup_printf(PUBLISH_EXAMPLES "%s%s",
+				     fake_operator_address(fake), options);
 	run_t run = run_program(line);
 
 	g_free(line);
@@ -60,8 +60,8 @@
 	fake_operator_add_member(first, "e3", "127.0.0.1:1", "gone");
 	fake_operator_set_config(second, example_config(1));
 	run = publish_to(first, " --json");
-	run_expect(&run, 0);
-	assert_int_equal(fake_operator_posts(first), 1);
+	run_expect_exit_code(&run, 0);
+	assert_int_equal(fake_operator_post_count(first), 1);
 	assert_int_equal(fake_operator_version(first), 1);
 	assert_non_null(strstr(run.out, "\"verdict\":\"accepted\","
 					"\"version\":1,\"rollout_ms\":"));
@@ -81,19 +81,20 @@
 	(void)unused;
 	fake_operator_set_config(fake, example_config(4));
 	run = publish_to(fake, "");
-	run_expect(&run, 0);
-	assert_int_equal(fake_operator_posts(fake), 0);
+	run_expect_exit_code(&run, 0);
+	assert_int_equal(fake_operator_post_count(fake), 0);
 	assert_non_null(strstr(run.out, "unchanged"));
 	run_clear(&run);
 	fake_operator_delete(fake);
 }
 
 /*
- * Two operators publish at once. The second sees that the first got there
- * before, who it was, and that nothing of his own was done; if he were told
- * "failed" he would publish again and undo the other's change unread.
+ * Two operators publish at the same time. The second must learn that another
+ * change was accepted first, by whom, and that the second change was not
+ * applied. With a plain "failed" that operator would publish again and revert
+ * the other change without having read it.
  */
-void publish_tells_of_another_operators_change(void **unused)
+void publish_reports_a_conflicting_change(void **unused)
 {
 	fake_operator_t *fake = fake_operator_new("e1");
 	run_t run;
@@ -101,22 +102,22 @@
 	(void)unused;
 	fake_operator_set_mode(fake, FAKE_CONFLICT);
 	run = publish_to(fake, "");
-	run_expect(&run, 4);
+	run_expect_exit_code(&run, 4);
 	assert_non_null(strstr(run.err, "not published: someone else changed "
 					"it: version 9 by ann, the files were "
 					"compared with version 0\n"));
-	assert_int_equal(fake_operator_posts(fake), 1);
+	assert_int_equal(fake_operator_post_count(fake), 1);
 	run_clear(&run);
 	fake_operator_delete(fake);
 }
 
 /*
- * The entry process appends the change and its host goes before the answer is
- * out. The operator sees "accepted" after a look at what is in force. The
- * change must not be sent a second time: another operator's change may have
- * come in between, and the repeat would be judged against it.
+ * The entry process appends the change, and its host fails before the answer is
+ * sent. publish must read the configuration in force and report "accepted". It
+ * must not send the change a second time: another operator's change may have
+ * been accepted in between, and the repeat would be judged against that one.
  */
-void publish_looks_when_the_answer_was_lost(void **unused)
+void publish_polls_for_the_outcome_when_the_answer_is_lost(void **unused)
 {
 	static const fake_mode_t modes[] = { FAKE_LOSES_ANSWER, FAKE_UNKNOWN };
 
@@ -127,8 +128,8 @@
 
 		fake_operator_set_mode(fake, modes[i]);
 		run = publish_to(fake, "");
-		run_expect(&run, 0);
-		assert_int_equal(fake_operator_posts(fake), 1);
+		run_expect_exit_code(&run, 0);
+		assert_int_equal(fake_operator_post_count(fake), 1);
 		assert_non_null(strstr(run.out, "accepted"));
 		run_clear(&run);
 		fake_operator_delete(fake);
@@ -136,11 +137,11 @@
 }
 
 /*
- * The connection closes without an answer and nothing shows up: the change
- * may still be on its way. The operator is told that it is unknown, not that
- * it failed.
+ * The connection closes without an answer, and the change does not come into
+ * force within the wait: it may still do so later. publish must report the
+ * outcome as unknown, not as failed.
  */
-void publish_says_unknown_when_nobody_can_tell(void **unused)
+void publish_reports_an_unknown_outcome(void **unused)
 {
 	fake_operator_t *fake = fake_operator_new("e1");
 	run_t run;
@@ -148,52 +149,54 @@
 	(void)unused;
 	fake_operator_set_mode(fake, FAKE_LOSES_REQUEST);
 	run = publish_to(fake, " --wait-ms 50");
-	run_expect(&run, 6);
-	assert_int_equal(fake_operator_posts(fake), 1);
+	run_expect_exit_code(&run, 6);
+	assert_int_equal(fake_operator_post_count(fake), 1);
 	assert_non_null(strstr(run.err, "outcome unknown"));
 	run_clear(&run);
 	fake_operator_delete(fake);
 }
 
 /*
- * The first server refuses every connection, the second answers 503: neither
- * ran it, so the third is asked. Where one may have run it, no other is.
+ * One server answers 503, the next refuses the connection: neither ran the
+ * request, so publish must send it to the third. After a server that may have
+ * run it, publish must try no other.
  */
-void publish_asks_the_next_server_only_if_not_run(void **unused)
+void publish_tries_the_next_server_only_if_not_run(void **unused)
 {
 	fake_operator_t *second = fake_operator_new("e2");
 	fake_operator_t *third = fake_operator_new("e3");
-	char *more = g_strdup_printf(" --server 127.0.0.1:1 --server %s "
-				     "--wait-ms 50",
-				     fake_operator_address(third));
+	char *more_options =
+		g_strdup_printf(" --server 127.0.0.1:1 --server %s "
+				"--wait-ms 50",
+				fake_operator_address(third));
 	run_t run;
 
 	(void)unused;
 	fake_operator_set_mode(second, FAKE_UNAVAILABLE);
-	run = publish_to(second, more);
-	run_expect(&run, 0);
-	assert_int_equal(fake_operator_posts(third), 1);
+	run = publish_to(second, more_options);
+	run_expect_exit_code(&run, 0);
+	assert_int_equal(fake_operator_post_count(third), 1);
 	run_clear(&run);
 	fake_operator_set_config(third, wwh_config_new());
 	fake_operator_set_mode(second, FAKE_LOSES_REQUEST);
-	run = publish_to(second, more);
-	run_expect(&run, 6);
-	assert_int_equal(fake_operator_posts(third), 1);
+	run = publish_to(second, more_options);
+	run_expect_exit_code(&run, 6);
+	assert_int_equal(fake_operator_post_count(third), 1);
 	run_clear(&run);
-	run = run_program(FILES "127.0.0.1:1");
-	run_expect(&run, 5);
+	run = run_program(PUBLISH_EXAMPLES "127.0.0.1:1");
+	run_expect_exit_code(&run, 5);
 	run_clear(&run);
-	g_free(more);
+	g_free(more_options);
 	fake_operator_delete(second);
 	fake_operator_delete(third);
 }
 
 /*
- * One entry process still has the old version at the time limit, another does
- * not answer. The operator sees which, and an exit code that is neither
- * success nor failure: the change is on the log and stays there.
+ * When the wait ends, one entry process still has the old version and another
+ * does not answer. publish must list both and exit with a code that is neither
+ * success nor failure: the change is in the log and stays there.
  */
-void publish_names_the_process_that_lags(void **unused)
+void publish_reports_processes_with_an_old_version(void **unused)
 {
 	fake_operator_t *first = fake_operator_new("e1");
 	fake_operator_t *second = fake_operator_new("e2");
@@ -203,11 +206,11 @@
 	fake_operator_add_member(first, "e2", fake_operator_address(second),
 				 "alive");
 	fake_operator_add_member(first, "e3", "127.0.0.1:1", "suspect");
-	/* Its host was replaced and e1 has got its address. */
+	/* The host of e4 was replaced, and e1 now has the address of e4. */
 	fake_operator_add_member(first, "e4", fake_operator_address(first),
 				 "alive");
 	run = publish_to(first, " --json --wait-ms 50");
-	run_expect(&run, 7);
+	run_expect_exit_code(&run, 7);
 	assert_non_null(strstr(run.out, "\"in_force_everywhere\":false"));
 	assert_non_null(strstr(run.out, "\"in_force\":false,"
 					"\"config_version\":0,\"note\":\"\""));
@@ -223,31 +226,31 @@
 }
 
 /*
- * Right after a start the process that accepts the change knows no peers yet.
- * If it alone were asked, the operator would read "in force everywhere" while
- * another process, which he named himself, still has the old version.
+ * Just after its start the process that accepts the change knows no peers yet.
+ * If publish queried only that process, it would report "in force everywhere"
+ * while another server of the command line still has the old version.
  */
-void publish_asks_every_server_it_was_given(void **unused)
+void publish_queries_every_given_server(void **unused)
 {
 	fake_operator_t *first = fake_operator_new("e1");
 	fake_operator_t *second = fake_operator_new("e2");
-	char *more = g_strdup_printf(" --server %s --json --wait-ms 50",
-				     fake_operator_address(second));
+	char *more_options = g_strdup_printf(" --server %s --json --wait-ms 50",
+					     fake_operator_address(second));
 	run_t run;
 
 	(void)unused;
 	fake_operator_add_member(first, "e3", "", "alive");
-	run = publish_to(first, more);
-	run_expect(&run, 7);
+	run = publish_to(first, more_options);
+	run_expect_exit_code(&run, 7);
 	assert_non_null(strstr(run.out, "\"process\":\"e2\""));
 	assert_non_null(strstr(run.out, "listed without an operator address"));
 	run_clear(&run);
-	g_free(more);
+	g_free(more_options);
 	fake_operator_delete(first);
 	fake_operator_delete(second);
 }
 
-void publish_refuses_what_a_server_finds_malformed(void **unused)
+void publish_fails_on_malformed_verdict_or_truncated_answer(void **unused)
 {
 	fake_operator_t *fake = fake_operator_new("e1");
 	run_t run;
@@ -255,12 +258,12 @@
 	(void)unused;
 	fake_operator_set_mode(fake, FAKE_MALFORMED);
 	run = publish_to(fake, "");
-	run_expect(&run, 3);
+	run_expect_exit_code(&run, 3);
 	assert_non_null(strstr(run.out, "no such pool"));
 	run_clear(&run);
 	fake_operator_set_mode(fake, FAKE_CLOSES_IN_BODY);
 	run = publish_to(fake, "");
-	run_expect(&run, 5);
+	run_expect_exit_code(&run, 5);
 	run_clear(&run);
 	fake_operator_delete(fake);
 }
