--- a/src/libwaxwinghollow/shard_claim.c
+++ b/src/libwaxwinghollow/shard_claim.c
@@ -262,8 +262,8 @@
 	}
 	writer.epoch = claim->epoch;
 	body = g_byte_array_new();
-	wire_store_pack(body, CLAIM_KEY, (const uint8_t *)claim->nonce,
-			strlen(claim->nonce));
+	wire_store_pack_record(body, CLAIM_KEY, (const uint8_t *)claim->nonce,
+			       strlen(claim->nonce));
 	call = wire_store_append(claim->store, claim->topic,
 				 claim->options.journal_part, &writer, body,
 				 APPEND_TIMEOUT_MS);
@@ -378,8 +378,8 @@
 			       claim->state == CLAIM_RELEASED ? ""
 							      : claim->self);
 	body = g_byte_array_new();
-	wire_store_pack(body, CLAIM_NOTICE_KEY, (const uint8_t *)text,
-			strlen(text));
+	wire_store_pack_record(body, CLAIM_NOTICE_KEY, (const uint8_t *)text,
+			       strlen(text));
 	g_free(text);
 	call = wire_store_append(claim->store, claim->topic,
 				 claim->options.notice_part, &writer, body,
--- a/src/libwaxwinghollow/shard_journal.c
+++ b/src/libwaxwinghollow/shard_journal.c
@@ -230,7 +230,7 @@
 			journal->urgent = true;
 			return;
 		}
-		wire_store_pack(journal->batch, entry->key, value, size);
+		wire_store_pack_record(journal->batch, entry->key, value, size);
 		journal->batch_last = entry->number;
 		entry_delete(g_queue_pop_head(journal->waiting));
 	}
@@ -248,7 +248,7 @@
 		&writer, g_byte_array_ref(journal->batch),
 		append_timeout_ms(journal));
 
-	call->taken_first = true;
+	call->has_priority = true;
 	journal->in_flight = true;
 	journal->sent_us = g_get_monotonic_time();
 	journal->sent_ms = now_ms;
--- a/src/libwaxwinghollow/store_follower.c
+++ b/src/libwaxwinghollow/store_follower.c
@@ -113,7 +113,7 @@
 					 follower->options.part,
 					 follower->next_page_key,
 					 FULL_READ_TIMEOUT_MS);
-		call->taken_first = true;
+		call->has_priority = true;
 		wwh_http_calls_send(follower->options.calls, call, on_page,
 				    follower);
 		return;
@@ -122,7 +122,7 @@
 			       follower->options.part, follower->next_offset,
 			       follower->read_kb, follower->options.wait_ms,
 			       follower->options.wait_ms + ANSWER_TIMEOUT_MS);
-	call->taken_first = true;
+	call->has_priority = true;
 	wwh_http_calls_send(follower->options.calls, call, on_changes_read,
 			    follower);
 }
--- a/src/test_store_follower/test_store_follower.c
+++ b/src/test_store_follower/test_store_follower.c
@@ -50,7 +50,7 @@
 static int64_t query_number(const wwh_http_request_t *http, const char *name,
 			    int64_t default_number)
 {
-	char *text = wwh_http_query(http->target, name);
+	char *text = wwh_http_query_value(http->target, name);
 	int64_t number =
 		text == NULL ? default_number : g_ascii_strtoll(text, NULL, 10);
 
@@ -85,7 +85,7 @@
 		     wwh_http_response_t *response, void *data)
 {
 	fixture_t *fixture = data;
-	char *path = wwh_http_path(http->target);
+	char *path = wwh_http_target_path(http->target);
 
 	g_mutex_lock(&fixture->lock);
 	if (g_str_has_suffix(path, "/log-newest")) {
