--- a/include/waxwinghollow/budget.h
+++ b/include/waxwinghollow/budget.h
@@ -13,7 +13,7 @@
  *	this check keeps the conductor from appending requests that the
  *	reducer would refuse, and additionally keeps the reserve.
  *
- *	Answers: failures that coincide with a wave. Without the reserve a
+ *	Addresses: failures that coincide with a wave. Without the reserve a
  *	wave uses the whole budget, and the first failure during it exceeds
  *	the budget. With the reserve, a worker is taken out only if the loss
  *	of any one domain of the kind that the rule names would still be
--- a/include/waxwinghollow/capacity.h
+++ b/include/waxwinghollow/capacity.h
@@ -12,7 +12,7 @@
  *	save and what it would risk. Operators see both in `status` and
  *	`wave plan`.
  *
- *	Answers: capacity that looks healthy because a failure has not been
+ *	Addresses: capacity that looks healthy because a failure has not been
  *	recorded yet. The list of hosts lags, and for the duration of its lag
  *	the count is too high. The reserve covers this: workers are taken out
  *	only while the loss of any one domain of the rule's kind still fits
@@ -24,7 +24,8 @@
  *	the number of workers by which the budget would be exceeded.
  *
  *	held_back is the least spare capacity with which the rule can be kept:
- *	the reserve plus the workers that a wave has out at once. The operator
+ *	the reserve plus the workers out by plan: those out now in
+ *	wwh_capacity_t, or one in wwh_capacity_option_t. The operator
  *	pays for these workers, and in the worst case none of them serves.
  *
  * ORDER OF CALLS
--- a/include/waxwinghollow/host_duties.h
+++ b/include/waxwinghollow/host_duties.h
@@ -86,8 +86,9 @@
  * that goes to standby in between needs two moves and is missing for 1.5 s at
  * each. With 30 s instead of 1.5 s, quiet days of three fleets of 50 hosts took
  * 138 to 157 moves instead of 245 to 282, for 1.3, 3.5 and 4.4% more
- * host-seconds and the same credit (two days each). Hosts that stay idle for
- * longer cost half a minute each.
+ * host-seconds and the same share of the jobs' value that was earned in a
+ * simulated day (two days each). Hosts that stay idle for longer cost half a
+ * minute each.
  */
 #define WWH_STANDBY_DELAY_MS 30000
 
--- a/include/waxwinghollow/job.h
+++ b/include/waxwinghollow/job.h
@@ -43,7 +43,7 @@
 	bool checkpointing;
 	bool gang; /* all tasks start together, or none starts */
 	bool same_rack; /* tasks run slower when spread over racks */
-	bool speculative; /* a second copy may run */
+	bool speculative; /* stored without effect: no second copy is run */
 	bool lasting; /* runs until the job is cancelled */
 	bool filler; /* uses only processor time that others leave idle */
 	char *label; /* required of the upstream; NULL: any upstream */
--- a/include/waxwinghollow/job_holder.h
+++ b/include/waxwinghollow/job_holder.h
@@ -55,13 +55,13 @@
 	int32_t journal_part;
 	const char *producer;
 	int64_t epoch; /* of the claim; the fencing token of all orders */
-	int64_t holder_count;
+	int64_t claim_count;
 	int64_t next_sequence;
-	bool others_at_work; /* the previous holder may still give orders */
-	bool others_ended; /* it ended without giving the claim up */
+	bool previous_holder_may_act; /* it may still give orders */
+	bool previous_holder_ended; /* it ended without releasing the claim */
 	GHashTable *records; /* key to GBytes, as read from the journal */
 	/*
-	 * The steady clock. It is read when an answer is processed: a reading
+	 * The monotonic clock. It is read when an answer is processed: a reading
 	 * of an upstream's clock that is dated too early makes the upstream's
 	 * lease look expired while it still runs tasks.
 	 */
@@ -115,8 +115,9 @@
 void wwh_job_holder_set_overloaded(wwh_job_holder_t *holder, bool overloaded);
 
 /*
- * The holder knows more upstreams than a new holder can poll before their
- * leases expire. A change of holder then ends lasting tasks and takes seconds.
+ * Returns whether the holder knows more upstreams than a new holder can poll
+ * before their leases expire. A change of holder then ends lasting tasks and
+ * takes seconds.
  */
 bool wwh_job_holder_is_large(const wwh_job_holder_t *holder);
 
@@ -129,33 +130,37 @@
  */
 void wwh_job_holder_pause_duties(wwh_job_holder_t *holder, bool paused);
 
-/* At least one order to a host is unanswered. */
+/* Returns whether at least one order to a host is unanswered. */
 bool wwh_job_holder_host_orders_pending(const wwh_job_holder_t *holder);
 
 /*
- * The claim may be given up: no record is unwritten, no request waits for one,
- * and no order to a host is in flight. The next holder gives its orders at
- * once, so an order that arrives late would take one host too many down. Also
- * true once the claim is lost.
+ * Returns whether the claim may be released: no record is unwritten, no request
+ * waits for one, and no order to a host is in flight. The next holder gives its
+ * orders at once, so an order that arrives late would take one host too many
+ * down. Also true once the claim is lost.
  */
 bool wwh_job_holder_is_quiescent(const wwh_job_holder_t *holder);
 
 /*
- * The store has confirmed the claim so recently that no other holder can have
- * accepted a job since.
+ * Returns whether the store has confirmed the claim so recently that no other
+ * holder can have accepted a job since.
  */
 bool wwh_job_holder_claim_confirmed(const wwh_job_holder_t *holder,
 				    int64_t now_ms);
 
 /*
- * The store has accepted no append of this holder for longer than a call takes.
- * It may serve other processes meanwhile, one of which could accept jobs. An
- * overloaded process reads answers late, so only explicit refusals count there.
+ * Returns whether the store has accepted no append of this holder for longer
+ * than a call takes. It may serve other processes meanwhile, one of which could
+ * accept jobs. An overloaded process reads answers late, so only explicit
+ * refusals count there.
  */
 bool wwh_job_holder_rejected_by_store(const wwh_job_holder_t *holder,
 				      int64_t now_ms, bool overloaded);
 
-/* Appends have succeeded recently: this holder can accept jobs. */
+/*
+ * Returns whether appends have succeeded recently, so that this holder can
+ * accept jobs.
+ */
 bool wwh_job_holder_reaches_store(const wwh_job_holder_t *holder,
 				  int64_t now_ms);
 
--- a/include/waxwinghollow/job_service.h
+++ b/include/waxwinghollow/job_service.h
@@ -48,8 +48,8 @@
 			    const wwh_host_settings_t *settings);
 
 /*
- * Reports that the process isn't ready, completes requests in progress, gives
- * up the claim and stops. Returns the number of requests that were cut off.
+ * Reports that the process isn't ready, completes requests in progress, releases
+ * the claim and stops. Returns the number of requests that were cut off.
  */
 int32_t wwh_job_service_finish(wwh_job_service_t *service);
 void wwh_job_service_delete(wwh_job_service_t *service);
--- a/include/waxwinghollow/lease_keeper.h
+++ b/include/waxwinghollow/lease_keeper.h
@@ -28,8 +28,8 @@
  *	must not count as missing. grace_ms covers the work that the previous
  *	holder had started.
  *
- *	A lease that has been available for twice as long is orphaned: any
- *	member acquires it, a little later for each rank, and retains it for
+ *	A lease without a renewal for 2 * (duration_ms + grace_ms) is orphaned:
+ *	any member acquires it, a little later for each rank, and retains it for
  *	half a minute. Otherwise the lease's work would stand still when the
  *	member whose target includes it comes and goes every few seconds.
  *
@@ -73,11 +73,11 @@
 typedef struct {
 	const char *author; /* name of this process in the log */
 	int32_t first_shard;
-	int32_t shard_count;
+	int32_t shard_count; /* at most 64 */
 	int32_t duration_ms;
 	int32_t grace_ms;
 	int32_t settle_ms;
-} wwh_lease_keeper_options_t; /* at most 64 shards */
+} wwh_lease_keeper_options_t;
 
 typedef struct wwh_lease_keeper wwh_lease_keeper_t;
 
--- a/include/waxwinghollow/leaving.h
+++ b/include/waxwinghollow/leaving.h
@@ -21,7 +21,8 @@
  *	  that time another process that sends to the minion gets an answer of
  *	  its own, or the list is updated; it is short compared with the time
  *	  that a minion runs.
- *	- Reports of two or more peers are valid as long as an own answer.
+ *	- Reports of two or more peers are valid for WWH_LEAVING_ANSWER_TTL_MS,
+ *	  like the minion's own answer.
  *	- After a single report has expired, further reports of the same peer
  *	  on that minion are ignored for WWH_LEAVING_REPORT_HOLDOFF_MS, so one
  *	  mistaken peer excludes a minion for at most one seventh of the time.
@@ -29,11 +30,11 @@
  *	  and the answer isn't marked as leaving, the report becomes invalid
  *	  at once, whichever peer sent it.
  *
- *	An own answer is valid for WWH_LEAVING_ANSWER_TTL_MS, which is longer
- *	than the list may lag; a minion that was restarted in place is used
- *	again after that. When WWH_LEAVING_MAX minions are stored, the one
- *	that was updated longest ago is evicted; minions with first-hand
- *	evidence are never evicted.
+ *	The minion's own answer to this process is valid for
+ *	WWH_LEAVING_ANSWER_TTL_MS, which is longer than the list may lag; a
+ *	minion that was restarted in place is used again after that. When
+ *	WWH_LEAVING_MAX minions are stored, the one that was updated longest ago
+ *	is evicted; minions with first-hand evidence are never evicted.
  *
  * ORDER OF CALLS
  *	wwh_leaving_new; the other functions in any order; wwh_leaving_delete.
--- a/include/waxwinghollow/loop_lag.h
+++ b/include/waxwinghollow/loop_lag.h
@@ -75,7 +75,7 @@
 /* The current lag, limited to the bound at which the loop is overloaded. */
 int64_t wwh_loop_lag_ms(const wwh_loop_lag_t *lag);
 
-/* For a loop that begins other work: forgets everything. */
+/* Resets all state; to be called when the loop begins other work. */
 void wwh_loop_lag_reset(wwh_loop_lag_t *lag);
 
 #endif
--- a/include/waxwinghollow/placement.h
+++ b/include/waxwinghollow/placement.h
@@ -11,14 +11,14 @@
  *	START into a lease record and, once that record was read back as
  *	accepted, sends the order to the worker.
  *
- *	Answers:
+ *	Addresses:
  *
  *	- Declared sizes that are far from the actual use. A job that has run
  *	  for observe_ms counts with its observed use plus margin_percent;
  *	  before that it counts with its declared size. If observed use counted
  *	  at once, a lagging report would show a starting job as small and the
  *	  worker would be overcommitted; if it never counted, workers would
- *	  stand half empty. observe_ms must be longer than the lag of the
+ *	  be half empty. observe_ms must be longer than the lag of the
  *	  reports.
  *	- Jobs that can never run. They are reported as impossible, with the
  *	  reason, in the first pass and leave the queue. Otherwise they would
--- a/include/waxwinghollow/planner.h
+++ b/include/waxwinghollow/planner.h
@@ -12,7 +12,7 @@
  *	from the current view, so a plan is a forecast and not a binding
  *	schedule.
  *
- *	Answers three costs that conflict with each other:
+ *	Addresses three costs that conflict with each other:
  *
  *	- Buffer. Each worker that a pool has out at once is one that the
  *	  operator must own beyond the need. A pool goes no faster than the
--- a/include/waxwinghollow/scheduler.h
+++ b/include/waxwinghollow/scheduler.h
@@ -128,7 +128,7 @@
 	int64_t lease_until_remote_ms; /* 0: its clock isn't known yet */
 	int64_t ends_acked_upto;
 	int64_t wait_ms; /* the answer comes earlier when a run ends */
-	int64_t limit_ms; /* time after wait_ms until the poll has failed */
+	int64_t timeout_ms; /* time after wait_ms until the poll has failed */
 } wwh_poll_order_t;
 
 typedef struct {
@@ -166,8 +166,8 @@
 /*
  * How long an overtaken holder may continue to give orders: until an upstream
  * that the new holder has reached refuses its next poll. A poll waits for at
- * most 1 s, the next one follows within 0.25 s, and 0.15 s are allowed for
- * transmission.
+ * most 1 s, the next one to an upstream that runs tasks follows within 0.25 s,
+ * and 0.15 s are allowed for transmission.
  */
 #define WWH_OVERTAKEN_HOLDER_MS 1400
 
@@ -208,7 +208,10 @@
 	int64_t lease_ms; /* requested of upstreams */
 	int64_t stop_limit_ms; /* a stop takes no longer than this */
 	int64_t ended_job_retention_ms; /* the state stays available as long */
-	/* from an upstream's last answer until its lasting tasks are unavailable */
+	/*
+	 * From an upstream's last answer until its lasting tasks count as
+	 * unavailable.
+	 */
 	int64_t unavailable_after_ms;
 	int64_t holder_count; /* holders of this shard so far, with this one */
 } wwh_scheduler_options_t;
@@ -225,8 +228,8 @@
  * Restores one record. Records of jobs come before those of progress. Returns
  * false if the record can't be read. Nothing is then started or ended on the
  * strength of it: for a job or its progress, until the caller cancels the job
- * (see wwh_scheduler_job_lost); for an upstream, until it has been announced
- * and has answered a poll, or its lease has certainly lapsed.
+ * (see wwh_scheduler_job_is_unreadable); for an upstream, until it has been
+ * announced and has answered a poll, or its lease has certainly lapsed.
  */
 bool wwh_scheduler_restore(wwh_scheduler_t *scheduler,
 			   wwh_scheduler_record_kind_t kind, const char *key,
@@ -256,8 +259,9 @@
 
 /*
  * Estimates how many tasks are started before those of a new job of pool. They
- * wait because the last pass deferred starts to the next one. Returns 0 if it
- * deferred none in this pool: its tasks, if any, wait for free resources.
+ * wait because the last pass deferred starts to the next one, or starts are
+ * held. Returns 0 if neither applies in this pool: its tasks, if any, wait for
+ * free resources.
  */
 int32_t wwh_scheduler_backlog(const wwh_scheduler_t *scheduler,
 			      const char *pool);
@@ -272,7 +276,10 @@
 int64_t wwh_scheduler_recovery_ms(const wwh_scheduler_t *scheduler,
 				  int64_t now_ms);
 
-/* Whether the last pass deferred starts to the next one, in any pool. */
+/*
+ * Returns whether in any pool the last pass deferred starts to the next one, or
+ * a job was added while starts were held.
+ */
 bool wwh_scheduler_is_behind(const wwh_scheduler_t *scheduler);
 
 /*
@@ -338,9 +345,10 @@
  * Whether a record of the job can't be read. It isn't known then whether the job
  * has ended or which of its tasks are left. Cancelling the job ends it.
  */
-bool wwh_scheduler_job_lost(const wwh_scheduler_t *scheduler, const char *id);
+bool wwh_scheduler_job_is_unreadable(const wwh_scheduler_t *scheduler,
+				     const char *id);
 
-/* Counts the accepted jobs of a queue none of whose tasks has started. */
+/* Counts the queue's accepted jobs of which no task has started. */
 int32_t wwh_scheduler_pending(wwh_scheduler_t *scheduler, const char *queue);
 
 void wwh_scheduler_upstream_announced(wwh_scheduler_t *scheduler,
@@ -367,8 +375,9 @@
 				       int64_t now_ms);
 
 /*
- * A list of hosts is about to be requested. It is believed only if it has each
- * upstream that is announced and has answered by now.
+ * Reports that a list of hosts is about to be requested. The list is accepted
+ * only if it contains each upstream that is announced and has answered by now,
+ * and that still is announced and answers when the list arrives.
  */
 void wwh_scheduler_incarnations_requested(wwh_scheduler_t *scheduler);
 /*
@@ -429,10 +438,13 @@
 		       int64_t wall_ms);
 
 /*
- * Upkeep and moves end all tasks on a host. wwh_scheduler_cordon begins to empty
- * an upstream and returns whether its host may be taken down now: it runs no
- * task that must not be ended, and the ends received from it that change a
- * job's progress are durable. wwh_scheduler_uncordon undoes the cordon.
+ * Upkeep and moves end all tasks on a host. wwh_scheduler_cordon begins to
+ * drain an upstream and returns whether its host may be taken down now. For
+ * this, the upstream must have answered this holder, and the ends received from
+ * it that change a job's progress must be durable. Unless urgent, no task but
+ * lasting ones may run there; each step must be able to miss its lasting tasks
+ * there. Returns true for an unknown upstream. wwh_scheduler_uncordon undoes
+ * the cordon.
  */
 bool wwh_scheduler_cordon(wwh_scheduler_t *scheduler, const char *upstream,
 			  bool urgent, int64_t now_ms);
@@ -441,7 +453,7 @@
 /* The state of an upstream by which hosts are chosen for upkeep and moves. */
 typedef struct {
 	bool known;
-	bool cordoned; /* it is being emptied for upkeep or a move */
+	bool cordoned; /* it is being drained for upkeep or a move */
 	bool leaving; /* by its announcement */
 	int32_t tasks;
 	int32_t lasting;
@@ -452,7 +464,7 @@
 wwh_upstream_load_t wwh_scheduler_upstream_load(wwh_scheduler_t *scheduler,
 						const char *upstream);
 
-/* Input of wwh_pool_sizing_wanted. */
+/* The input of wwh_pool_sizing_desired_hosts. */
 wwh_pool_demand_t wwh_scheduler_pool_demand(wwh_scheduler_t *scheduler,
 					    const char *pool);
 
@@ -462,7 +474,7 @@
 	int32_t upstreams;
 	int32_t unsettled; /* inherited upstreams that haven't answered */
 	int32_t tasks_outstanding; /* started and not known to have ended */
-	int32_t lost_jobs; /* see wwh_scheduler_job_lost */
+	int32_t lost_jobs; /* see wwh_scheduler_job_is_unreadable */
 } wwh_scheduler_counts_t;
 
 wwh_scheduler_counts_t wwh_scheduler_counts(const wwh_scheduler_t *scheduler);
--- a/include/waxwinghollow/shard_claim.h
+++ b/include/waxwinghollow/shard_claim.h
@@ -21,9 +21,9 @@
  *
  *	The assigned process doesn't replace a holder as long as that one
  *	answers and reaches the store; a change of holder costs a second poll at
- *	all upstreams. It asks the holder to hand the shard over if the store
- *	rejects the holder while it serves the assigned process, or if the
- *	holder's event loop is overloaded.
+ *	all upstreams. It requests a hand-over if the store rejects the holder
+ *	while the store serves the assigned process, or if the holder's event
+ *	loop is overloaded.
  *
  * ORDER OF CALLS
  *	wwh_shard_claim_new; wwh_shard_claim_run often, by the thread of its
@@ -35,9 +35,11 @@
 
 /*
  * Paths at which a process reports whether it holds the shard. Any process may
- * request the first; the process to which the group assigns the shard requests
- * the second, and the third asks for a hand-over, after a write check has shown
- * that the journal accepts records of the assigned process.
+ * request the first. The process to which the group assigns the shard requests
+ * the second, which makes a holder that yields hand over, unless the store
+ * rejects that holder. Then only the third does, which is requested after a
+ * write check has shown that the journal accepts records of the assigned
+ * process.
  */
 #define WWH_SHARD_PATH "/v1/shard"
 #define WWH_SHARD_ASSIGNED_PATH "/v1/shard?assigned"
@@ -58,19 +60,19 @@
 
 typedef struct {
 	int64_t epoch; /* of the claim: the fencing token */
-	int64_t holder_count; /* claims so far, including this one */
+	int64_t claim_count; /* claims so far, including this one */
 	int64_t next_sequence; /* first sequence number for the journal */
 	GHashTable *records; /* key to GBytes, as the journal has them */
 	/*
 	 * The previous holder was silent, or handed over with orders to hosts
 	 * outstanding: orders of it may still take effect.
 	 */
-	bool others_at_work;
+	bool previous_holder_may_act;
 	/*
 	 * The previous holder didn't hold the shard any more, and hadn't
 	 * answered WWH_SHARD_HANDED_OVER.
 	 */
-	bool others_ended;
+	bool previous_holder_ended;
 	/*
 	 * The previous holder handed the shard over or was silent, perhaps due
 	 * to its load.
@@ -128,14 +130,14 @@
 
 /*
  * Reports that the shard was handed over. This process doesn't claim for a while,
- * so that the process that asked for the shard claims it first.
+ * so that the process that requested the hand-over claims it first.
  */
 void wwh_shard_claim_handle_handover(wwh_shard_claim_t *claim, int64_t now_ms);
 
 /*
  * Sets whether this process, which holds the shard, withdraws from the group for
- * a while: the group then assigns the shard to another process, which asks for
- * it.
+ * a while: the group then assigns the shard to another process, which requests
+ * a hand-over.
  */
 void wwh_shard_claim_set_withdrawn(wwh_shard_claim_t *claim, bool withdrawn,
 				   int64_t now_ms);
--- a/include/waxwinghollow/shard_journal.h
+++ b/include/waxwinghollow/shard_journal.h
@@ -45,7 +45,7 @@
 void wwh_shard_journal_delete(wwh_shard_journal_t *journal);
 
 /*
- * Queues a record and returns its number. value NULL drops the key. urgent: a
+ * Queues a record and returns its number. value NULL deletes the key. urgent: a
  * caller waits until the record is durable.
  */
 int64_t wwh_shard_journal_append(wwh_shard_journal_t *journal, const char *key,
@@ -82,8 +82,8 @@
 bool wwh_shard_journal_failing(const wwh_shard_journal_t *journal);
 
 /*
- * Returns whether the store refused the last call: it answers, but accepts no
- * records now.
+ * Returns whether the last call certainly had no effect and may be retried: the
+ * store refused it for now, or it couldn't be sent.
  */
 bool wwh_shard_journal_refused(const wwh_shard_journal_t *journal);
 
--- a/include/waxwinghollow/store_follower.h
+++ b/include/waxwinghollow/store_follower.h
@@ -8,9 +8,9 @@
  * USE
  *	Reads all keys of a partition once (the full read), then follows its
  *	log. When the log has been trimmed beyond the follower's offset, it
- *	repeats the full read and reports keys that are gone as dropped.
+ *	repeats the full read and reports keys that are gone as deleted.
  *
- *	A full read with a record whose key is unreadable drops no key: any
+ *	A full read with a record whose key is unreadable deletes no key: any
  *	missing key may be that one.
  *
  *	A call without an answer is repeated. The time limit of a read is a
@@ -37,7 +37,7 @@
 	int64_t wait_ms; /* how long the store may hold a read open */
 	int64_t read_interval_ms; /* at least, between two reads; 0: none */
 	/*
-	 * value NULL: the key was dropped. A value of size 0: the key exists,
+	 * value NULL: the key was deleted. A value of size 0: the key exists,
 	 * but its value is unreadable.
 	 */
 	void (*on_record)(const char *key, const uint8_t *value, size_t size,
--- a/include/waxwinghollow/upstream.h
+++ b/include/waxwinghollow/upstream.h
@@ -39,12 +39,13 @@
 
 typedef enum {
 	WWH_UPSTREAM_ANSWERED = 0,
-	WWH_UPSTREAM_REFUSED, /* the minion answered that it didn't run it */
+	WWH_UPSTREAM_REFUSED, /* by the minion, which didn't run the request */
 	WWH_UPSTREAM_NO_CONNECTION, /* not sent */
 	WWH_UPSTREAM_NO_ROOM, /* connection limit reached; not sent */
 	WWH_UPSTREAM_DEADLINE,
 	WWH_UPSTREAM_LOST, /* the connection ended before an answer */
-	WWH_UPSTREAM_TRUNCATED, /* or the end of the answer isn't verifiable */
+	/* The answer was cut short, or its end can't be verified. */
+	WWH_UPSTREAM_TRUNCATED,
 	WWH_UPSTREAM_TOO_LARGE,
 	WWH_UPSTREAM_CALLER_GONE,
 	WWH_UPSTREAM_OUTCOME_COUNT
--- a/src/libwaxwinghollow/host_moves.c
+++ b/src/libwaxwinghollow/host_moves.c
@@ -13,8 +13,8 @@
 
 /*
  * Minimum time that a host stays in a pool after a move: the work it was moved
- * for is just beginning, and each move costs what one second of work is worth.
- * Hosts of the standby pool may be moved at any time.
+ * for is just beginning, and each move costs as much of the jobs' value as one
+ * second of work earns. Hosts of the standby pool may be moved at any time.
  */
 #define MIN_STAY_MS 1500
 
@@ -124,18 +124,18 @@
 	g_hash_table_iter_init(&iterator, duties->pools);
 	while (g_hash_table_iter_next(&iterator, NULL, &value)) {
 		duty_pool_t *pool = value;
-		wwh_pool_demand_t figures;
+		wwh_pool_demand_t demand;
 		int32_t hosts_wanted;
 
 		if (pool->standby)
 			continue;
-		figures = wwh_scheduler_pool_demand(duties->options.scheduler,
-						    pool->name);
+		demand = wwh_scheduler_pool_demand(duties->options.scheduler,
+						   pool->name);
 		hosts_wanted = wwh_pool_sizing_desired_hosts(
-			duties->sizing, pool->name, &figures, duties->now_ms);
+			duties->sizing, pool->name, &demand, duties->now_ms);
 		pool->lacks_hosts = hosts_wanted > pool->host_count;
 		g_array_append_val(wanted, hosts_wanted);
-		g_array_append_val(least, figures.min_hosts);
+		g_array_append_val(least, demand.min_hosts);
 	}
 	wwh_pool_sizing_share((int32_t *)(void *)wanted->data,
 			      (const int32_t *)(const void *)least->data,
@@ -155,9 +155,10 @@
 /*
  * Returns the number of hosts that are available or will be soon, and counts
  * for each pool those that accept tasks. A host drained for a wave accepts none
- * for seconds and isn't counted, so that its replacement is called when draining
- * begins and is available sooner. That raised the mean worth from 0.598 to 0.612
- * and from 0.525 to 0.555 (standard days of two sites, one simulated run each).
+ * for seconds and isn't counted, so that its replacement is requested when
+ * draining begins and is available sooner. That raised the mean share of the
+ * jobs' value that was earned in a simulated day from 0.598 to 0.612 and from
+ * 0.525 to 0.555 (standard days of two sites, one simulation each).
  */
 static int32_t count_hosts(wwh_host_duties_t *duties)
 {
@@ -188,7 +189,7 @@
 /*
  * True if the host is up, or moving and up soon. A leaving host may be listed as
  * up for many seconds, but accepts no new tasks: while it counted for its pool,
- * no other host was called, and its lasting tasks stayed unavailable.
+ * no other host was requested, and its lasting tasks stayed unavailable.
  */
 static bool is_available_soon(const wwh_host_duties_t *duties,
 			      const duty_host_t *host)
@@ -255,7 +256,10 @@
 	return NULL;
 }
 
-/* Hosts that were to leave stay if their pool needs them again: no cost. */
+/*
+ * Cancels the moves of hosts that their pool needs again. This costs nothing, as
+ * no order was given.
+ */
 static void retain_needed_hosts(wwh_host_duties_t *duties)
 {
 	GHashTableIter iterator;
@@ -369,10 +373,11 @@
 }
 
 /*
- * Returns whether a surplus host can be moved now. During the standby delay, and
- * while no other pool needs it, it isn't drained: it is paid for anyway, and
- * late jobs of its own pool, for which no host is called, would wait although it
- * is idle. A host that got a lasting task meanwhile stays in its pool.
+ * Returns whether a surplus host can be moved now. During the standby delay,
+ * and while no other pool needs it, it isn't drained: it is paid for anyway,
+ * and late jobs of its own pool, for which no host is requested, would wait
+ * although it is idle. A host that got a lasting task meanwhile stays in its
+ * pool.
  */
 static bool may_leave_pool(wwh_host_duties_t *duties, duty_host_t *host,
 			   duty_pool_t *from, const duty_pool_t *to)
--- a/src/libwaxwinghollow/host_settings.c
+++ b/src/libwaxwinghollow/host_settings.c
@@ -6,7 +6,7 @@
 void wwh_host_settings_init(wwh_host_settings_t *settings)
 {
 	memset(settings, 0, sizeof(*settings));
-	/* From the users' data sheets, for values that the file omits. */
+	/* Defaults for settings that the file omits. */
 	settings->cpu_permille = 1000;
 	settings->lease_max_ms = 6000;
 	settings->stop_limit_ms = 400;
--- a/src/libwaxwinghollow/host_table.c
+++ b/src/libwaxwinghollow/host_table.c
@@ -26,7 +26,7 @@
 	g_free(host);
 }
 
-/* name is NULL for a host that a wave names but no list has shown yet. */
+/* name, of a host's pool, is NULL as long as no list has shown the host. */
 duty_pool_t *duties_find_pool(const wwh_host_duties_t *duties, const char *name)
 {
 	if (name == NULL)
--- a/src/libwaxwinghollow/host_waves.c
+++ b/src/libwaxwinghollow/host_waves.c
@@ -88,7 +88,10 @@
 	return ok;
 }
 
-/* Restores all readable names; returns false if another entry isn't one. */
+/*
+ * Restores all names of a list. Returns false if object is no list or any entry
+ * isn't a name.
+ */
 static bool restore_names(GHashTable *done, const msgpack_object *object)
 {
 	bool ok = true;
--- a/src/libwaxwinghollow/include/private/host_duties_state.h
+++ b/src/libwaxwinghollow/include/private/host_duties_state.h
@@ -11,10 +11,10 @@
 #include "waxwinghollow/pool_sizing.h"
 
 /*
- * Minimum interval between two lists of hosts, used after an order, whose
- * outcome a list shows; a move makes a host unavailable for 1.5 s. One list per
- * move, with many moves a second, would take processor time that a holder needs
- * for jobs.
+ * Minimum interval between two lists of hosts. After an order the next list is
+ * requested this early, because it shows the order's outcome; a move makes a
+ * host unavailable for 1.5 s. A list after every move, with many moves a
+ * second, would take processor time that the holder needs for jobs.
  */
 #define DUTIES_LIST_MIN_INTERVAL_MS 150
 
--- a/src/libwaxwinghollow/include/private/job_service_state.h
+++ b/src/libwaxwinghollow/include/private/job_service_state.h
@@ -48,17 +48,21 @@
 } job_request_t;
 
 struct wwh_job_service {
-	GMutex lock; /*
-		      * Protects config, pending_settings, and the flags and
-		      * times below that listeners' threads use.
-		      */
+	/*
+	 * Protects config, pending_settings, and the flags and times below
+	 * that listeners' threads use.
+	 */
+	GMutex lock;
 	wwh_host_settings_t settings; /* owned by the loop's thread */
 	wwh_host_settings_t *pending_settings; /* for the loop to apply */
 	wwh_job_config_t *config;
 	/* Since when the configuration can't be read; 0: it can. */
 	int64_t config_unread_since_ms;
 	GHashTable *waves; /* key to GBytes; used by the loop's thread */
-	/* API keys fail once it can't be read for this long; 0: never. */
+	/*
+	 * API keys are rejected once the configuration has been unreadable for
+	 * this long; 0: never.
+	 */
 	int64_t keys_fail_after_ms;
 	bool stopping;
 	bool holds_shard;
@@ -89,7 +93,7 @@
 	wwh_job_holder_t *detached_holder; /* to be deleted by the loop */
 	char *own_address; /* on which peers reach this process */
 	char *holder_address; /* NULL: no known holder */
-	bool loop_ending; /* the loop ends once it is settled */
+	bool loop_ending; /* the loop ends once it is quiescent */
 	int64_t last_run_ms;
 	int64_t handover_requested_ms; /* 0: no hand-over in progress */
 	wwh_loop_lag_t *lag; /* of the loop while it holds the shard */
--- a/src/libwaxwinghollow/include/private/scheduler_policy.h
+++ b/src/libwaxwinghollow/include/private/scheduler_policy.h
@@ -7,8 +7,8 @@
  *
  * USE
  *	The functions depend on their input alone. The scheduler and the
- *	placement of the product's own interface fill the input in. Of two
- *	results the lower one goes first.
+ *	placement module (placement.h) fill in the input. Of two results the
+ *	lower one goes first.
  *
  * LOAD
  *	A queue requests several times its mean load for some seconds, more
@@ -40,10 +40,12 @@
  * Lasting tasks go first: they serve callers all the time, use a known and
  * small share of a pool, and each second of unavailability affects their users.
  *
- * Next come the jobs that can still meet their objective, by least slack. In
- * order of arrival, all jobs of a peak would wait about equally long, and with
- * more work than capacity nearly all would end late. By slack, jobs that are
- * late in any case go after those that can still be in time.
+ * Next come the jobs that can still meet their objective, then those that would
+ * end late; jobs that would end after LATE_FACTOR times their objective come
+ * last. Within a rank, the lower priority number goes first, then the least
+ * slack. In order of arrival, all jobs of a peak would wait about equally long,
+ * and with more work than capacity nearly all would end late. With these ranks,
+ * jobs that are late in any case go after those that can still be in time.
  */
 int64_t wwh_policy_order_key(const wwh_policy_order_input_t *input);
 
@@ -85,10 +87,10 @@
  * tasks of different steps share hosts, so that the other hosts can be moved
  * without ending any of them.
  *
- * Hosts that a wave has finished are preferred to all others: on the rest a job
- * would move again when the wave reaches the host. Next, a group is spread over
- * zones before hosts are filled, because otherwise the loss of one zone would
- * end all of it.
+ * Hosts that a wave has finished are preferred to all others: a job on any
+ * other host would have to move again when the wave reaches that host. Next, a
+ * group is spread over zones before hosts are filled, because otherwise the
+ * loss of one zone would end all of it.
  */
 int64_t wwh_policy_fit_cost(const wwh_policy_fit_input_t *input);
 
--- a/src/libwaxwinghollow/include/private/scheduler_state.h
+++ b/src/libwaxwinghollow/include/private/scheduler_state.h
@@ -2,11 +2,11 @@
 #define WAXWINGHOLLOW_PRIVATE_SCHEDULER_STATE_H
 
 /*
- * State and functions shared by the scheduler's modules. A module calls only
- * modules that come after it in this list:
- * scheduler, scheduler_cordon, scheduler_place, scheduler_advice,
- * scheduler_watch, scheduler_pace, scheduler_upstream, scheduler_backlog,
- * scheduler_record, scheduler_job, scheduler_task.
+ * State and functions shared by the scheduler's modules: scheduler,
+ * scheduler_cordon, scheduler_place, scheduler_advice, scheduler_watch,
+ * scheduler_poll, scheduler_pace, scheduler_lost, scheduler_quota,
+ * scheduler_upstream, scheduler_backlog, scheduler_record, scheduler_job,
+ * scheduler_task, scheduler_check.
  */
 
 #include "waxwinghollow/chart.h"
@@ -14,8 +14,9 @@
 #include "waxwinghollow/workspace_quota.h"
 
 /*
- * The clock of an upstream may run slower than ours by this many thousandths, the
- * bound that DESIGN guarantees. Its lease then lasts longer by our clock.
+ * The clock of an upstream may run slower than ours by this many thousandths,
+ * the bound on clock drift that DESIGN states. Its lease then lasts longer by
+ * our clock.
  */
 #define CLOCK_SLOW_PERMILLE 20
 #define PERMILLE 1000
@@ -118,7 +119,8 @@
 	wwh_job_t *spec; /* NULL once ended with no run outstanding */
 	char *workspace; /* NULL: none */
 	sched_pool_t *pool;
-	wwh_job_progress_t state; /* WWH_PROGRESS_QUEUED: live, also started */
+	/* WWH_PROGRESS_QUEUED until the job ends, also after it has started */
+	wwh_job_progress_t state;
 	bool started;
 	bool dirty; /* its progress must be written */
 	int64_t record_number; /* of the record of its acceptance */
@@ -142,7 +144,7 @@
 	/* Announced and settled when the last list of hosts was requested. */
 	bool expected_in_host_list;
 	bool inherited; /* a previous holder may have started tasks on it */
-	bool cordoned; /* it is being emptied */
+	bool cordoned; /* it is being drained */
 	bool ending; /* its host may be taken down at any moment */
 	const char *termination_reason; /* NULL: it hasn't terminated */
 	int64_t terminated_ms;
@@ -167,10 +169,9 @@
 	int64_t lease_until_remote_ms; /* the latest that was ever sent */
 	int64_t lease_end_ms; /* it has certainly lapsed then; 0: no lease */
 	bool lease_end_handled;
-	/* Numbers of its ends: received, and the last that changes progress. */
-	int64_t ends_seen;
-	int64_t last_progress_end;
-	int64_t ends_acked; /* durable here */
+	int64_t ends_received; /* highest end number received */
+	int64_t last_progress_end; /* the last that changes a job's progress */
+	int64_t ends_acked; /* highest whose effect is durable in the store */
 	int64_t ends_flushed; /* covered by ends_flushed_record */
 	int64_t ends_flushed_record;
 	GPtrArray *tasks; /* sched_task_t whose runs there are outstanding */
@@ -187,7 +188,7 @@
 typedef struct {
 	bool accepted; /* the record of its acceptance exists: not ended */
 	int64_t since_ms;
-} sched_lost_job_t;
+} sched_unreadable_job_t;
 
 struct sched_pool {
 	char *name;
@@ -201,7 +202,8 @@
 	/* Upper bounds of the free load, each field over all upstreams. */
 	wwh_load_t max_free;
 	int64_t next_try_ms;
-	bool has_deferred_starts; /* by the last pass, to the next one */
+	/* The last pass deferred starts, or a job came while they were held. */
+	bool has_deferred_starts;
 	int32_t unstarted_tasks; /* of its jobs, also of steps not ready yet */
 };
 
@@ -211,7 +213,7 @@
 	wwh_chart_t *task_chart;
 	uint32_t outstanding_tag;
 	GHashTable *jobs; /* id to sched_job_t, owned */
-	GHashTable *lost_jobs; /* id to sched_lost_job_t, owned */
+	GHashTable *lost_jobs; /* id to sched_unreadable_job_t, owned */
 	GPtrArray *live; /* sched_job_t not ended or with runs outstanding */
 	GPtrArray *dirty; /* sched_job_t whose progress must be written */
 	GHashTable *pools; /* name to sched_pool_t, owned */
@@ -236,11 +238,12 @@
 #define SCHED_POOL_UNKNOWN ""
 
 /* scheduler_lost.c: handles records that can't be read */
-void sched_job_mark_lost(wwh_scheduler_t *scheduler, const char *id,
-			 bool accepted);
-void sched_job_clear_lost(wwh_scheduler_t *scheduler, const char *id);
-bool sched_task_is_lost(const wwh_scheduler_t *scheduler, const char *name);
-void sched_lost_jobs_expire(wwh_scheduler_t *scheduler);
+void sched_job_mark_unreadable(wwh_scheduler_t *scheduler, const char *id,
+			       bool accepted);
+void sched_job_clear_unreadable(wwh_scheduler_t *scheduler, const char *id);
+bool sched_task_has_unreadable_job(const wwh_scheduler_t *scheduler,
+				   const char *name);
+void sched_unreadable_jobs_expire(wwh_scheduler_t *scheduler);
 void sched_upstream_add_unlocated(wwh_scheduler_t *scheduler, const char *id);
 bool sched_upstream_is_located(const sched_upstream_t *upstream);
 void sched_upstream_locate(wwh_scheduler_t *scheduler,
--- a/src/libwaxwinghollow/job_codec.c
+++ b/src/libwaxwinghollow/job_codec.c
@@ -7,7 +7,10 @@
 
 #define CODEC_DEPTH 8
 
-/* Number of fields that this release writes, and requires, in each array. */
+/*
+ * Number of required fields of each array. A job's workspace is an optional
+ * field after them.
+ */
 #define JOB_FIELDS 8
 #define QUEUE_FIELDS 7
 #define STEP_FIELDS 17
--- a/src/libwaxwinghollow/job_holder.c
+++ b/src/libwaxwinghollow/job_holder.c
@@ -16,7 +16,10 @@
 #define UPSTREAMS_GAP_MS 150
 #define UPSTREAMS_WAIT_MS 700
 
-/* Without other appends, an empty record confirms the claim this often. */
+/*
+ * Without other appends, the deletion of a key that doesn't exist confirms the
+ * claim this often.
+ */
 #define CONFIRM_PERIOD_MS 500
 #define CONFIRM_KEY "H"
 
@@ -391,7 +394,7 @@
 	options.stop_limit_ms = settings->stop_limit_ms;
 	options.ended_job_retention_ms = settings->job_retention_ms;
 	options.unavailable_after_ms = settings->unavailable_after_ms;
-	options.holder_count = holder->options.holder_count;
+	options.holder_count = holder->options.claim_count;
 	holder->scheduler = wwh_scheduler_new(&options, &calls);
 }
 
@@ -419,19 +422,19 @@
 
 /*
  * A previous holder was found ended because connections to it were refused,
- * which also happens while its host is cut off from this one. It then learns
- * that it was replaced by its next record. Until then, hosts that don't check
- * fencing tokens carry out its orders, also after orders of this holder. A
- * holder that gave up the shard has no orders in flight.
+ * which also happens while its host is cut off from this one. It learns from
+ * the answer to its next append that it was replaced. Until then, hosts that
+ * don't check fencing tokens carry out its orders, also after orders of this
+ * holder. A holder that released the shard has no orders in flight.
  */
 static int64_t host_orders_delay_ms(const wwh_job_holder_t *holder)
 {
 	const wwh_host_settings_t *settings = holder->options.settings;
 
-	if (holder->options.others_at_work)
+	if (holder->options.previous_holder_may_act)
 		return wwh_host_duties_takeover_delay_ms(
 			settings->hosts_fence, settings->duty_lease_ms);
-	if (holder->options.others_ended && !settings->hosts_fence)
+	if (holder->options.previous_holder_ended && !settings->hosts_fence)
 		return MIN(settings->duty_lease_ms, WWH_OVERTAKEN_HOLDER_MS);
 	return 0;
 }
--- a/src/libwaxwinghollow/job_holder_orders.c
+++ b/src/libwaxwinghollow/job_holder_orders.c
@@ -5,12 +5,15 @@
 
 /*
  * Upstreams answer within milliseconds. One that hasn't answered within this
- * time is polled for its running tasks: a longer time-out would delay the task,
+ * time is polled for its running tasks: a longer timeout would delay the task,
  * a shorter one would poll often.
  */
 #define ORDER_TIMEOUT_MS 1000
 
-/* Advice takes time for each upstream in the request, and waits its turn. */
+/*
+ * A request for advice takes time for each upstream in it, and may have to wait
+ * for earlier requests.
+ */
 #define ADVICE_TIMEOUT_MS 4000
 
 /* Validity of tickets where the answer doesn't state it. */
--- a/src/libwaxwinghollow/job_holder_requests.c
+++ b/src/libwaxwinghollow/job_holder_requests.c
@@ -16,14 +16,15 @@
 #define SLOW_APPENDS 3
 
 /*
- * Limit where the store answers, but refuses appends: it isn't slow then, and
- * three successive tries were refused within this time.
+ * Limit where the last append certainly had no effect, because the store
+ * refused it or it couldn't be sent: the store isn't slow then, and three
+ * successive tries failed within this time.
  */
 #define REFUSED_STALLED_AFTER_MS 150
 
 #define STALLED_RETRY_AFTER_S 1
 
-/* Callers that were asked to wait for longer have given up by then. */
+/* Callers don't retry after a longer wait, so no longer Retry-After is sent. */
 #define OVERLOADED_RETRY_AFTER_MAX_S 5
 #define SECOND_MS 1000
 
@@ -75,7 +76,7 @@
 	int64_t record;
 	int64_t late_ms;
 
-	if (wwh_scheduler_job_lost(holder->scheduler, job->id)) {
+	if (wwh_scheduler_job_is_unreadable(holder->scheduler, job->id)) {
 		wwh_job_delete(job);
 		answer_not_done(REASON_RECORD_UNREADABLE, done, client_data);
 		return;
@@ -201,7 +202,7 @@
 {
 	wwh_job_answer_t answer = { .kind = WWH_JOB_ANSWER_OK };
 
-	if (wwh_scheduler_job_lost(holder->scheduler, id)) {
+	if (wwh_scheduler_job_is_unreadable(holder->scheduler, id)) {
 		answer_not_done(REASON_RECORD_UNREADABLE, done, client_data);
 		return;
 	}
--- a/src/libwaxwinghollow/job_service.c
+++ b/src/libwaxwinghollow/job_service.c
@@ -10,7 +10,10 @@
  */
 #define BALANCER_REMOVAL_MS 2200
 
-/* End of the grace period, for the loop to settle and the process to exit. */
+/*
+ * End of the grace period, for the loop to become quiescent and the process to
+ * exit.
+ */
 #define EXIT_RESERVE_MS 1500
 
 /* Time limit for writing the last answers after requests were aborted. */
--- a/src/libwaxwinghollow/job_service_events.c
+++ b/src/libwaxwinghollow/job_service_events.c
@@ -26,8 +26,8 @@
 #define OPERATOR_READ_WAIT_MS 1200
 
 /*
- * Longest time until a silent store is detected: the wait of a read and the
- * transit time of its answer.
+ * Longest time until a silent store is detected. It covers the wait of one read
+ * and its time limit, with a margin.
  */
 #define OPERATOR_SILENCE_MAX_MS 2400
 
@@ -187,11 +187,11 @@
 		.journal_part = JOURNAL_PART,
 		.producer = PRODUCER,
 		.epoch = held->epoch,
-		.holder_count = held->holder_count,
+		.claim_count = held->claim_count,
 		.next_sequence = held->next_sequence,
 		.records = held->records,
-		.others_at_work = held->others_at_work,
-		.others_ended = held->others_ended,
+		.previous_holder_may_act = held->previous_holder_may_act,
+		.previous_holder_ended = held->previous_holder_ended,
 		.clock_ms = job_service_now_ms,
 		.wall_ms = job_service_wall_ms(),
 		.on_lost = on_shard_lost,
--- a/src/libwaxwinghollow/scheduler.c
+++ b/src/libwaxwinghollow/scheduler.c
@@ -159,7 +159,7 @@
 			g_clear_pointer(&job, wwh_job_delete);
 		}
 		if (job == NULL) {
-			sched_job_mark_lost(scheduler, key, true);
+			sched_job_mark_unreadable(scheduler, key, true);
 			return false;
 		}
 		age_ms = MAX(0, wall_ms - job->accepted_wall_ms);
@@ -169,7 +169,7 @@
 		if (sched_progress_restore(scheduler, key, value, size,
 					   message))
 			return true;
-		sched_job_mark_lost(scheduler, key, false);
+		sched_job_mark_unreadable(scheduler, key, false);
 		return false;
 	case WWH_SCHEDULER_RECORD_UPSTREAM:
 		if (sched_upstream_restore(scheduler, key, value, size,
@@ -259,10 +259,10 @@
 	sched_job_t *job = sched_job_find(scheduler, id);
 
 	scheduler->now_ms = MAX(scheduler->now_ms, now_ms);
-	if (job == NULL && wwh_scheduler_job_lost(scheduler, id)) {
+	if (job == NULL && wwh_scheduler_job_is_unreadable(scheduler, id)) {
 		job = sched_job_add_ended(scheduler, id);
 		job->state = WWH_PROGRESS_QUEUED;
-		sched_job_clear_lost(scheduler, id);
+		sched_job_clear_unreadable(scheduler, id);
 	}
 	if (job == NULL)
 		return false;
@@ -465,7 +465,7 @@
  * Each inherited upstream may run tasks until it answers or its lease has
  * certainly lapsed. A lasting task that waits for an upstream that no longer
  * exists is unavailable all that time. So the wait follows the recorded lease,
- * not the longest that upstreams grant: 6.2 s instead of 11.6 s for leases of
+ * not the longest that upstreams grant: 6.2 s instead of 11.8 s for leases of
  * 4.5 s and 10 s.
  */
 static void init_inherited_waits(wwh_scheduler_t *scheduler)
--- a/src/libwaxwinghollow/scheduler_cordon.c
+++ b/src/libwaxwinghollow/scheduler_cordon.c
@@ -331,7 +331,7 @@
 
 /*
  * Work that has become useless to its caller and work that fits on no host
- * don't add to the demand: hosts requested for them would be missing where
+ * don't add to the demand: hosts requested for such work would be missing where
  * callers wait.
  */
 static void add_occurrence_demand(const wwh_scheduler_t *scheduler,
--- a/src/libwaxwinghollow/scheduler_place.c
+++ b/src/libwaxwinghollow/scheduler_place.c
@@ -510,7 +510,8 @@
 
 /*
  * Counts the tasks on upstream that would slow a task of spec or be slowed by it:
- * fillers use the processor that serving tasks on the same host need at once.
+ * fillers use the processor that serving tasks on the same host may need at any
+ * moment.
  */
 static int32_t count_interfering(const sched_upstream_t *upstream,
 				 const wwh_job_step_t *spec)
--- a/src/libwaxwinghollow/scheduler_policy.c
+++ b/src/libwaxwinghollow/scheduler_policy.c
@@ -14,26 +14,28 @@
 
 /* Weights of wwh_policy_fit_cost, in thousandths of a host's processor. */
 #define FIT_SCALE 1000
-/* With data on another rack, a step takes up to twice as long, like two hosts. */
+/* A step with its data on another rack takes up to twice as long. */
 #define DATA_ON_OTHER_RACK 1500
 #define STEP_ON_OTHER_RACK 1500
-#define FAILED_ON_HOST 4000 /* any other host is preferred */
+/* More than each other weight but WAVE_PENDING; several together exceed it. */
+#define FAILED_ON_HOST 4000
 #define CONSECUTIVE_FAILURE 300
 #define INTERFERING_TASK 2500
 #define SAME_STEP_LASTING 2000
 #define FIRST_LASTING_TASK 1000
-#define GROUP_TASK_IN_ZONE                                                     \
-	(2 * FIT_SCALE) /* more than the costs of any two hosts differ */
+/* More than the costs of any two hosts differ by their free share alone. */
+#define GROUP_TASK_IN_ZONE (2 * FIT_SCALE)
 #define WAVE_PENDING (INT64_C(1) << 40) /* more than all other costs together */
 
 /*
  * Tail latency of a serving task, in percent of its target, from which fillers
- * are paused, their pace is halved, or it is kept. Below, it rises by PACE_STEP.
+ * are paused, their pace is halved, or it is kept. Below, it rises by
+ * PACE_STEP_PERCENT.
  */
 #define PACE_STOP_PERCENT 97
 #define PACE_SLOW_PERCENT 85
 #define PACE_KEEP_PERCENT 70
-#define PACE_STEP 25
+#define PACE_STEP_PERCENT 25
 
 typedef enum {
 	RANK_LASTING = 0,
@@ -67,7 +69,7 @@
 		return pace / 2;
 	if (tail_percent >= PACE_KEEP_PERCENT)
 		return pace;
-	return MIN(pace + PACE_STEP, 100);
+	return MIN(pace + PACE_STEP_PERCENT, 100);
 }
 
 int64_t wwh_policy_fit_cost(const wwh_policy_fit_input_t *input)
--- a/src/libwaxwinghollow/scheduler_upstream.c
+++ b/src/libwaxwinghollow/scheduler_upstream.c
@@ -2,7 +2,10 @@
 
 #include <string.h>
 
-/* An upstream silent for three poll waits and a margin gets no new work. */
+/*
+ * An upstream gets no starts once its last answer is older than this plus its
+ * idle gap: three poll waits and a margin.
+ */
 #define SILENT_AFTER_MS 3200
 
 /* Time to wait for the final report of an upstream that has terminated. */
@@ -114,10 +117,11 @@
 }
 
 /*
- * An upstream may delete an end once it is durable here. To be called only
- * right after the progress of all jobs was written: an end that isn't in the
- * written progress of its job must not be acknowledged. Only one end number of
- * an upstream is being made durable at a time; the next one follows.
+ * An upstream may delete an end once the store has the end's effect. To be
+ * called only right after the progress of all jobs was written: an end that
+ * isn't in the written progress of its job must not be acknowledged. Only one
+ * end number of an upstream is being made durable at a time; the next one
+ * follows.
  */
 void sched_upstreams_flushed(wwh_scheduler_t *scheduler)
 {
@@ -134,9 +138,9 @@
 			scheduler->has_unflushed_ends = true;
 			continue;
 		}
-		if (upstream->ends_seen == upstream->ends_acked)
+		if (upstream->ends_received == upstream->ends_acked)
 			continue;
-		upstream->ends_flushed = upstream->ends_seen;
+		upstream->ends_flushed = upstream->ends_received;
 		upstream->ends_flushed_record = scheduler->newest_record;
 	}
 	sched_upstreams_durable(scheduler);
@@ -349,8 +353,9 @@
 
 /*
  * A list is complete if it contains each upstream that was announced and had
- * answered when the list was requested, and there is at least one such
- * upstream. Absence from an empty or partial list proves nothing.
+ * answered when the list was requested, and still is announced and answers, and
+ * there is at least one such upstream. Absence from an empty or partial list
+ * proves nothing.
  */
 static bool host_list_is_complete(const wwh_scheduler_t *scheduler,
 				  GHashTable *incarnations)
--- a/src/libwaxwinghollow/shard_claim_watch.c
+++ b/src/libwaxwinghollow/shard_claim_watch.c
@@ -3,7 +3,7 @@
 #include "private/shard_claim_state.h"
 #include "wire_store.h"
 
-/* Joins per member_ttl_ms, after which the group drops a silent member. */
+/* Joins per member_ttl_ms, after which the group removes a silent member. */
 #define JOINS_PER_TTL 3
 #define JOIN_TIMEOUT_MS 700
 
@@ -12,8 +12,8 @@
 #define PROBE_TIMEOUT_MS 600
 
 /*
- * A standby process probes less often, and joins the group after this time without
- * an answering holder.
+ * A standby process probes at STANDBY_PROBE_INTERVAL_MS, and joins the group
+ * after STANDBY_JOIN_DELAY_MS without an answering holder.
  */
 #define STANDBY_PROBE_INTERVAL_MS 1500
 #define STANDBY_JOIN_DELAY_MS 5000
@@ -32,8 +32,8 @@
 #define HANDOVER_PROBE_INTERVAL_MS 100
 
 /*
- * The write check drops this key, which the journal never contains. An append takes
- * some ms.
+ * The write check deletes this key, which the journal never contains. An append
+ * takes some ms.
  */
 #define WRITE_CHECK_KEY "H"
 #define WRITE_CHECK_TIMEOUT_MS 500
@@ -347,7 +347,7 @@
  * A store that accepts no records from any process may still answer the group's
  * calls. If the holder released the shard then, no process could manage its
  * running tasks. So this process checks first that the journal accepts one of its
- * own records, which drops a key that doesn't exist.
+ * own records, which deletes a key that doesn't exist.
  */
 static void check_journal_writable(wwh_shard_claim_t *claim)
 {
--- a/src/libwaxwinghollow/shard_journal.c
+++ b/src/libwaxwinghollow/shard_journal.c
@@ -5,17 +5,17 @@
 #include "wire_store.h"
 
 /*
- * An append takes some ms. One that exceeds the first time-out was sent on a silent
- * connection, where waiting is useless, or to a store that is slow for all
- * processes. Each repetition costs a slow store as much as the first call, so with
- * a fixed time-out no append might ever be answered in time.
+ * An append takes some ms. One that exceeds the first timeout was sent on a
+ * silent connection, where waiting is useless, or to a store that is slow for
+ * all processes. Each repetition costs a slow store as much as the first call,
+ * so with a fixed timeout no append might ever be answered in time.
  */
 #define APPEND_TIMEOUT_MS 700
 #define APPEND_TIMEOUT_MAX_MS 2000
 
 /*
- * Factor of the last append's duration in the time-out, as the next append may take
- * longer.
+ * Factor of the last append's duration in the timeout, as the next append may
+ * take longer.
  */
 #define TIMEOUT_PER_LAST_APPEND 2
 
@@ -29,11 +29,11 @@
 #define RETRY_MAX_MS 100
 
 /* Delay between retries when the store is full or rejects the call as invalid. */
-#define RETRY_REFUSED_MS 1000
+#define RETRY_REJECTED_MS 1000
 
 typedef struct {
 	char *key;
-	GBytes *value; /* NULL: the key is dropped */
+	GBytes *value; /* NULL: the key is deleted */
 	int64_t number;
 	int64_t queued_ms;
 	bool urgent;
@@ -62,7 +62,7 @@
 	int64_t last_failure_ms;
 	int32_t unanswered; /* consecutive calls */
 	int64_t last_append_duration_ms; /* of the last success */
-	bool refused; /* the last call was answered without effect */
+	bool refused; /* see wwh_shard_journal_refused */
 	int64_t confirmed_ms;
 };
 
@@ -302,7 +302,7 @@
 	case WIRE_STORE_BAD:
 		g_warning("store rejected a batch of records: %s, status %d",
 			  wire_store_result_names[result], answer->status);
-		schedule_retry(journal, RETRY_REFUSED_MS);
+		schedule_retry(journal, RETRY_REJECTED_MS);
 		break;
 	default:
 		schedule_retry(journal, (int64_t)RETRY_FIRST_MS
@@ -316,8 +316,8 @@
 {
 	journal->failures++;
 	journal->last_failure_ms = journal->sent_ms;
-	journal->retry_ms = journal->sent_ms + MIN(wait_ms, RETRY_REFUSED_MS);
-	if (wait_ms < RETRY_REFUSED_MS)
+	journal->retry_ms = journal->sent_ms + MIN(wait_ms, RETRY_REJECTED_MS);
+	if (wait_ms < RETRY_REJECTED_MS)
 		journal->retry_ms =
 			journal->sent_ms + MIN(wait_ms, RETRY_MAX_MS);
 }
--- a/src/libwaxwinghollow/store_follower.c
+++ b/src/libwaxwinghollow/store_follower.c
@@ -14,7 +14,7 @@
 #define RETRY_MAX_MS 400
 
 /*
- * Size of one read. A read that exceeds its time-out is lost as a whole: with a
+ * Size of one read. A read that exceeds its timeout is lost as a whole: with a
  * fixed size, a follower that has fallen behind would make no progress any more.
  * The size grows again when a read of at least half the size takes less than
  * READ_FAST_US.
@@ -68,7 +68,7 @@
 static void on_changed_record(const wire_record_t *record, void *data);
 static void report_record(wwh_store_follower_t *follower,
 			  const wire_record_t *record);
-static void drop_unlisted_keys(wwh_store_follower_t *follower);
+static void delete_unlisted_keys(wwh_store_follower_t *follower);
 static void begin_full_read(wwh_store_follower_t *follower);
 static void handle_answer(wwh_store_follower_t *follower);
 static void handle_failure(wwh_store_follower_t *follower,
@@ -191,7 +191,7 @@
 	g_free(follower->next_page_key);
 	follower->next_page_key = last;
 	if (last == NULL) {
-		drop_unlisted_keys(follower);
+		delete_unlisted_keys(follower);
 		follower->in_full_read = false;
 		follower->next_offset = follower->full_read_end;
 		if (!follower->caught_up) {
@@ -317,11 +317,11 @@
 }
 
 /*
- * Reports keys as dropped that the full read didn't list: their drops were trimmed
- * from the log. None is reported if a listed key was unreadable: that key would
- * look dropped as well.
+ * Reports keys as deleted that the full read didn't list: their deletions were
+ * trimmed from the log. None is reported if a listed key was unreadable: that
+ * key would look deleted as well.
  */
-static void drop_unlisted_keys(wwh_store_follower_t *follower)
+static void delete_unlisted_keys(wwh_store_follower_t *follower)
 {
 	GPtrArray *gone;
 	GHashTableIter iterator;
--- a/src/libwaxwinghollow/suggest.c
+++ b/src/libwaxwinghollow/suggest.c
@@ -23,7 +23,7 @@
 char *wwh_names_suggest(const char *const *names, int32_t count,
 			const char *name)
 {
-	/* A name with up to a third of its letters wrong counts as a typo. */
+	/* Up to a third of the letters, plus one, wrong counts as a typo. */
 	int32_t best = (int32_t)(strlen(name) / 3) + 2;
 	const char *nearest = NULL;
 	GString *all;
--- a/src/test_host_duties/test_host_duties.c
+++ b/src/test_host_duties/test_host_duties.c
@@ -51,9 +51,9 @@
 }
 
 /*
- * A new holder waited three seconds before it moved the first host to a busy
- * pool, although hosts that check fencing tokens reject late orders of the
- * previous holder.
+ * Guards against a new holder that waits three seconds before it moves the
+ * first host to a busy pool, although hosts that check fencing tokens reject
+ * late orders of the previous holder.
  */
 static void a_new_holder_waits_less_where_hosts_fence(void **state)
 {
--- a/src/test_host_duties/test_moves.c
+++ b/src/test_host_duties/test_moves.c
@@ -132,8 +132,9 @@
 }
 
 /*
- * Work arrives in bursts. Hosts were moved away in each pause of a busy phase,
- * and were missing for three seconds when it continued.
+ * Guards against moving hosts away in each pause of a busy phase, as work
+ * arrives in bursts: the hosts would be missing for three seconds when it
+ * continues.
  */
 void a_pause_within_a_busy_phase_moves_no_host(void **state)
 {
@@ -152,9 +153,9 @@
 }
 
 /*
- * A pool has more work than its hosts can do in time. No host is called for
- * late jobs, and idle surplus hosts of their own pool were cordoned: jobs
- * waited although hosts that were paid for were idle.
+ * Guards against cordoning idle surplus hosts of a pool that has more work than
+ * its hosts can do in time. No host is requested for late jobs, so they would
+ * wait although hosts that are paid for are idle.
  */
 void a_surplus_host_takes_late_work(void **state)
 {
@@ -291,7 +292,7 @@
  * A busy phase begins just after hosts were moved to the standby pool. They
  * stayed there for a while although the pool needed all of them.
  */
-void a_standby_host_is_called_back_at_once(void **state)
+void a_standby_host_is_requested_again_at_once(void **state)
 {
 	duties_fixture_t *fixture = *state;
 
@@ -318,7 +319,7 @@
  * A host announces that it leaves, and its lasting task is stopped to be
  * relocated; the other host runs one of the same step and may not run two. The
  * leaving host may be listed as up for many seconds. While it counted for its
- * pool, no standby host was called, and the task stayed unavailable.
+ * pool, no standby host was requested, and the task stayed unavailable.
  */
 void a_leaving_host_is_replaced_before_it_is_gone(void **state)
 {
--- a/src/test_host_duties/test_waves.c
+++ b/src/test_host_duties/test_waves.c
@@ -118,9 +118,10 @@
 }
 
 /*
- * A wave is ordered while a busy pool needs all its hosts. Hosts were drained
- * for it at once and callers waited, although the wave had 50 s left. The wave
- * must wait for the busy phase to end, but not beyond its own time limit.
+ * A wave is ordered while a busy pool needs all its hosts. Guards against
+ * draining hosts for it at once, so that callers wait although the wave has 50
+ * s left. The wave must wait for the busy phase to end, but not beyond its own
+ * time limit.
  */
 void a_wave_with_slack_skips_a_pool_that_lacks_hosts(void **state)
 {
@@ -188,7 +189,7 @@
  * A wave drains a host for 7 s, as a lasting task there must stay available.
  * Another lasting task fails there meanwhile and fits on no other host,
  * because its step has one on each. While the drained host counted for its
- * pool, no standby host was called, and the task stayed unavailable.
+ * pool, no standby host was requested, and the task stayed unavailable.
  */
 void a_host_drained_for_a_wave_is_replaced(void **state)
 {
--- a/src/test_job_holder/test_job_holder.c
+++ b/src/test_job_holder/test_job_holder.c
@@ -71,7 +71,7 @@
 					     .topic = "keyed.wwh",
 					     .producer = "p",
 					     .epoch = 1 << 16,
-					     .holder_count = 1,
+					     .claim_count = 1,
 					     .next_sequence = 1,
 					     .records = records,
 					     .clock_ms = read_clock,
@@ -201,10 +201,10 @@
 		.topic = "keyed.wwh",
 		.producer = "p",
 		.epoch = 1 << 16,
-		.holder_count = 1,
+		.claim_count = 1,
 		.next_sequence = 1,
-		.others_at_work = previous == PREVIOUS_SILENT,
-		.others_ended = previous == PREVIOUS_ENDED,
+		.previous_holder_may_act = previous == PREVIOUS_SILENT,
+		.previous_holder_ended = previous == PREVIOUS_ENDED,
 		.records = fixture->records,
 		.clock_ms = standin_now_ms,
 		.wall_ms = 1000,
@@ -346,7 +346,7 @@
 }
 
 /*
- * Guards against a stopping process that gives up the shard while an order to a
+ * Guards against a stopping process that releases the shard while an order to a
  * host is unanswered. The next holder then gives its first orders at once, and
  * the late order takes one host too many down.
  */
--- a/src/test_job_service/test_changes.c
+++ b/src/test_job_service/test_changes.c
@@ -75,10 +75,10 @@
  * Guards against a holder that keeps the shard on a slow host. When the host
  * becomes six times slower at peak load, the holder still answers in time that
  * it holds the shard, so no process replaces it, while its records, starts and
- * ends wait for its loop. In a run with a day of 34 s it kept the shard for the
- * 8.2 s in which its host was slow: 1,496 callers were rejected, and one kind
- * of job earned a tenth of its credit. Answers that take long to read simulate
- * the slow host here.
+ * ends wait for its loop. In a simulated day of 34 s it kept the shard for the
+ * 8.2 s in which its host was slow: 1,496 callers were rejected, and of one
+ * kind of job only a tenth of the jobs' value was earned. Answers that take
+ * long to read simulate the slow host here.
  */
 void a_holder_that_cannot_keep_up_hands_over(void **state)
 {
@@ -264,7 +264,7 @@
 
 /*
  * Guards against a wave that takes down more hosts than it allows when its
- * holder is stopped while orders to hosts are slow. The holder gave up the
+ * holder is stopped while orders to hosts are slow. The holder released the
  * shard at once, so the next holder's first orders overlapped with its own.
  */
 void a_stopped_holder_waits_for_its_orders_to_hosts(void **state)
--- a/src/test_lease_keeper/test_lease_keeper.c
+++ b/src/test_lease_keeper/test_lease_keeper.c
@@ -209,9 +209,9 @@
 
 /*
  * The member whose target includes the lease comes back every few seconds and
- * disappears before it has waited long enough to acquire it. Another member, which
- * exceeds its target thereby, acquires the lease in bounded time, so its work
- * goes on.
+ * disappears before it has waited long enough to acquire it. Another member
+ * acquires the lease in bounded time, although it then exceeds its target, so
+ * that the lease's work goes on.
  */
 static void orphaned_lease_is_acquired_by_any_member(void **test_state)
 {
--- a/src/test_shard_journal/test_shard_journal.c
+++ b/src/test_shard_journal/test_shard_journal.c
@@ -11,10 +11,10 @@
 #define STEP_MS 10
 #define CALL_BYTES 65536
 
-/* Longer than the first time-out of an append. */
+/* Longer than the first timeout of an append. */
 #define SLOW_APPEND_MS 900
 
-/* After that a check fails and shows what is missing. */
+/* A wait ends after this time, so that the following check fails. */
 #define WAIT_MAX_MS 20000
 
 typedef struct {
--- a/src/test_store_follower/test_store_follower.c
+++ b/src/test_store_follower/test_store_follower.c
@@ -25,7 +25,7 @@
 	wwh_counters_t *counters;
 	wwh_http_calls_t *calls;
 	wwh_store_follower_t *follower;
-	/* KEY= for a value, KEY- if dropped, KEY! if unreadable, ?OFFSET */
+	/* KEY= for a value, KEY- if deleted, KEY! if unreadable, ?OFFSET */
 	GString *reports;
 } fixture_t;
 
@@ -222,11 +222,11 @@
 
 /*
  * A follower knows two keys, the log is trimmed, and in the next full read one key's
- * value is unreadable. Guards against reporting the key as dropped, by which its
+ * value is unreadable. Guards against reporting the key as deleted, by which its
  * upstream counted as removed. The key is reported as unreadable, with its value
- * when that is readable again, and as dropped only when it is gone.
+ * when that is readable again, and as deleted only when it is gone.
  */
-static void unreadable_value_does_not_drop_key(void **state)
+static void unreadable_value_does_not_delete_key(void **state)
 {
 	fixture_t *fixture = *state;
 
@@ -244,9 +244,9 @@
 
 /*
  * An unreadable key in a full read: any missing key may be that one, so none is
- * reported as dropped until all keys of a full read are readable.
+ * reported as deleted until all keys of a full read are readable.
  */
-static void unreadable_key_drops_no_key(void **state)
+static void unreadable_key_deletes_no_key(void **state)
 {
 	fixture_t *fixture = *state;
 
@@ -261,8 +261,8 @@
 	assert_string_equal(fixture->reports->str, "a= b- ");
 }
 
-/* A malformed list is requested again, and drops no key. */
-static void malformed_list_drops_no_key(void **state)
+/* A malformed list is requested again, and deletes no key. */
+static void malformed_list_deletes_no_key(void **state)
 {
 	fixture_t *fixture = *state;
 
@@ -314,7 +314,7 @@
 
 /*
  * Guards against a follower that makes no progress once its backlog takes longer to
- * transfer than the time-out of one read.
+ * transfer than the timeout of one read.
  */
 static void backlog_larger_than_one_read_is_read_in_parts(void **state)
 {
@@ -374,10 +374,11 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test_setup_teardown(
-			unreadable_value_does_not_drop_key, set_up, tear_down),
-		cmocka_unit_test_setup_teardown(unreadable_key_drops_no_key,
+			unreadable_value_does_not_delete_key, set_up,
+			tear_down),
+		cmocka_unit_test_setup_teardown(unreadable_key_deletes_no_key,
 						set_up, tear_down),
-		cmocka_unit_test_setup_teardown(malformed_list_drops_no_key,
+		cmocka_unit_test_setup_teardown(malformed_list_deletes_no_key,
 						set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
 			unreadable_change_does_not_stop_follower, set_up,
