--- a/src/libwaxwinghollow/entry_verbs.c
+++ b/src/libwaxwinghollow/entry_verbs.c
@@ -246,7 +246,7 @@
 	wwh_record_t record;
 
 	if (config != NULL)
-		change = wwh_config_pool_change(config, worker, pool);
+		change = wwh_config_change_new_for_pool(config, worker, pool);
 	if (change == NULL) {
 		refuse(act, 422, "no such worker");
 	} else {
--- a/src/libwaxwinghollow/scheduler.c
+++ b/src/libwaxwinghollow/scheduler.c
@@ -109,7 +109,7 @@
 	    WWH_STATUS_OK)
 		g_error("charts/task.json: %s", message.text);
 	scheduler->outstanding_tag =
-		wwh_chart_tag(scheduler->task_chart, "out");
+		wwh_chart_tag_mask(scheduler->task_chart, "out");
 	scheduler->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 						sched_job_delete);
 	scheduler->lost_jobs =
