--- a/src/libwaxwinghollow/entry.c
+++ b/src/libwaxwinghollow/entry.c
@@ -13,9 +13,9 @@
 
 #define MILLISECOND_US 1000
 #define OPERATOR_REQUESTS_MAX 32
-#define OPERATOR_BODY_MAX (64 * 1024 * 1024)
+#define OPERATOR_BODY_MAX_BYTES (64 * 1024 * 1024)
 #define INTENTS_WAITING_MAX 4096
-#define LEASES_RETURN_LIMIT_MS 2000
+#define SHUTDOWN_STEP_LIMIT_MS 2000
 
 const char *const wwh_phase_names[WWH_PHASE_COUNT] = {
 	"starting", "catching-up", "ready",   "not-ready",
@@ -34,12 +34,12 @@
 			      wwh_listener_handler_t handler,
 			      wwh_listener_t **listener,
 			      wwh_message_t *message);
-static bool put_in_force(wwh_entry_t *entry, const wwh_config_t *config,
-			 const char *author);
-static void make_counters(wwh_entry_t *entry);
+static bool apply_newer_config(wwh_entry_t *entry, const wwh_config_t *config,
+			       const char *author);
+static void create_counters(wwh_entry_t *entry);
 static wwh_status_t append_intents(const wwh_record_t *record,
 				   void *client_data);
-static void intent_failed(int64_t sequence, void *client_data);
+static void on_intent_failed(int64_t sequence, void *client_data);
 
 wwh_entry_t *wwh_entry_new(const wwh_settings_t *settings)
 {
@@ -48,12 +48,12 @@
 	entry->settings = settings;
 	entry->incarnation = (uint64_t)g_get_real_time();
 	entry->author =
-		wwh_entry_author_of(settings->process_id, entry->incarnation);
+		wwh_entry_author_name(settings->process_id, entry->incarnation);
 	entry->counters = wwh_counters_new();
 	g_mutex_init(&entry->state_lock);
 	entry->state = wwh_state_new();
 	entry->intents = wwh_intents_new(NULL);
-	make_counters(entry);
+	create_counters(entry);
 	return entry;
 }
 
@@ -66,7 +66,7 @@
 		.batch_ms = settings->intent_batch_ms,
 		.waiting_max = INTENTS_WAITING_MAX,
 		.append = append_intents,
-		.failed = intent_failed,
+		.failed = on_intent_failed,
 		.client_data = entry,
 	};
 	wwh_status_t status;
@@ -123,11 +123,11 @@
 	wwh_entry_phase_event(entry, WWH_PHASE_EVENT_IDLE);
 	wwh_entry_fleet_finish(entry->fleet);
 	wwh_entry_control_finish(entry->control);
-	wwh_intent_writer_finish(entry->intent_writer, LEASES_RETURN_LIMIT_MS);
+	wwh_intent_writer_finish(entry->intent_writer, SHUTDOWN_STEP_LIMIT_MS);
 	wwh_entry_phase_event(entry, WWH_PHASE_EVENT_LEASES_RETURNED);
 	wwh_entry_peers_finish(entry->peers);
 	wwh_entry_log_finish(entry->log);
-	wwh_listener_drain(entry->operator_listener, LEASES_RETURN_LIMIT_MS);
+	wwh_listener_drain(entry->operator_listener, SHUTDOWN_STEP_LIMIT_MS);
 	return cut_off;
 }
 
@@ -185,7 +185,7 @@
 	after = entry->phase.state;
 	g_mutex_unlock(&entry->state_lock);
 	if (result == WWH_CHART_STEPPED && before != after)
-		g_message("%s: %s, was %s", entry->author,
+		g_message("%s: phase %s, was %s", entry->author,
 			  wwh_phase_names[after], wwh_phase_names[before]);
 }
 
@@ -210,21 +210,21 @@
 	return config;
 }
 
-void wwh_entry_take_config(wwh_entry_t *entry)
+void wwh_entry_apply_replayed_config(wwh_entry_t *entry)
 {
-	put_in_force(entry, wwh_state_config(entry->state),
-		     wwh_state_config_author(entry->state));
+	apply_newer_config(entry, wwh_state_config(entry->state),
+			   wwh_state_config_author(entry->state));
 }
 
-bool wwh_entry_offer_config(wwh_entry_t *entry, const wwh_config_t *config,
-			    const char *from)
+bool wwh_entry_apply_peer_config(wwh_entry_t *entry, const wwh_config_t *config,
+				 const char *source)
 {
-	bool taken;
+	bool applied;
 
 	g_mutex_lock(&entry->state_lock);
-	taken = put_in_force(entry, config, from);
+	applied = apply_newer_config(entry, config, source);
 	g_mutex_unlock(&entry->state_lock);
-	return taken;
+	return applied;
 }
 
 int64_t wwh_entry_config_version(wwh_entry_t *entry)
@@ -238,7 +238,7 @@
 	return version;
 }
 
-char *wwh_entry_author_of(const char *process_id, uint64_t incarnation)
+char *wwh_entry_author_name(const char *process_id, uint64_t incarnation)
 {
 	return g_strdup_printf("%s/%" G_GUINT64_FORMAT, process_id,
 			       incarnation);
@@ -290,8 +290,7 @@
 	wwh_status_t status;
 
 	if (!wwh_endpoint_split(endpoint, &address, &options.port)) {
-		wwh_message_set(message, "%s: not an address and port",
-				endpoint);
+		wwh_message_set(message, "%s: expected ADDRESS:PORT", endpoint);
 		return WWH_STATUS_BAD_ARGUMENT;
 	}
 	options.name = name;
@@ -308,7 +307,7 @@
 	} else {
 		options.max_requests = OPERATOR_REQUESTS_MAX;
 		options.max_connections = 2 * OPERATOR_REQUESTS_MAX;
-		options.max_body_bytes = OPERATOR_BODY_MAX;
+		options.max_body_bytes = OPERATOR_BODY_MAX_BYTES;
 	}
 	*listener = wwh_listener_new(&options, entry->counters);
 	status = wwh_listener_init(*listener, message);
@@ -317,11 +316,12 @@
 }
 
 /*
- * Versions only grow, wherever they come from: what a peer told is not undone
- * by an older version that the log is replayed to later.
+ * The version in force only rises, whatever the source: a configuration
+ * received from a peer is not replaced by an older one that is replayed from
+ * the log later.
  */
-static bool put_in_force(wwh_entry_t *entry, const wwh_config_t *config,
-			 const char *author)
+static bool apply_newer_config(wwh_entry_t *entry, const wwh_config_t *config,
+			       const char *author)
 {
 	int64_t version = wwh_config_version(config);
 
@@ -337,7 +337,7 @@
 	return true;
 }
 
-static void make_counters(wwh_entry_t *entry)
+static void create_counters(wwh_entry_t *entry)
 {
 	char *name;
 
@@ -371,7 +371,7 @@
 				    &offset);
 }
 
-static void intent_failed(int64_t sequence, void *client_data)
+static void on_intent_failed(int64_t sequence, void *client_data)
 {
 	wwh_entry_t *entry = client_data;
 
--- a/src/libwaxwinghollow/entry_caller.c
+++ b/src/libwaxwinghollow/entry_caller.c
@@ -35,7 +35,7 @@
 	"retry", "refuse",   "deadline",       "caller-gone",
 };
 
-/* One caller's request on its way. */
+/* One caller's request in progress. */
 typedef struct {
 	wwh_entry_t *entry;
 	const wwh_http_request_t *http;
@@ -44,40 +44,41 @@
 	const wwh_service_t *service;
 	int64_t deadline_ms;
 	bool idempotent;
-	const char *key; /* NULL: not recorded on the log */
+	const char *key; /* NULL if no intent is recorded for the request */
 	uint8_t fingerprint[WWH_FINGERPRINT_BYTES];
 	wwh_request_t *request;
-	uint64_t id; /* of request; the sequence of its intent */
+	uint64_t id; /* of request; also the sequence of its intent */
 	wwh_chart_machine_t machine;
 	bool answered; /* response holds the minion's answer */
-	bool replayed; /* or the one kept for the key */
+	bool replayed; /* response holds the answer recorded for the key */
 	int64_t retry_after_ms;
-	int64_t held_bytes; /* of the body, and of answers taken */
+	int64_t held_bytes; /* of the body and of the stored answers */
 } call_t;
 
-static wwh_error_kind_t admit(call_t *call);
-static wwh_error_kind_t run(call_t *call);
-static wwh_error_kind_t begin(call_t *call);
-static wwh_error_kind_t follow_decisions(call_t *call);
-static wwh_error_kind_t attempt(call_t *call, const wwh_decision_t *start);
+static wwh_error_kind_t admit_request(call_t *call);
+static wwh_error_kind_t run_request(call_t *call);
+static wwh_error_kind_t begin_request(call_t *call);
+static wwh_error_kind_t execute_decisions(call_t *call);
+static wwh_error_kind_t run_attempt(call_t *call, const wwh_decision_t *start);
 static wwh_error_kind_t confirm_intent(call_t *call);
 static bool may_send(call_t *call);
 static void send_to_minion(call_t *call, const wwh_decision_t *start,
 			   wwh_upstream_answer_t *answer);
-static wwh_outcome_t outcome_of(const wwh_upstream_answer_t *answer);
-static void step_outcome(call_t *call, const wwh_upstream_answer_t *answer);
-static void hold_bytes(call_t *call, int64_t bytes);
-static void take_answer(call_t *call, wwh_upstream_answer_t *answer);
+static wwh_outcome_t dispatch_outcome(const wwh_upstream_answer_t *answer);
+static void step_chart_by_outcome(call_t *call,
+				  const wwh_upstream_answer_t *answer);
+static void add_held_bytes(call_t *call, int64_t bytes);
+static void store_answer(call_t *call, wwh_upstream_answer_t *answer);
 static void record_result(call_t *call, wwh_error_kind_t kind);
 static wwh_error_kind_t answer_known_key(call_t *call);
-static wwh_error_kind_t replay(call_t *call, const wwh_key_view_t *view);
+static wwh_error_kind_t replay_answer(call_t *call, const wwh_key_view_t *view);
 static void answer_caller(call_t *call, wwh_error_kind_t kind);
-static void step(call_t *call, event_t event);
+static void step_chart(call_t *call, event_t event);
 static bool method_is_idempotent(const char *method);
-static int64_t deadline_of(const wwh_http_request_t *http,
-			   const wwh_service_t *service);
-static uint64_t caller_of(const wwh_http_request_t *http);
-static wwh_error_kind_t final_kind(call_t *call, wwh_error_kind_t kind);
+static int64_t request_deadline_ms(const wwh_http_request_t *http,
+				   const wwh_service_t *service);
+static uint64_t caller_hash(const wwh_http_request_t *http);
+static wwh_error_kind_t final_error_kind(call_t *call, wwh_error_kind_t kind);
 
 void wwh_entry_handle_caller(const wwh_http_request_t *request,
 			     wwh_http_response_t *response, void *client_data)
@@ -92,24 +93,23 @@
 	};
 	wwh_error_kind_t kind;
 
-	hold_bytes(&call, (int64_t)request->body_size);
-	kind = admit(&call);
+	add_held_bytes(&call, (int64_t)request->body_size);
+	kind = admit_request(&call);
 	if (kind == WWH_ERROR_NONE)
-		kind = run(&call);
+		kind = run_request(&call);
 	answer_caller(&call, kind);
 	wwh_counter_add(entry->buffered_bytes, -call.held_bytes);
 	if (call.config != NULL)
 		wwh_config_unref(call.config);
 }
 
-/* The events of charts/request.json, for the chart's table. */
 const char *const *wwh_request_event_names(int32_t *count)
 {
 	*count = EVENT_COUNT;
 	return event_names;
 }
 
-static wwh_error_kind_t admit(call_t *call)
+static wwh_error_kind_t admit_request(call_t *call)
 {
 	wwh_phase_t phase = wwh_entry_phase(call->entry);
 	const char *key;
@@ -133,7 +133,7 @@
 	if (key != NULL && (*key == '\0' || strlen(key) > WWH_KEY_BYTES_MAX))
 		return WWH_ERROR_BAD_REQUEST;
 	call->idempotent = method_is_idempotent(call->http->method);
-	call->deadline_ms = deadline_of(call->http, call->service);
+	call->deadline_ms = request_deadline_ms(call->http, call->service);
 	if (key != NULL && !call->idempotent) {
 		call->key = key;
 		wwh_intent_fingerprint(call->http->method, call->http->target,
@@ -144,26 +144,26 @@
 	return WWH_ERROR_NONE;
 }
 
-static wwh_error_kind_t run(call_t *call)
+static wwh_error_kind_t run_request(call_t *call)
 {
 	wwh_error_kind_t kind;
 
 	if (call->replayed)
 		return WWH_ERROR_NONE;
-	kind = begin(call);
+	kind = begin_request(call);
 	if (kind == WWH_ERROR_NONE)
-		kind = follow_decisions(call);
-	kind = final_kind(call, kind);
+		kind = execute_decisions(call);
+	kind = final_error_kind(call, kind);
 	if (wwh_request_end(call->request) && call->key != NULL)
 		record_result(call, kind);
 	return kind;
 }
 
-static wwh_error_kind_t begin(call_t *call)
+static wwh_error_kind_t begin_request(call_t *call)
 {
 	wwh_dispatch_request_t arrival = {
 		.service = call->service->id,
-		.caller = caller_of(call->http),
+		.caller = caller_hash(call->http),
 		.team = call->service->team,
 		.urgent = call->service->urgent,
 		.idempotent = call->idempotent,
@@ -174,11 +174,11 @@
 
 	call->request = wwh_request_begin(call->entry->requests, &arrival);
 	call->id = wwh_request_id(call->request);
-	step(call, call->key != NULL ? EVENT_RECORD : EVENT_QUEUE);
+	step_chart(call, call->key != NULL ? EVENT_RECORD : EVENT_QUEUE);
 	/*
 	 * The intent is recorded while the request waits for its slot, so
-	 * neither waits for the other, and what is refused at once costs the
-	 * log nothing.
+	 * neither delays the other. A request that was refused at once costs
+	 * no append.
 	 */
 	if (call->key == NULL || wwh_request_refused(call->request))
 		return WWH_ERROR_NONE;
@@ -190,7 +190,7 @@
 	return WWH_ERROR_NONE;
 }
 
-static wwh_error_kind_t follow_decisions(call_t *call)
+static wwh_error_kind_t execute_decisions(call_t *call)
 {
 	wwh_error_kind_t kind = WWH_ERROR_NONE;
 	wwh_decision_t decision;
@@ -199,20 +199,26 @@
 				&decision)) {
 		if (decision.type == WWH_DECISION_END) {
 			call->retry_after_ms = decision.retry_after_ms;
-			/* a whole answer in hand is truer than any error */
+			/*
+			 * The attempt's error or a complete answer takes
+			 * precedence over the dispatcher's error.
+			 */
 			if (kind != WWH_ERROR_NONE || call->replayed ||
 			    call->answered)
 				return kind;
 			return decision.kind;
 		}
-		kind = attempt(call, &decision);
+		kind = run_attempt(call, &decision);
 	}
-	step(call, EVENT_CALLER_GONE);
+	step_chart(call, EVENT_CALLER_GONE);
 	return WWH_ERROR_CALLER_GONE_NOT_RUN;
 }
 
-/* Returns what ends the request whatever the dispatcher would decide. */
-static wwh_error_kind_t attempt(call_t *call, const wwh_decision_t *start)
+/*
+ * Returns the error that ends the request, or WWH_ERROR_NONE to leave that to
+ * the dispatcher.
+ */
+static wwh_error_kind_t run_attempt(call_t *call, const wwh_decision_t *start)
 {
 	wwh_dispatch_result_t result = {
 		.request = call->id,
@@ -223,11 +229,11 @@
 	wwh_error_kind_t kind;
 	int64_t sent_ms;
 
-	/* has an effect only after an attempt; the chart ignores it else */
-	step(call, EVENT_RETRY);
+	/* the chart ignores this event before the first attempt */
+	step_chart(call, EVENT_RETRY);
 	kind = confirm_intent(call);
 	sent_ms = wwh_now_ms();
-	/* the answer of an earlier attempt is given up for this one */
+	/* an answer of an earlier attempt is discarded */
 	call->answered = false;
 	if (kind == WWH_ERROR_NONE && !call->replayed &&
 	    sent_ms >= call->deadline_ms)
@@ -237,8 +243,8 @@
 		return kind;
 	}
 	send_to_minion(call, start, &answer);
-	step_outcome(call, &answer);
-	result.outcome = outcome_of(&answer);
+	step_chart_by_outcome(call, &answer);
+	result.outcome = dispatch_outcome(&answer);
 	result.latency_ms = (int32_t)answer.elapsed_ms;
 	result.retry_after_ms = (int32_t)MAX(answer.retry_after_ms, 0);
 	if (answer.outcome == WWH_UPSTREAM_ANSWERED)
@@ -246,7 +252,7 @@
 						start->minion, sent_ms,
 						answer.minion_leaving);
 	if (answer.outcome == WWH_UPSTREAM_ANSWERED)
-		take_answer(call, &answer);
+		store_answer(call, &answer);
 	if (answer.outcome == WWH_UPSTREAM_TOO_LARGE)
 		kind = WWH_ERROR_ANSWER_TOO_LARGE;
 	if (answer.outcome == WWH_UPSTREAM_CALLER_GONE)
@@ -257,7 +263,10 @@
 	return kind;
 }
 
-/* No byte of a keyed request leaves before its intent was read back. */
+/*
+ * No byte of a keyed request is sent before its intent was read back from the
+ * log and accepted.
+ */
 static wwh_error_kind_t confirm_intent(call_t *call)
 {
 	wwh_intent_verdict_t verdict;
@@ -269,7 +278,7 @@
 				     call->deadline_ms, &verdict))
 		return WWH_ERROR_LOG_UNAVAILABLE;
 	if (verdict == WWH_INTENT_ACCEPTED && may_send(call)) {
-		step(call, EVENT_RECORDED);
+		step_chart(call, EVENT_RECORDED);
 		return WWH_ERROR_NONE;
 	}
 	if (verdict == WWH_INTENT_ABANDONED || verdict == WWH_INTENT_FULL)
@@ -313,7 +322,7 @@
 		newest = wwh_entry_config(call->entry);
 		minion = wwh_config_minion(newest, start->minion);
 	}
-	step(call, EVENT_CONNECT);
+	step_chart(call, EVENT_CONNECT);
 	if (minion == NULL) {
 		memset(answer, 0, sizeof(*answer));
 		wwh_http_response_init(&answer->response);
@@ -328,7 +337,7 @@
 		wwh_config_unref(newest);
 }
 
-static wwh_outcome_t outcome_of(const wwh_upstream_answer_t *answer)
+static wwh_outcome_t dispatch_outcome(const wwh_upstream_answer_t *answer)
 {
 	static const wwh_outcome_t outcomes[WWH_UPSTREAM_OUTCOME_COUNT] = {
 		[WWH_UPSTREAM_ANSWERED] = WWH_OUTCOME_ANSWERED,
@@ -348,7 +357,8 @@
 	return outcomes[answer->outcome];
 }
 
-static void step_outcome(call_t *call, const wwh_upstream_answer_t *answer)
+static void step_chart_by_outcome(call_t *call,
+				  const wwh_upstream_answer_t *answer)
 {
 	static const event_t events[WWH_UPSTREAM_OUTCOME_COUNT] = {
 		[WWH_UPSTREAM_ANSWERED] = EVENT_ANSWERED,
@@ -363,51 +373,53 @@
 	};
 
 	if (answer->sent)
-		step(call, EVENT_SENT);
-	step(call, events[answer->outcome]);
+		step_chart(call, EVENT_SENT);
+	step_chart(call, events[answer->outcome]);
 }
 
 /*
- * Headers that say what this program did are its own alone: from a minion
- * they would reach the caller as a second word, and maybe a false one.
- */
-/*
- * Bodies and answers are held whole, so their sum is bounded for the whole
- * process: without a bound 400 large requests at once take the host's memory
- * and all of them fail, in place of the last ones being refused.
+ * Bodies and answers are held in memory in full, so their sum is bounded for
+ * the process: without a bound, 400 large requests at once exhaust the host's
+ * memory and all of them fail, instead of the last ones being refused.
  */
-static void hold_bytes(call_t *call, int64_t bytes)
+static void add_held_bytes(call_t *call, int64_t bytes)
 {
 	call->held_bytes += bytes;
 	wwh_counter_add(call->entry->buffered_bytes, bytes);
 }
 
-static void take_answer(call_t *call, wwh_upstream_answer_t *answer)
+/*
+ * Only this program sets the headers that report what it did: passed on from a
+ * minion, they would reach the caller a second time, possibly with a false
+ * value.
+ */
+static void store_answer(call_t *call, wwh_upstream_answer_t *answer)
 {
 	wwh_headers_t *headers = answer->response.headers;
-	wwh_headers_t *kept = wwh_headers_new();
+	wwh_headers_t *passed_headers = wwh_headers_new();
 
 	for (int32_t i = 0; i < wwh_headers_count(headers); i++) {
 		const wwh_header_t *header = wwh_headers_at(headers, i);
 
 		if (g_ascii_strcasecmp(header->name, WWH_HEADER_RUN) != 0 &&
 		    g_ascii_strcasecmp(header->name, HEADER_REPLAYED) != 0)
-			wwh_headers_add(kept, header->name, header->value);
+			wwh_headers_add(passed_headers, header->name,
+					header->value);
 	}
 	wwh_headers_delete(headers);
-	answer->response.headers = kept;
+	answer->response.headers = passed_headers;
 	wwh_http_response_clear(call->response);
 	*call->response = answer->response;
 	wwh_http_response_init(&answer->response);
-	hold_bytes(call, (int64_t)call->response->body->len);
+	add_held_bytes(call, (int64_t)call->response->body->len);
 	call->answered = true;
 }
 
 /*
- * The chart knows whether a byte may have left. An error that says "not run"
- * is kept only where it agrees, whichever part chose the error.
+ * The chart tracks whether a byte may have been sent. An error that reports
+ * "not run" is kept only if the chart agrees, whichever module chose it.
  */
-static wwh_error_kind_t final_kind(call_t *call, wwh_error_kind_t kind)
+static wwh_error_kind_t final_error_kind(call_t *call, wwh_error_kind_t kind)
 {
 	uint32_t not_run = wwh_chart_tag(call->entry->request_chart, "not-run");
 
@@ -461,7 +473,10 @@
 	wwh_intent_writer_add_result(call->entry->intent_writer, item);
 }
 
-/* What is known of the key already; NONE: nothing stands in the way. */
+/*
+ * Answers from what is recorded for the key. WWH_ERROR_NONE without a replayed
+ * answer means that the request may run.
+ */
 static wwh_error_kind_t answer_known_key(call_t *call)
 {
 	wwh_entry_t *entry = call->entry;
@@ -478,7 +493,7 @@
 		kind = WWH_ERROR_KEY_IN_PROGRESS;
 		break;
 	case WWH_KEY_ANSWERED:
-		kind = replay(call, &view);
+		kind = replay_answer(call, &view);
 		break;
 	case WWH_KEY_OTHER_REQUEST:
 		kind = WWH_ERROR_KEY_REUSED;
@@ -494,14 +509,14 @@
 	return kind;
 }
 
-static wwh_error_kind_t replay(call_t *call, const wwh_key_view_t *view)
+static wwh_error_kind_t replay_answer(call_t *call, const wwh_key_view_t *view)
 {
 	gsize size = 0;
 	const guint8 *data;
 
 	if (!view->body_kept)
 		return WWH_ERROR_KEY_ANSWER_NOT_KEPT;
-	step(call, EVENT_REPLAY);
+	step_chart(call, EVENT_REPLAY);
 	call->response->status = view->http_status;
 	if (view->content_type != NULL && *view->content_type != '\0')
 		wwh_headers_add(call->response->headers, "Content-Type",
@@ -530,7 +545,7 @@
 	wwh_listener_answer_error(call->response, kind, call->retry_after_ms);
 }
 
-static void step(call_t *call, event_t event)
+static void step_chart(call_t *call, event_t event)
 {
 	(void)wwh_chart_step(&call->machine, event, wwh_now_ms(), call);
 }
@@ -547,23 +562,23 @@
 	return false;
 }
 
-/* A caller may ask for less time than the service gives, not for more. */
-static int64_t deadline_of(const wwh_http_request_t *http,
-			   const wwh_service_t *service)
+/* A caller may request a shorter deadline than the service's, not a longer. */
+static int64_t request_deadline_ms(const wwh_http_request_t *http,
+				   const wwh_service_t *service)
 {
 	const char *text = wwh_headers_get(http->headers, HEADER_DEADLINE);
 	int64_t limit_ms = service->deadline_ms;
-	int64_t asked_ms;
+	int64_t requested_ms;
 
 	if (text != NULL) {
-		asked_ms = g_ascii_strtoll(text, NULL, 10);
-		if (asked_ms > 0)
-			limit_ms = MIN(limit_ms, asked_ms);
+		requested_ms = g_ascii_strtoll(text, NULL, 10);
+		if (requested_ms > 0)
+			limit_ms = MIN(limit_ms, requested_ms);
 	}
 	return wwh_now_ms() + limit_ms;
 }
 
-static uint64_t caller_of(const wwh_http_request_t *http)
+static uint64_t caller_hash(const wwh_http_request_t *http)
 {
 	const char *text = wwh_headers_get(http->headers, HEADER_CALLER);
 
--- a/src/libwaxwinghollow/entry_control.c
+++ b/src/libwaxwinghollow/entry_control.c
@@ -11,8 +11,8 @@
 #define MILLISECOND_US 1000
 #define KEYS_PERIOD_MS 1000
 
-/* Seats that can't be given back in this time are left to the others. */
-#define GIVE_BACK_LIMIT_MS 3000
+/* Seats not released within this limit are left to the other members. */
+#define SEATS_RELEASE_LIMIT_MS 3000
 
 struct wwh_entry_control {
 	wwh_entry_t *entry;
@@ -26,9 +26,9 @@
 
 static gpointer seat_main(gpointer data);
 static gpointer list_main(gpointer data);
-static void give_back(wwh_entry_control_t *control);
-static void read_list(wwh_entry_control_t *control);
-static void take_host(const wwh_host_t *host, void *client_data);
+static void release_seats(wwh_entry_control_t *control);
+static void read_host_list(wwh_entry_control_t *control);
+static void on_host(const wwh_host_t *host, void *client_data);
 static bool is_stopping(wwh_entry_control_t *control);
 
 wwh_entry_control_t *wwh_entry_control_new(wwh_entry_t *entry)
@@ -86,13 +86,13 @@
 		wwh_entry_log_publish_snapshots(entry->log);
 		g_usleep(ROUND_MS * MILLISECOND_US);
 	}
-	give_back(control);
+	release_seats(control);
 	return NULL;
 }
 
-static void give_back(wwh_entry_control_t *control)
+static void release_seats(wwh_entry_control_t *control)
 {
-	int64_t end_ms = wwh_now_ms() + GIVE_BACK_LIMIT_MS;
+	int64_t end_ms = wwh_now_ms() + SEATS_RELEASE_LIMIT_MS;
 
 	while (!wwh_seats_given_back(control->entry->seats) &&
 	       wwh_now_ms() < end_ms) {
@@ -109,7 +109,7 @@
 
 	while (!is_stopping(control)) {
 		if (wwh_now_ms() >= next_ms) {
-			read_list(control);
+			read_host_list(control);
 			next_ms = wwh_now_ms() +
 				  control->entry->settings->host_list_period_ms;
 		}
@@ -123,7 +123,7 @@
 	return NULL;
 }
 
-static void read_list(wwh_entry_control_t *control)
+static void read_host_list(wwh_entry_control_t *control)
 {
 	wwh_entry_t *entry = control->entry;
 	wwh_platform_t *platform = &entry->platform;
@@ -131,16 +131,16 @@
 
 	wwh_entry_peers_list_begin(entry->peers);
 	status = platform->hosts(platform->context,
-				 entry->settings->platform_timeout_ms,
-				 take_host, entry);
-	/* rows that can be read hold, whatever stands beside them */
+				 entry->settings->platform_timeout_ms, on_host,
+				 entry);
+	/* readable rows are used even if other rows are malformed */
 	if (status == WWH_STATUS_OK || status == WWH_STATUS_BAD_INPUT)
 		wwh_entry_peers_list_end(entry->peers, status == WWH_STATUS_OK);
 	if (status != WWH_STATUS_OK)
 		wwh_counter_add(control->list_failures, 1);
 }
 
-static void take_host(const wwh_host_t *host, void *client_data)
+static void on_host(const wwh_host_t *host, void *client_data)
 {
 	wwh_entry_t *entry = client_data;
 
--- a/src/libwaxwinghollow/entry_exchange.c
+++ b/src/libwaxwinghollow/entry_exchange.c
@@ -5,19 +5,20 @@
 #include "private/request_table.h"
 
 /*
- * Without requests nobody wants to borrow: telling 5,100 minions' loans to
- * every peer 20 times a second would cost more than all other control.
+ * Period of loan messages while there are no requests, and so nobody wants to
+ * borrow slots: sending the loans of 5,100 minions to every peer 20 times a
+ * second would cost more than all other control work.
  */
-#define LOAN_REST_PERIOD_MS 5000
+#define LOAN_IDLE_PERIOD_MS 5000
 
-/* How often requests on workers that are out are told. */
+/* Period of reports of the requests on workers that are out. */
 #define DRAIN_PERIOD_MS 200
 
 static void add_loan(const wwh_dispatch_loan_t *loan, void *client_data);
 static void send_config(const char *address, const uint8_t *payload,
 			size_t size, void *client_data);
-static GBytes *whole_config(int64_t *version, int64_t *offset,
-			    void *client_data);
+static GBytes *encode_full_config(int64_t *version, int64_t *offset,
+				  void *client_data);
 static bool install_config(int64_t from, int64_t version, int64_t offset,
 			   GBytes *bytes, void *client_data);
 
@@ -27,15 +28,15 @@
 
 	wwh_config_relay_options_defaults(&options);
 	options.send = send_config;
-	options.whole = whole_config;
+	options.whole = encode_full_config;
 	options.install = install_config;
 	options.client_data = peers;
 	g_mutex_init(&peers->relay_lock);
 	peers->relay = wwh_config_relay_new(&options);
 }
 
-void wwh_peers_answer_vote(wwh_entry_peers_t *peers, const char *from,
-			   const uint8_t *payload, size_t size)
+void wwh_peers_handle_vote_request(wwh_entry_peers_t *peers, const char *from,
+				   const uint8_t *payload, size_t size)
 {
 	wwh_seat_answer_t answer = {
 		.process = wwh_seat_process(peers->entry->author),
@@ -53,8 +54,8 @@
 	g_bytes_unref(bytes);
 }
 
-void wwh_peers_take_vote(wwh_entry_peers_t *peers, const uint8_t *payload,
-			 size_t size)
+void wwh_peers_handle_vote(wwh_entry_peers_t *peers, const uint8_t *payload,
+			   size_t size)
 {
 	wwh_seat_answer_t answer;
 	wwh_seat_vote_t vote;
@@ -67,8 +68,8 @@
 	wwh_seats_take_vote(peers->entry->seats, &vote);
 }
 
-void wwh_peers_hear_loans(wwh_entry_peers_t *peers, const uint8_t *payload,
-			  size_t size)
+void wwh_peers_handle_loans(wwh_entry_peers_t *peers, const uint8_t *payload,
+			    size_t size)
 {
 	wwh_loan_message_t message;
 
@@ -87,14 +88,14 @@
 			wwh_request_table_loan_hear(peers->entry->requests,
 						    message.process, &loan);
 		}
-		/* it may have departed, and been forgotten, meanwhile */
+		/* the sender may have left, its loans removed, meanwhile */
 		if (!wwh_seats_is_member(peers->entry->seats, message.process))
 			wwh_entry_peers_forget(peers, message.process);
 	}
 	wwh_loan_message_clear(&message);
 }
 
-void wwh_peers_tell_loans(wwh_entry_peers_t *peers, int64_t now_ms)
+void wwh_peers_send_loans(wwh_entry_peers_t *peers, int64_t now_ms)
 {
 	wwh_request_table_t *requests = peers->entry->requests;
 	GPtrArray *targets;
@@ -103,7 +104,7 @@
 	    wwh_request_table_running(requests) == 0 &&
 	    now_ms < peers->next_loan_ms)
 		return;
-	peers->next_loan_ms = now_ms + LOAN_REST_PERIOD_MS;
+	peers->next_loan_ms = now_ms + LOAN_IDLE_PERIOD_MS;
 	targets = wwh_peers_alive(peers);
 	for (guint i = 0; i < targets->len; i++) {
 		const wwh_peer_target_t *target = g_ptr_array_index(targets, i);
@@ -128,8 +129,8 @@
 	g_ptr_array_unref(targets);
 }
 
-void wwh_peers_hear_drains(wwh_entry_peers_t *peers, const uint8_t *payload,
-			   size_t size)
+void wwh_peers_handle_drains(wwh_entry_peers_t *peers, const uint8_t *payload,
+			     size_t size)
 {
 	wwh_drain_message_t message;
 
@@ -138,7 +139,7 @@
 	wwh_drain_message_clear(&message);
 }
 
-void wwh_peers_tell_drains(wwh_entry_peers_t *peers, int64_t now_ms)
+void wwh_peers_send_drains(wwh_entry_peers_t *peers, int64_t now_ms)
 {
 	wwh_drain_message_t message;
 	GPtrArray *targets;
@@ -181,9 +182,9 @@
 }
 
 /*
- * A process that can't read the log learns of a newer configuration from its
- * peers. Without it, it would go on with an old one for as long as its log is
- * cut off, though its neighbours have the new one.
+ * A process that can't read the log gets a newer configuration from its peers.
+ * Otherwise it would use an old one for as long as it can't reach the log,
+ * although its peers have the new one.
  */
 void wwh_peers_relay_config(wwh_entry_peers_t *peers, int64_t now_ms)
 {
@@ -214,8 +215,8 @@
 			    size);
 }
 
-static GBytes *whole_config(int64_t *version, int64_t *offset,
-			    void *client_data)
+static GBytes *encode_full_config(int64_t *version, int64_t *offset,
+				  void *client_data)
 {
 	wwh_entry_peers_t *peers = client_data;
 	wwh_entry_t *entry = peers->entry;
@@ -259,8 +260,8 @@
 		    WWH_STATUS_OK &&
 	    wwh_config_apply(base, change, version, &config, &text) ==
 		    WWH_STATUS_OK)
-		installed =
-			wwh_entry_offer_config(peers->entry, config, "a peer");
+		installed = wwh_entry_apply_peer_config(peers->entry, config,
+							"a peer");
 	if (installed)
 		wwh_counter_add(peers->config_fetched, 1);
 	if (config != NULL)
--- a/src/libwaxwinghollow/entry_keys.c
+++ b/src/libwaxwinghollow/entry_keys.c
@@ -6,12 +6,12 @@
 #include "private/entry_peers.h"
 #include "private/entry_seats.h"
 
-/* How often the end of the stream is noted beside the time. */
+/* Period at which the end of stream intents is sampled. */
 #define SAMPLE_PERIOD_MS 10000
 
 /*
- * A key that has left the window is still refused for this many windows, so
- * that a repeat that comes much too late is not run a second time.
+ * An expired key is still refused for this many windows, so that a repeat that
+ * arrives much too late is not run a second time.
  */
 #define TOMBSTONE_WINDOWS 8
 #define SECOND_MS 1000
@@ -30,20 +30,20 @@
 	wwh_counter_t *expiries;
 };
 
-/* The first author found whose process is gone and not abandoned yet. */
+/* Search for an author that is gone and not marked as abandoned yet. */
 typedef struct {
 	wwh_entry_t *entry;
 	char *author;
-} search_t;
+} author_search_t;
 
-static void abandon(wwh_entry_keys_t *keys);
-static bool look_at_author(const char *author, int64_t offset,
-			   void *client_data);
-static void note_end(wwh_entry_keys_t *keys, int64_t now_ms);
-static void expire(wwh_entry_keys_t *keys, int64_t now_ms);
-static int64_t end_before(wwh_entry_keys_t *keys, int64_t at_ms);
-static void drop_before(wwh_entry_keys_t *keys, int64_t at_ms);
-static void append(wwh_entry_keys_t *keys, wwh_record_t *record);
+static void abandon_gone_author(wwh_entry_keys_t *keys);
+static bool find_gone_author(const char *author, int64_t offset,
+			     void *client_data);
+static void sample_end(wwh_entry_keys_t *keys, int64_t now_ms);
+static void expire_keys(wwh_entry_keys_t *keys, int64_t now_ms);
+static int64_t end_offset_before(wwh_entry_keys_t *keys, int64_t at_ms);
+static void drop_samples_before(wwh_entry_keys_t *keys, int64_t at_ms);
+static void append_record(wwh_entry_keys_t *keys, wwh_record_t *record);
 
 wwh_entry_keys_t *wwh_entry_keys_new(wwh_entry_t *entry)
 {
@@ -68,24 +68,25 @@
 {
 	int64_t now_ms = wwh_now_ms();
 
-	note_end(keys, now_ms);
-	abandon(keys);
-	expire(keys, now_ms);
+	sample_end(keys, now_ms);
+	abandon_gone_author(keys);
+	expire_keys(keys, now_ms);
 }
 
 /*
- * The author's own name on the log is what replay compares, so a process that
- * is wrongly abandoned runs nothing more under it; it stops by itself.
+ * Replay compares author names, which differ for each incarnation. So a process
+ * that was wrongly abandoned can run nothing more under its name; it reports
+ * itself as not ready until it is restarted.
  */
-static void abandon(wwh_entry_keys_t *keys)
+static void abandon_gone_author(wwh_entry_keys_t *keys)
 {
 	wwh_entry_t *entry = keys->entry;
-	search_t search = { .entry = entry };
+	author_search_t search = { .entry = entry };
 	wwh_record_t record;
 
 	g_mutex_lock(&entry->state_lock);
 	if (wwh_intents_totals(entry->intents).in_progress > 0)
-		wwh_state_each_author(entry->state, look_at_author, &search);
+		wwh_state_each_author(entry->state, find_gone_author, &search);
 	g_mutex_unlock(&entry->state_lock);
 	if (search.author == NULL)
 		return;
@@ -93,14 +94,14 @@
 	wwh_counter_add(keys->abandoned, 1);
 	wwh_record_init(&record, WWH_RECORD_ABANDON, entry->author);
 	wwh_record_set(&record.body.abandon.process, search.author);
-	append(keys, &record);
+	append_record(keys, &record);
 	g_free(search.author);
 }
 
-static bool look_at_author(const char *author, int64_t offset,
-			   void *client_data)
+static bool find_gone_author(const char *author, int64_t offset,
+			     void *client_data)
 {
-	search_t *search = client_data;
+	author_search_t *search = client_data;
 
 	(void)offset;
 	if (wwh_intents_abandoned(search->entry->intents, author) ||
@@ -110,7 +111,7 @@
 	return false;
 }
 
-static void note_end(wwh_entry_keys_t *keys, int64_t now_ms)
+static void sample_end(wwh_entry_keys_t *keys, int64_t now_ms)
 {
 	wwh_entry_t *entry = keys->entry;
 	sample_t *sample;
@@ -126,8 +127,11 @@
 	g_queue_push_tail(&keys->samples, sample);
 }
 
-/* One process does it; the record says so little that a race is harmless. */
-static void expire(wwh_entry_keys_t *keys, int64_t now_ms)
+/*
+ * Only the process of rank 0 expires keys. It does no harm if two processes
+ * have that rank for a while: replay never moves the record's limits back.
+ */
+static void expire_keys(wwh_entry_keys_t *keys, int64_t now_ms)
 {
 	wwh_entry_t *entry = keys->entry;
 	wwh_config_t *config = wwh_entry_config(entry);
@@ -142,12 +146,12 @@
 		return;
 	window_ms = (int64_t)wwh_config_rules(config)->key_window_s * SECOND_MS;
 	wwh_config_unref(config);
-	drop_before(keys, now_ms - (TOMBSTONE_WINDOWS + 1) * window_ms);
+	drop_samples_before(keys, now_ms - (TOMBSTONE_WINDOWS + 1) * window_ms);
 	if (wwh_entry_peers_rank(entry->peers, &members) != 0)
 		return;
 	tombstones_upto =
-		end_before(keys, now_ms - TOMBSTONE_WINDOWS * window_ms);
-	keys_upto = end_before(keys, now_ms - window_ms);
+		end_offset_before(keys, now_ms - TOMBSTONE_WINDOWS * window_ms);
+	keys_upto = end_offset_before(keys, now_ms - window_ms);
 	g_mutex_lock(&entry->state_lock);
 	totals = wwh_intents_totals(entry->intents);
 	g_mutex_unlock(&entry->state_lock);
@@ -161,11 +165,14 @@
 	record.body.expire_keys.keys_upto = MAX(keys_upto, totals.keys_upto);
 	record.body.expire_keys.tombstones_upto =
 		MAX(tombstones_upto, totals.tombstones_upto);
-	append(keys, &record);
+	append_record(keys, &record);
 }
 
-/* The last noted end that is as old as at_ms; 0: none is. */
-static int64_t end_before(wwh_entry_keys_t *keys, int64_t at_ms)
+/*
+ * The offset after the newest sample that was taken at at_ms or before; 0 if
+ * there is none.
+ */
+static int64_t end_offset_before(wwh_entry_keys_t *keys, int64_t at_ms)
 {
 	int64_t offset = 0;
 
@@ -180,7 +187,7 @@
 	return MAX(offset, 0);
 }
 
-static void drop_before(wwh_entry_keys_t *keys, int64_t at_ms)
+static void drop_samples_before(wwh_entry_keys_t *keys, int64_t at_ms)
 {
 	const sample_t *oldest;
 
@@ -189,8 +196,8 @@
 		g_free(g_queue_pop_head(&keys->samples));
 }
 
-/* Clears record. */
-static void append(wwh_entry_keys_t *keys, wwh_record_t *record)
+/* Appends record to stream intents and clears it. */
+static void append_record(wwh_entry_keys_t *keys, wwh_record_t *record)
 {
 	int64_t offset;
 
--- a/src/libwaxwinghollow/entry_log.c
+++ b/src/libwaxwinghollow/entry_log.c
@@ -7,10 +7,10 @@
 #include "private/request_table.h"
 #include "waxwinghollow/log_client.h"
 
-/* Verdicts that are kept until the appender has asked for them. */
-#define VERDICTS_KEPT 4096
+/* Newest verdicts that are kept for the threads that submitted the records. */
+#define RECENT_VERDICTS_MAX 4096
 
-/* An append that was answered is read back within this, or is unknown. */
+/* An acknowledged record not replayed within this limit counts as unknown. */
 #define READ_BACK_LIMIT_MS 2000
 #define FINISH_LIMIT_MS 1000
 
@@ -21,29 +21,29 @@
 	wwh_log_client_t *client;
 	wwh_entry_snapshot_t *snapshot;
 	bool caught_up; /* at least once; under the entry's state_lock */
-	int64_t ended_ms; /* when the last read ended; likewise */
-	int64_t sent_ms; /* when the last one that reached the end was sent */
+	int64_t last_read_ended_ms; /* under state_lock */
+	int64_t full_read_sent_ms; /* under state_lock */
 } replay_t;
 
 typedef struct {
 	int64_t offset;
 	wwh_verdict_t verdict;
 	wwh_verdict_detail_t detail;
-} kept_verdict_t;
+} recent_verdict_t;
 
 struct wwh_entry_log {
 	wwh_entry_t *entry;
 	wwh_log_budget_t *budget;
 	replay_t replays[WWH_STREAM_COUNT];
-	kept_verdict_t *verdicts; /* by offset modulo VERDICTS_KEPT */
+	recent_verdict_t *verdicts; /* by offset modulo RECENT_VERDICTS_MAX */
 	wwh_counter_t *appends;
 	wwh_counter_t *append_bytes;
 	wwh_counter_t *records;
 	wwh_counter_t *record_bytes;
 };
 
-static void open_stream(wwh_entry_log_t *log, wwh_stream_t stream);
-static replay_t *replay_of(wwh_entry_log_t *log, const char *stream);
+static void create_replay(wwh_entry_log_t *log, wwh_stream_t stream);
+static replay_t *find_replay(wwh_entry_log_t *log, const char *stream);
 static void on_record(const char *stream, const wwh_log_entry_t *log_entry,
 		      void *client_data);
 static void on_scan(const char *stream, const wwh_log_entry_t *log_entry,
@@ -69,15 +69,15 @@
 
 	log->entry = entry;
 	log->budget = wwh_log_budget_new(wwh_log_client_now_ms());
-	log->verdicts = g_new0(kept_verdict_t, VERDICTS_KEPT);
-	for (int32_t i = 0; i < VERDICTS_KEPT; i++)
+	log->verdicts = g_new0(recent_verdict_t, RECENT_VERDICTS_MAX);
+	for (int32_t i = 0; i < RECENT_VERDICTS_MAX; i++)
 		log->verdicts[i].offset = WWH_NO_OFFSET;
 	log->appends = wwh_counters_get(counters, "log.appends");
 	log->append_bytes = wwh_counters_get(counters, "log.append_bytes");
 	log->records = wwh_counters_get(counters, "log.records");
 	log->record_bytes = wwh_counters_get(counters, "log.record_bytes");
 	for (int32_t i = 0; i < WWH_STREAM_COUNT; i++)
-		open_stream(log, (wwh_stream_t)i);
+		create_replay(log, (wwh_stream_t)i);
 	return log;
 }
 
@@ -121,12 +121,12 @@
 
 int64_t wwh_entry_log_read_sent_ms(wwh_entry_log_t *log)
 {
-	int64_t sent_ms;
+	int64_t full_read_sent_ms;
 
 	g_mutex_lock(&log->entry->state_lock);
-	sent_ms = log->replays[WWH_STREAM_CONTROL].sent_ms;
+	full_read_sent_ms = log->replays[WWH_STREAM_CONTROL].full_read_sent_ms;
 	g_mutex_unlock(&log->entry->state_lock);
-	return sent_ms;
+	return full_read_sent_ms;
 }
 
 int64_t wwh_entry_log_offset(wwh_entry_log_t *log, wwh_stream_t stream)
@@ -143,7 +143,7 @@
 	wwh_status_t status;
 
 	if (bytes == NULL) {
-		g_warning("a record can't be written: %s", message.text);
+		g_warning("record cannot be encoded: %s", message.text);
 		return WWH_STATUS_BAD_INPUT;
 	}
 	status = append_bytes(log, stream, bytes, timeout_ms, offset);
@@ -152,28 +152,27 @@
 }
 
 void wwh_entry_log_submit(wwh_entry_log_t *log, const wwh_record_t *record,
-			  int32_t timeout_ms, wwh_submitted_t *submitted)
+			  int32_t timeout_ms, wwh_submit_result_t *result)
 {
 	wwh_entry_t *entry = log->entry;
 	wwh_log_client_t *client = log->replays[WWH_STREAM_CONTROL].client;
-	kept_verdict_t *kept;
+	recent_verdict_t *recent;
 
-	memset(submitted, 0, sizeof(*submitted));
-	submitted->status =
-		wwh_entry_log_append(log, WWH_STREAM_CONTROL, record,
-				     timeout_ms, &submitted->offset);
-	if (submitted->status != WWH_STATUS_OK)
+	memset(result, 0, sizeof(*result));
+	result->status = wwh_entry_log_append(log, WWH_STREAM_CONTROL, record,
+					      timeout_ms, &result->offset);
+	if (result->status != WWH_STATUS_OK)
 		return;
-	submitted->status = WWH_STATUS_UNKNOWN;
-	if (!wwh_log_client_wait(client, submitted->offset,
+	result->status = WWH_STATUS_UNKNOWN;
+	if (!wwh_log_client_wait(client, result->offset,
 				 wwh_log_client_now_ms() + READ_BACK_LIMIT_MS))
 		return;
-	kept = &log->verdicts[submitted->offset % VERDICTS_KEPT];
+	recent = &log->verdicts[result->offset % RECENT_VERDICTS_MAX];
 	g_mutex_lock(&entry->state_lock);
-	if (kept->offset == submitted->offset) {
-		submitted->status = WWH_STATUS_OK;
-		submitted->verdict = kept->verdict;
-		submitted->detail = kept->detail;
+	if (recent->offset == result->offset) {
+		result->status = WWH_STATUS_OK;
+		result->verdict = recent->verdict;
+		result->detail = recent->detail;
 	}
 	g_mutex_unlock(&entry->state_lock);
 }
@@ -197,7 +196,7 @@
 	}
 }
 
-static void open_stream(wwh_entry_log_t *log, wwh_stream_t stream)
+static void create_replay(wwh_entry_log_t *log, wwh_stream_t stream)
 {
 	const wwh_settings_t *settings = log->entry->settings;
 	replay_t *replay = &log->replays[stream];
@@ -222,7 +221,7 @@
 	replay->client = wwh_log_client_new(&options);
 }
 
-static replay_t *replay_of(wwh_entry_log_t *log, const char *stream)
+static replay_t *find_replay(wwh_entry_log_t *log, const char *stream)
 {
 	int32_t index = 0;
 
@@ -238,27 +237,30 @@
 
 	wwh_counter_add(log->records, 1);
 	wwh_counter_add(log->record_bytes, (int64_t)log_entry->size);
-	if (replay_of(log, stream)->stream == WWH_STREAM_CONTROL)
+	if (find_replay(log, stream)->stream == WWH_STREAM_CONTROL)
 		apply_control(log, log_entry);
 	else
 		apply_intents(log, log_entry);
 }
 
-/* The replay waits for a snapshot: this may be a part of one. */
+/*
+ * Called while the replay waits for a snapshot; the record may be a part of
+ * one.
+ */
 static void on_scan(const char *stream, const wwh_log_entry_t *log_entry,
 		    void *client_data)
 {
-	replay_t *replay = replay_of(client_data, stream);
+	replay_t *replay = find_replay(client_data, stream);
 
 	wwh_entry_snapshot_scan(replay->snapshot, log_entry, replay->client);
 }
 
 static void on_trimmed(const char *stream, int64_t first, void *client_data)
 {
-	wwh_entry_snapshot_trimmed(replay_of(client_data, stream)->snapshot,
+	wwh_entry_snapshot_trimmed(find_replay(client_data, stream)->snapshot,
 				   first);
 	g_message("log %s: records before %" G_GINT64_FORMAT
-		  " are gone, looking for a snapshot",
+		  " are trimmed, waiting for a snapshot",
 		  stream, first);
 }
 
@@ -266,16 +268,16 @@
 		    void *client_data)
 {
 	wwh_entry_log_t *log = client_data;
-	replay_t *replay = replay_of(log, stream);
+	replay_t *replay = find_replay(log, stream);
 
 	(void)cursor;
 	g_mutex_lock(&log->entry->state_lock);
-	/* a read is sent after the one before it ended, never earlier */
+	/* a read is never sent before the previous one ended */
 	if (caught_up) {
 		replay->caught_up = true;
-		replay->sent_ms = replay->ended_ms;
+		replay->full_read_sent_ms = replay->last_read_ended_ms;
 	}
-	replay->ended_ms = wwh_now_ms();
+	replay->last_read_ended_ms = wwh_now_ms();
 	g_mutex_unlock(&log->entry->state_lock);
 }
 
@@ -284,24 +286,24 @@
 {
 	wwh_entry_t *entry = log->entry;
 	replay_t *replay = &log->replays[WWH_STREAM_CONTROL];
-	kept_verdict_t *kept =
-		&log->verdicts[log_entry->offset % VERDICTS_KEPT];
+	recent_verdict_t *recent =
+		&log->verdicts[log_entry->offset % RECENT_VERDICTS_MAX];
 	wwh_record_t record = { 0 };
 	int64_t version;
 
 	g_mutex_lock(&entry->state_lock);
 	wwh_entry_snapshot_before(replay->snapshot, log_entry->offset);
 	version = wwh_state_config_version(entry->state);
-	memset(&kept->detail, 0, sizeof(kept->detail));
-	kept->verdict = wwh_state_apply_entry(entry->state, log_entry->offset,
-					      log_entry->data, log_entry->size,
-					      &record, &kept->detail);
-	kept->offset = log_entry->offset;
+	memset(&recent->detail, 0, sizeof(recent->detail));
+	recent->verdict = wwh_state_apply_entry(
+		entry->state, log_entry->offset, log_entry->data,
+		log_entry->size, &record, &recent->detail);
+	recent->offset = log_entry->offset;
 	wwh_entry_snapshot_seen(replay->snapshot, &record);
 	if (wwh_state_config_version(entry->state) != version)
-		wwh_entry_take_config(entry);
+		wwh_entry_apply_replayed_config(entry);
 	g_mutex_unlock(&entry->state_lock);
-	wwh_counter_add(entry->verdicts[kept->verdict], 1);
+	wwh_counter_add(entry->verdicts[recent->verdict], 1);
 	wwh_record_clear(&record);
 }
 
@@ -323,8 +325,9 @@
 }
 
 /*
- * An intent that is read back after its request was given up was never sent:
- * it is recorded as not run, or its key would stay "in progress" for good.
+ * If an intent is read back after its request ended, the request was never
+ * sent. It is recorded as "not run"; otherwise its key would stay "in progress"
+ * for ever.
  */
 static void on_intent(const char *author, const char *service, const char *key,
 		      int64_t sequence, wwh_intent_verdict_t verdict,
--- a/src/libwaxwinghollow/entry_operator.c
+++ b/src/libwaxwinghollow/entry_operator.c
@@ -7,7 +7,7 @@
 
 #define SUBMIT_LIMIT_MS 5000
 
-/* One path of the operators' interface. */
+/* One path of the operator listener. */
 typedef struct {
 	const char *method;
 	const char *path;
@@ -30,7 +30,7 @@
 static void post_publish(wwh_entry_t *entry, const wwh_http_request_t *request,
 			 wwh_http_response_t *response);
 static void append_counter(const char *name, int64_t value, void *client_data);
-static char *author_of(const wwh_http_request_t *request);
+static char *operator_author(const wwh_http_request_t *request);
 
 static const route_t routes[] = {
 	{ "GET", "/v1/ready", get_ready },
@@ -64,37 +64,37 @@
 	g_free(path);
 }
 
-void wwh_answer_submitted(wwh_http_response_t *response,
-			  const wwh_submitted_t *submitted, const char *what,
-			  const char *id)
+void wwh_answer_submit_result(wwh_http_response_t *response,
+			      const wwh_submit_result_t *result,
+			      const char *id_name, const char *id)
 {
 	JsonBuilder *builder = json_builder_new();
 	int32_t status = 200;
-	const char *verdict = wwh_verdict_names[submitted->verdict];
+	const char *verdict = wwh_verdict_names[result->verdict];
 
-	if (submitted->status == WWH_STATUS_UNKNOWN) {
+	if (result->status == WWH_STATUS_UNKNOWN) {
 		status = 202;
 		verdict = "unknown";
-	} else if (submitted->status == WWH_STATUS_BAD_INPUT) {
+	} else if (result->status == WWH_STATUS_BAD_INPUT) {
 		status = 422;
 		verdict = "malformed";
-	} else if (submitted->status != WWH_STATUS_OK) {
+	} else if (result->status != WWH_STATUS_OK) {
 		status = 503;
 		verdict = "unavailable";
 		wwh_headers_add(response->headers, "Retry-After", "2");
-	} else if (submitted->verdict == WWH_VERDICT_MALFORMED ||
-		   submitted->verdict == WWH_VERDICT_INVALID) {
+	} else if (result->verdict == WWH_VERDICT_MALFORMED ||
+		   result->verdict == WWH_VERDICT_INVALID) {
 		status = 422;
-	} else if (submitted->verdict != WWH_VERDICT_ACCEPTED) {
+	} else if (result->verdict != WWH_VERDICT_ACCEPTED) {
 		status = 409;
 	}
 	json_builder_begin_object(builder);
-	if (what != NULL)
-		wwh_json_string(builder, what, id);
+	if (id_name != NULL)
+		wwh_json_string(builder, id_name, id);
 	wwh_json_string(builder, "verdict", verdict);
-	wwh_json_string(builder, "message", submitted->detail.message.text);
-	wwh_json_int(builder, "version", submitted->detail.version);
-	wwh_json_int(builder, "offset", submitted->offset);
+	wwh_json_string(builder, "message", result->detail.message.text);
+	wwh_json_int(builder, "version", result->detail.version);
+	wwh_json_int(builder, "offset", result->offset);
 	json_builder_end_object(builder);
 	wwh_answer_json(response, status, builder);
 }
@@ -108,7 +108,7 @@
 	char *text;
 
 	(void)request;
-	/* it can record no intent any more and has to be started again */
+	/* an abandoned incarnation can record no intent; it must be restarted */
 	g_mutex_lock(&entry->state_lock);
 	abandoned = wwh_intents_abandoned(entry->intents, entry->author);
 	g_mutex_unlock(&entry->state_lock);
@@ -144,7 +144,10 @@
 	wwh_answer_json(response, 200, builder);
 }
 
-/* Buffer cost of each pool: what is held back, for what, and what less costs. */
+/*
+ * The reserve of each pool: what is held back, for which loss, and what holding
+ * less would cost.
+ */
 static void get_capacity(wwh_entry_t *entry, const wwh_http_request_t *request,
 			 wwh_http_response_t *response)
 {
@@ -198,8 +201,8 @@
 			 wwh_http_response_t *response)
 {
 	char *base = wwh_http_query(request->target, "base");
-	char *author = author_of(request);
-	wwh_submitted_t submitted = { 0 };
+	char *author = operator_author(request);
+	wwh_submit_result_t result = { 0 };
 	wwh_record_t record;
 
 	wwh_record_init(&record, WWH_RECORD_CONFIG, author);
@@ -208,8 +211,8 @@
 	g_bytes_unref(record.body.config.change);
 	record.body.config.change =
 		g_bytes_new(request->body, request->body_size);
-	wwh_entry_log_submit(entry->log, &record, SUBMIT_LIMIT_MS, &submitted);
-	wwh_answer_submitted(response, &submitted, NULL, NULL);
+	wwh_entry_log_submit(entry->log, &record, SUBMIT_LIMIT_MS, &result);
+	wwh_answer_submit_result(response, &result, NULL, NULL);
 	wwh_record_clear(&record);
 	g_free(author);
 	g_free(base);
@@ -244,8 +247,8 @@
 			       value);
 }
 
-/* Operators are told apart from processes by a prefix on the log. */
-static char *author_of(const wwh_http_request_t *request)
+/* The prefix distinguishes operators from processes on the log. */
+static char *operator_author(const wwh_http_request_t *request)
 {
 	char *name = wwh_http_query(request->target, "author");
 	char *author =
--- a/src/libwaxwinghollow/entry_verbs.c
+++ b/src/libwaxwinghollow/entry_verbs.c
@@ -7,43 +7,45 @@
 #define SUBMIT_LIMIT_MS 5000
 #define CORES_MAX 100000
 
-/* One operator's act: its JSON body and where the answer goes. */
+/* One operator command: its JSON body and the response to it. */
 typedef struct {
 	wwh_entry_t *entry;
 	JsonObject *body;
 	char *author;
 	wwh_http_response_t *response;
-} act_t;
+} command_t;
 
 typedef struct {
 	const char *path;
-	void (*handle)(act_t *act);
+	void (*handle)(command_t *command);
 } verb_t;
 
-static void wave_plan(act_t *act);
-static void wave_start(act_t *act);
-static void wave_pause(act_t *act);
-static void wave_resume(act_t *act);
-static void wave_abort(act_t *act);
-static void rehearsal_start(act_t *act);
-static void rehearsal_stop(act_t *act);
-static void rehearsal_report(act_t *act);
-static void move_start(act_t *act);
-static void move_cancel(act_t *act);
-static void job_submit(act_t *act);
-static void job_cancel(act_t *act);
-static const char *text_of(const act_t *act, const char *name);
-static int64_t number_of(const act_t *act, const char *name, int64_t least,
-			 int64_t most, int64_t otherwise);
-static bool flag_of(const act_t *act, const char *name);
-static char *new_id(const act_t *act, const char *what);
-static void submit(act_t *act, wwh_record_t *record, const char *what,
-		   const char *id);
-static void change_wave(act_t *act, wwh_record_kind_t kind);
-static void start_one_wave(act_t *act, const char *pool, const char *id,
-			   wwh_submitted_t *submitted);
-static void set_pool(act_t *act, const char *worker, const char *pool);
-static void refuse(act_t *act, int32_t status, const char *message);
+static void wave_plan(command_t *command);
+static void wave_start(command_t *command);
+static void wave_pause(command_t *command);
+static void wave_resume(command_t *command);
+static void wave_abort(command_t *command);
+static void rehearsal_start(command_t *command);
+static void rehearsal_stop(command_t *command);
+static void rehearsal_report(command_t *command);
+static void move_start(command_t *command);
+static void move_cancel(command_t *command);
+static void job_submit(command_t *command);
+static void job_cancel(command_t *command);
+static const char *get_text(const command_t *command, const char *name);
+static int64_t get_number(const command_t *command, const char *name,
+			  int64_t min, int64_t max, int64_t default_value);
+static bool get_flag(const command_t *command, const char *name);
+static char *new_id(const command_t *command, const char *prefix);
+static void submit(command_t *command, wwh_record_t *record,
+		   const char *id_name, const char *id);
+static void change_wave(command_t *command, wwh_record_kind_t kind);
+static void submit_wave_start(command_t *command, const char *pool,
+			      const char *id, wwh_submit_result_t *result);
+static void submit_pool_change(command_t *command, const char *worker,
+			       const char *pool);
+static void answer_refused(command_t *command, int32_t status,
+			   const char *message);
 
 static const verb_t verbs[] = {
 	{ "/v1/wave/plan", wave_plan },
@@ -64,7 +66,7 @@
 			   const wwh_http_request_t *request,
 			   wwh_http_response_t *response)
 {
-	act_t act = { .entry = entry, .response = response };
+	command_t command = { .entry = entry, .response = response };
 	char *text = g_strndup((const char *)request->body, request->body_size);
 	JsonNode *node = json_from_string(text, NULL);
 	bool found = false;
@@ -74,103 +76,109 @@
 		if (!found)
 			continue;
 		if (node == NULL || !JSON_NODE_HOLDS_OBJECT(node)) {
-			refuse(&act, 422, "the body is no JSON object");
+			answer_refused(&command, 422,
+				       "request body is not a JSON object");
 			break;
 		}
-		act.body = json_node_get_object(node);
-		act.author =
-			g_strconcat("operator:", text_of(&act, "author"), NULL);
-		verbs[i].handle(&act);
+		command.body = json_node_get_object(node);
+		command.author = g_strconcat(
+			"operator:", get_text(&command, "author"), NULL);
+		verbs[i].handle(&command);
 	}
 	if (node != NULL)
 		json_node_unref(node);
-	g_free(act.author);
+	g_free(command.author);
 	g_free(text);
 	return found;
 }
 
-static void wave_plan(act_t *act)
+static void wave_plan(command_t *command)
 {
-	char *text =
-		wwh_entry_fleet_plan(act->entry->fleet, text_of(act, "pool"));
+	char *text = wwh_entry_fleet_plan(command->entry->fleet,
+					  get_text(command, "pool"));
 
 	if (text == NULL) {
-		refuse(act, 422, "no such pool");
+		answer_refused(command, 422, "no such pool");
 		return;
 	}
-	wwh_answer_text(act->response, 200, "application/json", text);
+	wwh_answer_text(command->response, 200, "application/json", text);
 	g_free(text);
 }
 
-/* With "*" each pool gets a wave of its own; they are steered together. */
-static void wave_start(act_t *act)
+/*
+ * With "*" each pool gets a wave of its own, named ID.POOL; the answer holds
+ * ID.
+ */
+static void wave_start(command_t *command)
 {
-	const char *pool = text_of(act, "pool");
-	wwh_config_t *config = wwh_entry_config(act->entry);
-	char *id = new_id(act, "wave");
-	wwh_submitted_t submitted = { .status = WWH_STATUS_BAD_INPUT };
+	const char *pool = get_text(command, "pool");
+	wwh_config_t *config = wwh_entry_config(command->entry);
+	char *id = new_id(command, "wave");
+	wwh_submit_result_t result = { .status = WWH_STATUS_BAD_INPUT };
 
 	if (config != NULL && strcmp(pool, "*") == 0) {
 		for (int32_t i = 0; i < wwh_config_pool_count(config); i++) {
-			const char *one = wwh_config_pool_at(config, i)->id;
-			char *its_id = g_strconcat(id, ".", one, NULL);
-
-			start_one_wave(act, one, its_id, &submitted);
-			g_free(its_id);
-			if (submitted.status != WWH_STATUS_OK)
+			const char *pool_id = wwh_config_pool_at(config, i)->id;
+			char *pool_wave_id =
+				g_strconcat(id, ".", pool_id, NULL);
+
+			submit_wave_start(command, pool_id, pool_wave_id,
+					  &result);
+			g_free(pool_wave_id);
+			if (result.status != WWH_STATUS_OK)
 				break;
 		}
 	} else {
-		start_one_wave(act, pool, id, &submitted);
+		submit_wave_start(command, pool, id, &result);
 	}
-	wwh_answer_submitted(act->response, &submitted, "wave", id);
+	wwh_answer_submit_result(command->response, &result, "wave", id);
 	if (config != NULL)
 		wwh_config_unref(config);
 	g_free(id);
 }
 
-static void start_one_wave(act_t *act, const char *pool, const char *id,
-			   wwh_submitted_t *submitted)
+static void submit_wave_start(command_t *command, const char *pool,
+			      const char *id, wwh_submit_result_t *result)
 {
 	wwh_record_t record;
 
-	wwh_record_init(&record, WWH_RECORD_WAVE_START, act->author);
+	wwh_record_init(&record, WWH_RECORD_WAVE_START, command->author);
 	wwh_record_set(&record.body.wave.wave, id);
 	wwh_record_set(&record.body.wave.pool, pool);
-	wwh_entry_log_submit(act->entry->log, &record, SUBMIT_LIMIT_MS,
-			     submitted);
+	wwh_entry_log_submit(command->entry->log, &record, SUBMIT_LIMIT_MS,
+			     result);
 	wwh_record_clear(&record);
 }
 
-static void wave_pause(act_t *act)
+static void wave_pause(command_t *command)
 {
-	change_wave(act, WWH_RECORD_WAVE_PAUSE);
+	change_wave(command, WWH_RECORD_WAVE_PAUSE);
 }
 
-static void wave_resume(act_t *act)
+static void wave_resume(command_t *command)
 {
-	change_wave(act, WWH_RECORD_WAVE_RESUME);
+	change_wave(command, WWH_RECORD_WAVE_RESUME);
 }
 
-static void wave_abort(act_t *act)
+static void wave_abort(command_t *command)
 {
-	change_wave(act, WWH_RECORD_WAVE_ABORT);
+	change_wave(command, WWH_RECORD_WAVE_ABORT);
 }
 
-static void change_wave(act_t *act, wwh_record_kind_t kind)
+static void change_wave(command_t *command, wwh_record_kind_t kind)
 {
-	const char *wave = text_of(act, "wave");
+	const char *wave = get_text(command, "wave");
 	wwh_record_t record;
 
-	wwh_record_init(&record, kind, act->author);
+	wwh_record_init(&record, kind, command->author);
 	wwh_record_set(&record.body.wave.wave, wave);
-	submit(act, &record, "wave", wave);
+	submit(command, &record, "wave", wave);
 }
 
-static void rehearsal_start(act_t *act)
+static void rehearsal_start(command_t *command)
 {
-	const char *domain = text_of(act, "domain");
-	char *id = new_id(act, "rehearsal");
+	const char *domain = get_text(command, "domain");
+	char *id = new_id(command, "rehearsal");
 	wwh_record_t record;
 	int32_t index = 0;
 
@@ -178,123 +186,127 @@
 	       strcmp(wwh_domain_names[index], domain) != 0)
 		index++;
 	if (index == WWH_DOMAIN_COUNT) {
-		refuse(act, 422, "the domain is worker, rack or zone");
+		answer_refused(command, 422,
+			       "unknown domain, expected worker, rack or zone");
 	} else {
 		wwh_record_init(&record, WWH_RECORD_REHEARSAL_START,
-				act->author);
+				command->author);
 		wwh_record_set(&record.body.rehearsal.rehearsal, id);
 		record.body.rehearsal.domain = index;
 		wwh_record_set(&record.body.rehearsal.domain_id,
-			       text_of(act, "id"));
-		submit(act, &record, "rehearsal", id);
+			       get_text(command, "id"));
+		submit(command, &record, "rehearsal", id);
 	}
 	g_free(id);
 }
 
-static void rehearsal_stop(act_t *act)
+static void rehearsal_stop(command_t *command)
 {
-	const char *id = text_of(act, "rehearsal");
+	const char *id = get_text(command, "rehearsal");
 	wwh_record_t record;
 
-	wwh_record_init(&record, WWH_RECORD_REHEARSAL_END, act->author);
+	wwh_record_init(&record, WWH_RECORD_REHEARSAL_END, command->author);
 	wwh_record_set(&record.body.rehearsal.rehearsal, id);
-	submit(act, &record, "rehearsal", id);
+	submit(command, &record, "rehearsal", id);
 }
 
-static void rehearsal_report(act_t *act)
+static void rehearsal_report(command_t *command)
 {
-	char *text = wwh_entry_fleet_rehearsal(act->entry->fleet,
-					       text_of(act, "rehearsal"));
+	char *text = wwh_entry_fleet_rehearsal(command->entry->fleet,
+					       get_text(command, "rehearsal"));
 
 	if (text == NULL) {
-		refuse(act, 404,
-		       "this process did not lead it; ask the others");
+		answer_refused(command, 404,
+			       "this process did not lead the rehearsal; query "
+			       "the others");
 		return;
 	}
-	wwh_answer_text(act->response, 200, "application/json", text);
+	wwh_answer_text(command->response, 200, "application/json", text);
 	g_free(text);
 }
 
-/* A move is a wish in the inventory; the conductor carries it out. */
-static void move_start(act_t *act)
+/* A move only changes the inventory; the conductor carries it out. */
+static void move_start(command_t *command)
 {
-	set_pool(act, text_of(act, "worker"), text_of(act, "pool"));
+	submit_pool_change(command, get_text(command, "worker"),
+			   get_text(command, "pool"));
 }
 
-static void move_cancel(act_t *act)
+static void move_cancel(command_t *command)
 {
-	const char *worker = text_of(act, "move");
+	const char *worker = get_text(command, "move");
 	wwh_worker_view_t view;
 	char *pool = NULL;
 
-	g_mutex_lock(&act->entry->state_lock);
-	if (wwh_state_worker(act->entry->state, worker, &view))
+	g_mutex_lock(&command->entry->state_lock);
+	if (wwh_state_worker(command->entry->state, worker, &view))
 		pool = g_strdup(*view.pool != '\0' ? view.pool
 						   : view.move_from);
-	g_mutex_unlock(&act->entry->state_lock);
+	g_mutex_unlock(&command->entry->state_lock);
 	if (pool == NULL)
-		refuse(act, 422, "no such worker");
+		answer_refused(command, 422, "no such worker");
 	else
-		set_pool(act, worker, pool);
+		submit_pool_change(command, worker, pool);
 	g_free(pool);
 }
 
-static void set_pool(act_t *act, const char *worker, const char *pool)
+static void submit_pool_change(command_t *command, const char *worker,
+			       const char *pool)
 {
-	wwh_config_t *config = wwh_entry_config(act->entry);
+	wwh_config_t *config = wwh_entry_config(command->entry);
 	wwh_config_change_t *change = NULL;
 	wwh_record_t record;
 
 	if (config != NULL)
 		change = wwh_config_pool_change(config, worker, pool);
 	if (change == NULL) {
-		refuse(act, 422, "no such worker");
+		answer_refused(command, 422, "no such worker");
 	} else {
-		wwh_record_init(&record, WWH_RECORD_CONFIG, act->author);
+		wwh_record_init(&record, WWH_RECORD_CONFIG, command->author);
 		record.body.config.base_version = wwh_config_version(config);
 		g_bytes_unref(record.body.config.change);
 		record.body.config.change = wwh_config_change_encode(change);
-		submit(act, &record, "move", worker);
+		submit(command, &record, "move", worker);
 		wwh_config_change_delete(change);
 	}
 	if (config != NULL)
 		wwh_config_unref(config);
 }
 
-static void job_submit(act_t *act)
+static void job_submit(command_t *command)
 {
-	const char *job = text_of(act, "job");
+	const char *job = get_text(command, "job");
 	wwh_record_t record;
 
-	wwh_record_init(&record, WWH_RECORD_JOB_SUBMIT, act->author);
+	wwh_record_init(&record, WWH_RECORD_JOB_SUBMIT, command->author);
 	wwh_record_set(&record.body.job_submit.job, job);
-	wwh_record_set(&record.body.job_submit.pool, text_of(act, "pool"));
-	wwh_record_set(&record.body.job_submit.team, text_of(act, "team"));
+	wwh_record_set(&record.body.job_submit.pool, get_text(command, "pool"));
+	wwh_record_set(&record.body.job_submit.team, get_text(command, "team"));
 	record.body.job_submit.cores =
-		(int32_t)number_of(act, "cores", 0, CORES_MAX, 1);
+		(int32_t)get_number(command, "cores", 0, CORES_MAX, 1);
 	record.body.job_submit.memory_mb =
-		number_of(act, "memory_mb", 0, INT32_MAX, 1);
+		get_number(command, "memory_mb", 0, INT32_MAX, 1);
 	record.body.job_submit.accelerators =
-		(int32_t)number_of(act, "accelerators", 0, CORES_MAX, 0);
-	record.body.job_submit.urgent = flag_of(act, "urgent");
-	record.body.job_submit.idempotent = flag_of(act, "idempotent");
-	submit(act, &record, "job", job);
+		(int32_t)get_number(command, "accelerators", 0, CORES_MAX, 0);
+	record.body.job_submit.urgent = get_flag(command, "urgent");
+	record.body.job_submit.idempotent = get_flag(command, "idempotent");
+	submit(command, &record, "job", job);
 }
 
-static void job_cancel(act_t *act)
+static void job_cancel(command_t *command)
 {
-	const char *job = text_of(act, "job");
+	const char *job = get_text(command, "job");
 	wwh_record_t record;
 
-	wwh_record_init(&record, WWH_RECORD_JOB_CANCEL, act->author);
+	wwh_record_init(&record, WWH_RECORD_JOB_CANCEL, command->author);
 	wwh_record_set(&record.body.job.job, job);
-	submit(act, &record, "job", job);
+	submit(command, &record, "job", job);
 }
 
-/* "" when there is no such text. */
-static const char *text_of(const act_t *act, const char *name)
+/* Returns "" if the member is missing or no string. */
+static const char *get_text(const command_t *command, const char *name)
 {
-	JsonNode *node = json_object_get_member(act->body, name);
+	JsonNode *node = json_object_get_member(command->body, name);
 
 	if (node == NULL || !JSON_NODE_HOLDS_VALUE(node) ||
 	    json_node_get_value_type(node) != G_TYPE_STRING)
@@ -302,20 +314,20 @@
 	return json_node_get_string(node);
 }
 
-static int64_t number_of(const act_t *act, const char *name, int64_t least,
-			 int64_t most, int64_t otherwise)
+static int64_t get_number(const command_t *command, const char *name,
+			  int64_t min, int64_t max, int64_t default_value)
 {
-	JsonNode *node = json_object_get_member(act->body, name);
+	JsonNode *node = json_object_get_member(command->body, name);
 
 	if (node == NULL || !JSON_NODE_HOLDS_VALUE(node) ||
 	    json_node_get_value_type(node) != G_TYPE_INT64)
-		return otherwise;
-	return CLAMP(json_node_get_int(node), least, most);
+		return default_value;
+	return CLAMP(json_node_get_int(node), min, max);
 }
 
-static bool flag_of(const act_t *act, const char *name)
+static bool get_flag(const command_t *command, const char *name)
 {
-	JsonNode *node = json_object_get_member(act->body, name);
+	JsonNode *node = json_object_get_member(command->body, name);
 
 	return node != NULL && JSON_NODE_HOLDS_VALUE(node) &&
 	       json_node_get_value_type(node) == G_TYPE_BOOLEAN &&
@@ -323,31 +335,34 @@
 }
 
 /*
- * The id comes from the operator's request id: an act whose answer was lost
- * and that is sent again gets the same id, and the reducer says "already".
+ * The id is derived from the operator's request id: a command that is sent
+ * again because its answer was lost gets the same id, and the reducer's verdict
+ * is "already".
  */
-static char *new_id(const act_t *act, const char *what)
+static char *new_id(const command_t *command, const char *prefix)
 {
-	const char *request_id = text_of(act, "request_id");
+	const char *request_id = get_text(command, "request_id");
 
 	if (*request_id != '\0' && strlen(request_id) < WWH_ID_BYTES_MAX / 2)
-		return g_strdup_printf("%s-%s", what, request_id);
-	return g_strdup_printf("%s-%" G_GINT64_FORMAT, what, g_get_real_time());
+		return g_strdup_printf("%s-%s", prefix, request_id);
+	return g_strdup_printf("%s-%" G_GINT64_FORMAT, prefix,
+			       g_get_real_time());
 }
 
-/* Submits, answers and clears record. */
-static void submit(act_t *act, wwh_record_t *record, const char *what,
-		   const char *id)
+/* Submits record, answers the operator and clears record. */
+static void submit(command_t *command, wwh_record_t *record,
+		   const char *id_name, const char *id)
 {
-	wwh_submitted_t submitted;
+	wwh_submit_result_t result;
 
-	wwh_entry_log_submit(act->entry->log, record, SUBMIT_LIMIT_MS,
-			     &submitted);
-	wwh_answer_submitted(act->response, &submitted, what, id);
+	wwh_entry_log_submit(command->entry->log, record, SUBMIT_LIMIT_MS,
+			     &result);
+	wwh_answer_submit_result(command->response, &result, id_name, id);
 	wwh_record_clear(record);
 }
 
-static void refuse(act_t *act, int32_t status, const char *message)
+static void answer_refused(command_t *command, int32_t status,
+			   const char *message)
 {
 	JsonBuilder *builder = json_builder_new();
 
@@ -355,5 +370,5 @@
 	wwh_json_string(builder, "verdict", "refused");
 	wwh_json_string(builder, "message", message);
 	json_builder_end_object(builder);
-	wwh_answer_json(act->response, status, builder);
+	wwh_answer_json(command->response, status, builder);
 }
--- a/src/libwaxwinghollow/include/private/entry_control.h
+++ b/src/libwaxwinghollow/include/private/entry_control.h
@@ -2,9 +2,10 @@
 #define WAXWINGHOLLOW_PRIVATE_ENTRY_CONTROL_H
 
 /*
- * The control work of one entry process: two threads. One keeps seats and
- * leases, one reads the lagging list of hosts. They are apart, so that a list
- * that hangs doesn't cost a lease.
+ * The control work of one entry process, in two threads. One maintains the
+ * seats and their leases, closes idle connections and publishes snapshots; the
+ * other reads the platform's lagging list of hosts and maintains idempotency
+ * keys. They are separate so that a list call that hangs costs no lease.
  */
 
 #include "private/entry_internal.h"
@@ -12,7 +13,10 @@
 wwh_entry_control_t *wwh_entry_control_new(wwh_entry_t *entry);
 void wwh_entry_control_start(wwh_entry_control_t *control);
 
-/* Gives all leases back; bounded by the log's time-outs. */
+/*
+ * Releases all leases and joins the threads. Bounded by the time-outs of the
+ * log and of the list call.
+ */
 void wwh_entry_control_finish(wwh_entry_control_t *control);
 void wwh_entry_control_delete(wwh_entry_control_t *control);
 
--- a/src/libwaxwinghollow/include/private/entry_internal.h
+++ b/src/libwaxwinghollow/include/private/entry_internal.h
@@ -2,8 +2,9 @@
 #define WAXWINGHOLLOW_PRIVATE_ENTRY_INTERNAL_H
 
 /*
- * What the parts of an entry process share. Locks are taken in this order:
- * state_lock, then request_lock; neither is held over network calls.
+ * Declarations that the modules of an entry process share. Lock order:
+ * state_lock, then the lock of the request table. Neither is held during
+ * network calls.
  */
 
 #include <glib.h>
@@ -45,7 +46,7 @@
 	WWH_PHASE_EVENT_COUNT
 } wwh_phase_event_t;
 
-/* Names of both, in the same order; they are those of charts/entry.json. */
+/* Names by enum value; charts/entry.json uses the same. */
 extern const char *const wwh_phase_names[WWH_PHASE_COUNT];
 extern const char *const wwh_phase_event_names[WWH_PHASE_EVENT_COUNT];
 
@@ -60,7 +61,7 @@
 struct wwh_entry {
 	const wwh_settings_t *settings;
 	uint64_t incarnation; /* higher at each start */
-	char *author; /* this incarnation's name on the log */
+	char *author; /* this incarnation's author name on the log */
 	wwh_counters_t *counters;
 	wwh_platform_http_t *platform_http;
 	wwh_platform_t platform;
@@ -72,7 +73,7 @@
 	wwh_counter_t *answers[WWH_ERROR_COUNT];
 	wwh_counter_t *verdicts[WWH_VERDICT_COUNT];
 	wwh_counter_t *not_run_denied;
-	wwh_counter_t *buffered_bytes; /* of bodies and answers held now */
+	wwh_counter_t *buffered_bytes; /* bodies and answers in memory */
 
 	GMutex state_lock;
 	wwh_chart_machine_t phase;
@@ -91,22 +92,28 @@
 
 int64_t wwh_now_ms(void); /* monotonic */
 
-/* Steps the phase chart; logs a change. Takes state_lock. */
+/* Steps the phase chart and logs a change of phase. Takes state_lock. */
 void wwh_entry_phase_event(wwh_entry_t *entry, wwh_phase_event_t event);
 wwh_phase_t wwh_entry_phase(wwh_entry_t *entry);
 
-/* Puts the state's configuration in force; state_lock is held. */
-void wwh_entry_take_config(wwh_entry_t *entry);
+/*
+ * Puts the replayed configuration in force if it is newer than the one in
+ * force. The caller holds state_lock.
+ */
+void wwh_entry_apply_replayed_config(wwh_entry_t *entry);
 
-/* A peer's configuration is put in force when it is newer. Takes state_lock. */
-bool wwh_entry_offer_config(wwh_entry_t *entry, const wwh_config_t *config,
-			    const char *from);
+/*
+ * Puts a peer's configuration in force if it is newer than the one in force,
+ * and returns whether it did. The log message names source. Takes state_lock.
+ */
+bool wwh_entry_apply_peer_config(wwh_entry_t *entry, const wwh_config_t *config,
+				 const char *source);
 int64_t wwh_entry_config_version(wwh_entry_t *entry);
 
-/* The name on the log of one incarnation of a process. g_free. */
-char *wwh_entry_author_of(const char *process_id, uint64_t incarnation);
+/* The author name of a process's incarnation; the caller frees it: g_free. */
+char *wwh_entry_author_name(const char *process_id, uint64_t incarnation);
 
-/* A reference to the configuration in force, or NULL before the first. */
+/* A new reference to the configuration in force; NULL if there is none yet. */
 wwh_config_t *wwh_entry_config(wwh_entry_t *entry);
 
 /* entry_operator.c: the operator listener's handler. */
@@ -114,7 +121,7 @@
 			       wwh_http_response_t *response,
 			       void *client_data);
 
-/* entry_caller.c: events of charts/request.json, the listener's handler. */
+/* entry_caller.c: events of charts/request.json, caller listener's handler. */
 const char *const *wwh_request_event_names(int32_t *count);
 void wwh_entry_handle_caller(const wwh_http_request_t *request,
 			     wwh_http_response_t *response, void *client_data);
--- a/src/libwaxwinghollow/include/private/entry_keys.h
+++ b/src/libwaxwinghollow/include/private/entry_keys.h
@@ -2,10 +2,10 @@
 #define WAXWINGHOLLOW_PRIVATE_ENTRY_KEYS_H
 
 /*
- * Housekeeping of idempotency keys by one process: it declares incarnations
- * that are gone for good abandoned, so that their keys become "unknown" in
- * place of "in progress" for ever, and moves the window of keys on by its own
- * clock.
+ * Maintenance of idempotency keys by one entry process. It marks incarnations
+ * that are gone for good as abandoned, so that their keys become "unknown"
+ * instead of staying "in progress" for ever, and it expires old keys by its
+ * own clock.
  */
 
 #include "private/entry_internal.h"
@@ -15,7 +15,7 @@
 wwh_entry_keys_t *wwh_entry_keys_new(wwh_entry_t *entry);
 void wwh_entry_keys_delete(wwh_entry_keys_t *keys);
 
-/* Called about once a second by one thread; may append. */
+/* Called about once a second by one thread; may append to the log. */
 void wwh_entry_keys_round(wwh_entry_keys_t *keys);
 
 #endif
