--- a/src/test_entry/test_entry.c
+++ b/src/test_entry/test_entry.c
@@ -20,15 +20,15 @@
 #include "../test_standins/include/minion_server.h"
 
 #define ENTRIES 2
-#define LATE_ENTRY ENTRIES /* started by one test */
-#define LATER_ENTRY (ENTRIES + 1) /* by another */
+#define TRIMMED_LOG_ENTRY ENTRIES /* started by one test */
+#define OLD_SNAPSHOT_ENTRY (ENTRIES + 1) /* started by another test */
 #define ENTRIES_MAX (ENTRIES + 2)
 #define WAIT_LIMIT_MS 15000
-#define FILLERS_AT_ONCE 200 /* records that a process may lag behind */
+#define FILLERS_AT_ONCE 200 /* records by which a process may lag */
 
 static char platform_program[] = WWH_BINARY_DIR "/platform";
 
-/* Two entry processes' worth of code around one platform and one minion. */
+/* Entries, the stand-in platform and minion that they use, and a client. */
 typedef struct {
 	GPid platform_pid;
 	char *platform_url;
@@ -40,23 +40,23 @@
 	wwh_upstream_t *client;
 } fixture_t;
 
-/* What a caller or operator was told. */
+/* The response that a caller or operator received. */
 typedef struct {
 	wwh_upstream_outcome_t outcome;
 	int32_t status;
 	char run[32];
 	char *body;
-} told_t;
+} reply_t;
 
-static void told_clear(told_t *told)
+static void reply_clear(reply_t *reply)
 {
-	g_free(told->body);
-	told->body = NULL;
+	g_free(reply->body);
+	reply->body = NULL;
 }
 
-static void ask(fixture_t *fixture, int32_t port, const char *method,
-		const char *target, const char *key, const uint8_t *body,
-		size_t size, told_t *told)
+static void send_request(fixture_t *fixture, int32_t port, const char *method,
+			 const char *target, const char *key,
+			 const uint8_t *body, size_t size, reply_t *reply)
 {
 	wwh_headers_t *headers = wwh_headers_new();
 	wwh_http_request_t http = {
@@ -81,7 +81,7 @@
 	wwh_headers_add(headers, "Host", "h");
 	if (g_str_has_prefix(target, "/log/")) {
 		static int32_t appends;
-		/* an id begins with the lowest offset that it may get */
+		/* the id begins with the lowest offset the record may get */
 		char *id = g_strdup_printf("%016x%016x", ++appends, 0);
 
 		wwh_headers_add(headers, "Append-Id", id);
@@ -92,37 +92,37 @@
 		wwh_headers_add(headers, "X-Request-Id", key);
 	}
 	wwh_upstream_send(fixture->client, &request, &answer);
-	told->outcome = answer.outcome;
-	told->status = answer.response.status;
+	reply->outcome = answer.outcome;
+	reply->status = answer.response.status;
 	run = wwh_headers_get(answer.response.headers, WWH_HEADER_RUN);
-	g_strlcpy(told->run, run != NULL ? run : "", sizeof(told->run));
-	told->body = g_strndup((char *)answer.response.body->data,
-			       answer.response.body->len);
+	g_strlcpy(reply->run, run != NULL ? run : "", sizeof(reply->run));
+	reply->body = g_strndup((char *)answer.response.body->data,
+				answer.response.body->len);
 	wwh_http_response_clear(&answer.response);
 	wwh_headers_delete(headers);
 }
 
-static void call(fixture_t *fixture, int entry, const char *method,
-		 const char *target, const char *key, told_t *told)
+static void call_service(fixture_t *fixture, int entry, const char *method,
+			 const char *target, const char *key, reply_t *reply)
 {
-	ask(fixture, wwh_entry_caller_port(fixture->entries[entry]), method,
-	    target, key, (const uint8_t *)"x", 1, told);
+	send_request(fixture, wwh_entry_caller_port(fixture->entries[entry]),
+		     method, target, key, (const uint8_t *)"x", 1, reply);
 }
 
-static void fault(fixture_t *fixture, const char *text)
+static void set_fault(fixture_t *fixture, const char *text)
 {
 	char *target = g_strconcat("/fault?", text, NULL);
-	told_t told;
+	reply_t reply;
 
-	ask(fixture, fixture->platform_port, "POST", target, NULL, NULL, 0,
-	    &told);
-	assert_int_equal(told.status, 200);
-	told_clear(&told);
+	send_request(fixture, fixture->platform_port, "POST", target, NULL,
+		     NULL, 0, &reply);
+	assert_int_equal(reply.status, 200);
+	reply_clear(&reply);
 	g_free(target);
 }
 
-/* A failed assertion of a set-up leaves no stand-in behind. */
-static void end_with_parent(gpointer unused)
+/* Ends the stand-in platform also if an assertion of the set-up fails. */
+static void kill_with_parent(gpointer unused)
 {
 	(void)unused;
 	prctl(PR_SET_PDEATHSIG, SIGKILL);
@@ -132,7 +132,7 @@
 {
 	int32_t port = standin_free_port();
 	char *listen_on;
-	told_t told;
+	reply_t reply;
 
 	fixture->platform_port = port;
 	fixture->platform_url = g_strdup_printf("http://127.0.0.1:%d", port);
@@ -143,13 +143,14 @@
 
 		assert_true(g_spawn_async(
 			NULL, argv, NULL, G_SPAWN_DO_NOT_REAP_CHILD,
-			end_with_parent, NULL, &fixture->platform_pid, NULL));
+			kill_with_parent, NULL, &fixture->platform_pid, NULL));
 	}
 	g_free(listen_on);
 	for (int i = 0; i < 200; i++) {
-		ask(fixture, port, "GET", "/stats", NULL, NULL, 0, &told);
-		told_clear(&told);
-		if (told.status == 200)
+		send_request(fixture, port, "GET", "/stats", NULL, NULL, 0,
+			     &reply);
+		reply_clear(&reply);
+		if (reply.status == 200)
 			return;
 		g_usleep(20 * 1000);
 	}
@@ -186,20 +187,21 @@
 
 static void wait_ready(fixture_t *fixture, int index)
 {
-	told_t told;
+	reply_t reply;
 
 	for (int i = 0; i < 500; i++) {
-		ask(fixture, wwh_entry_operator_port(fixture->entries[index]),
-		    "GET", "/v1/ready", NULL, NULL, 0, &told);
-		told_clear(&told);
-		if (told.status == 200)
+		send_request(fixture,
+			     wwh_entry_operator_port(fixture->entries[index]),
+			     "GET", "/v1/ready", NULL, NULL, 0, &reply);
+		reply_clear(&reply);
+		if (reply.status == 200)
 			return;
 		g_usleep(20 * 1000);
 	}
 	fail_msg("entry %d did not get ready", index);
 }
 
-/* A configuration whose service has that deadline, as a change from empty. */
+/* A configuration with that service deadline, as a change from an empty one. */
 static GBytes *make_change(fixture_t *fixture, int32_t deadline_ms)
 {
 	char *inventory = g_strdup_printf(
@@ -240,7 +242,7 @@
 }
 
 static void publish(fixture_t *fixture, int entry, int64_t base,
-		    int32_t deadline_ms, told_t *told)
+		    int32_t deadline_ms, reply_t *reply)
 {
 	GBytes *bytes = make_change(fixture, deadline_ms);
 	char *target = g_strdup_printf(
@@ -248,41 +250,41 @@
 	gsize size;
 	const uint8_t *data = g_bytes_get_data(bytes, &size);
 
-	ask(fixture, wwh_entry_operator_port(fixture->entries[entry]), "POST",
-	    target, NULL, data, size, told);
+	send_request(fixture, wwh_entry_operator_port(fixture->entries[entry]),
+		     "POST", target, NULL, data, size, reply);
 	g_free(target);
 	g_bytes_unref(bytes);
 }
 
 static int64_t config_version(fixture_t *fixture, int entry)
 {
-	told_t told;
+	reply_t reply;
 	const char *at;
 	int64_t version;
 
-	ask(fixture, wwh_entry_operator_port(fixture->entries[entry]), "GET",
-	    "/v1/status", NULL, NULL, 0, &told);
-	at = strstr(told.body, "\"config_version\" : ");
-	/* the members' come first, the process's own is the last */
+	send_request(fixture, wwh_entry_operator_port(fixture->entries[entry]),
+		     "GET", "/v1/status", NULL, NULL, 0, &reply);
+	at = strstr(reply.body, "\"config_version\" : ");
+	/* the members' versions precede the process's own */
 	for (const char *next = at; next != NULL;
 	     next = strstr(next + 1, "\"config_version\" : "))
 		at = next;
 	assert_non_null(at);
 	version =
 		g_ascii_strtoll(at + strlen("\"config_version\" : "), NULL, 10);
-	told_clear(&told);
+	reply_clear(&reply);
 	return version;
 }
 
-/* Until both have the configuration and a share of the minion's slots. */
+/* Waits until the entry has a configuration and a share of minion slots. */
 static void wait_serving(fixture_t *fixture, int index)
 {
-	told_t told;
+	reply_t reply;
 
 	for (int i = 0; i < 500; i++) {
-		call(fixture, index, "GET", "/s/probe", NULL, &told);
-		told_clear(&told);
-		if (told.status == 200)
+		call_service(fixture, index, "GET", "/s/probe", NULL, &reply);
+		reply_clear(&reply);
+		if (reply.status == 200)
 			return;
 		g_usleep(20 * 1000);
 	}
@@ -293,15 +295,15 @@
 {
 	wwh_message_t message;
 	char *host;
-	told_t told;
+	reply_t reply;
 
 	write_settings(fixture, index);
 	host = g_strdup_printf("/hosts/entry-%d?kind=entry&state=live&address="
 			       "%s&zone=a",
 			       index, fixture->settings[index].peer_listen);
-	ask(fixture, fixture->platform_port, "POST", host, NULL, NULL, 0,
-	    &told);
-	told_clear(&told);
+	send_request(fixture, fixture->platform_port, "POST", host, NULL, NULL,
+		     0, &reply);
+	reply_clear(&reply);
 	g_free(host);
 	fixture->entries[index] = wwh_entry_new(&fixture->settings[index]);
 	if (wwh_entry_init(fixture->entries[index], &message) != WWH_STATUS_OK)
@@ -312,7 +314,7 @@
 {
 	fixture_t *fixture = g_new0(fixture_t, 1);
 	wwh_upstream_options_t options = wwh_upstream_options_defaults();
-	told_t told;
+	reply_t reply;
 
 	signal(SIGPIPE, SIG_IGN);
 	fixture->counters = wwh_counters_new();
@@ -323,9 +325,9 @@
 		start_entry(fixture, i);
 	for (int i = 0; i < ENTRIES; i++)
 		wait_ready(fixture, i);
-	publish(fixture, 0, 0, 3000, &told);
-	assert_int_equal(told.status, 200);
-	told_clear(&told);
+	publish(fixture, 0, 0, 3000, &reply);
+	assert_int_equal(reply.status, 200);
+	reply_clear(&reply);
 	for (int i = 0; i < ENTRIES; i++)
 		wait_serving(fixture, i);
 	*state = fixture;
@@ -354,21 +356,21 @@
 }
 
 /*
- * A parent's phone repeats a charge through another entry host. The first one
- * ran; the repeat gets the first one's answer and the card is charged once.
+ * A caller repeats a charge through another entry. The first one ran; the
+ * repeat gets the first one's answer, and the charge runs once.
  */
-static void a_repeat_elsewhere_gets_the_first_answer(void **state)
+static void a_repeat_through_another_entry_gets_the_first_answer(void **state)
 {
 	fixture_t *fixture = *state;
-	told_t first;
-	told_t again = { 0 };
+	reply_t first;
+	reply_t again = { 0 };
 
-	call(fixture, 0, "POST", "/s/charge", "key-1", &first);
+	call_service(fixture, 0, "POST", "/s/charge", "key-1", &first);
 	assert_int_equal(first.status, 200);
 	assert_string_equal(first.run, "ran");
 	for (int i = 0; i < 100; i++) {
-		told_clear(&again);
-		call(fixture, 1, "POST", "/s/charge", "key-1", &again);
+		reply_clear(&again);
+		call_service(fixture, 1, "POST", "/s/charge", "key-1", &again);
 		if (again.status != 409)
 			break;
 		g_usleep(20 * 1000);
@@ -377,124 +379,126 @@
 	assert_string_equal(again.run, "ran");
 	assert_string_equal(again.body, first.body);
 	assert_int_equal(minion_runs_of(fixture->minion, "key-1"), 1);
-	told_clear(&first);
-	told_clear(&again);
+	reply_clear(&first);
+	reply_clear(&again);
 }
 
 /*
- * The minion runs a charge and closes without an answer. The caller is told
- * "unknown", and so is every repeat, through either host: none runs it again.
+ * The minion runs a charge and closes without an answer. The caller and every
+ * repeat through either entry get "unknown", and none runs the charge again.
  */
 static void a_lost_answer_stays_unknown_and_runs_once(void **state)
 {
 	fixture_t *fixture = *state;
-	told_t told;
+	reply_t reply;
 
 	minion_set_mode(fixture->minion, MINION_CLOSE);
-	call(fixture, 0, "POST", "/s/charge", "key-2", &told);
-	assert_string_equal(told.run, "unknown");
-	told_clear(&told);
+	call_service(fixture, 0, "POST", "/s/charge", "key-2", &reply);
+	assert_string_equal(reply.run, "unknown");
+	reply_clear(&reply);
 	minion_set_mode(fixture->minion, MINION_OK);
 	for (int i = 0; i < 10; i++) {
-		call(fixture, i % ENTRIES, "POST", "/s/charge", "key-2", &told);
-		assert_string_equal(told.run, "unknown");
-		told_clear(&told);
+		call_service(fixture, i % ENTRIES, "POST", "/s/charge", "key-2",
+			     &reply);
+		assert_string_equal(reply.run, "unknown");
+		reply_clear(&reply);
 	}
 	assert_int_equal(minion_runs_of(fixture->minion, "key-2"), 1);
 }
 
 /*
- * The same key comes with another request: the second is refused and not run,
- * since its answer would be that of a different charge.
+ * The same key arrives with a different request. The second request is refused
+ * and not run, since the recorded answer belongs to another charge.
  */
-static void a_key_of_another_request_is_refused(void **state)
+static void a_key_reused_for_another_request_is_refused(void **state)
 {
 	fixture_t *fixture = *state;
-	told_t told;
+	reply_t reply;
 
-	call(fixture, 0, "POST", "/s/charge", "key-3", &told);
-	assert_int_equal(told.status, 200);
-	told_clear(&told);
+	call_service(fixture, 0, "POST", "/s/charge", "key-3", &reply);
+	assert_int_equal(reply.status, 200);
+	reply_clear(&reply);
 	for (int i = 0; i < 100; i++) {
-		call(fixture, 1, "POST", "/s/other", "key-3", &told);
-		if (told.status == 422)
+		call_service(fixture, 1, "POST", "/s/other", "key-3", &reply);
+		if (reply.status == 422)
 			break;
-		told_clear(&told);
+		reply_clear(&reply);
 		g_usleep(20 * 1000);
 	}
-	assert_int_equal(told.status, 422);
-	assert_string_equal(told.run, "not-run");
-	told_clear(&told);
+	assert_int_equal(reply.status, 422);
+	assert_string_equal(reply.run, "not-run");
+	reply_clear(&reply);
 	assert_int_equal(minion_runs_of(fixture->minion, "key-3"), 1);
 }
 
 /*
- * The platform's log is down. A keyed charge is refused as "not run", with a
- * time to come back, and really did not run; reading requests go on. When the
- * log is back the same key runs once.
+ * The platform's log is down. A keyed charge is refused as "not run" and does
+ * not run; read requests are still served. When the log is up again, the same
+ * key runs once.
  */
-static void an_outage_of_the_log_refuses_only_what_needs_it(void **state)
+static void a_log_outage_refuses_only_keyed_requests(void **state)
 {
 	fixture_t *fixture = *state;
-	told_t told = { 0 };
-
-	fault(fixture, "log_down=1");
-	call(fixture, 0, "POST", "/s/charge", "key-4", &told);
-	assert_int_equal(told.status, 503);
-	assert_string_equal(told.run, "not-run");
-	told_clear(&told);
-	call(fixture, 0, "GET", "/s/read", NULL, &told);
-	assert_int_equal(told.status, 200);
-	told_clear(&told);
+	reply_t reply = { 0 };
+
+	set_fault(fixture, "log_down=1");
+	call_service(fixture, 0, "POST", "/s/charge", "key-4", &reply);
+	assert_int_equal(reply.status, 503);
+	assert_string_equal(reply.run, "not-run");
+	reply_clear(&reply);
+	call_service(fixture, 0, "GET", "/s/read", NULL, &reply);
+	assert_int_equal(reply.status, 200);
+	reply_clear(&reply);
 	assert_int_equal(minion_runs_of(fixture->minion, "key-4"), 0);
-	fault(fixture, "log_down=0");
+	set_fault(fixture, "log_down=0");
 	for (int i = 0; i < 200; i++) {
-		told_clear(&told);
-		call(fixture, 0, "POST", "/s/charge", "key-4", &told);
-		if (told.status == 200)
+		reply_clear(&reply);
+		call_service(fixture, 0, "POST", "/s/charge", "key-4", &reply);
+		if (reply.status == 200)
 			break;
 		g_usleep(50 * 1000);
 	}
-	assert_int_equal(told.status, 200);
-	told_clear(&told);
+	assert_int_equal(reply.status, 200);
+	reply_clear(&reply);
 	assert_int_equal(minion_runs_of(fixture->minion, "key-4"), 1);
 }
 
-/* Appends take effect but their answers are lost: charges still run once. */
-static void lost_append_answers_run_nothing_twice(void **state)
+/* Appends succeed but their answers are lost: no charge runs twice. */
+static void lost_append_answers_run_no_charge_twice(void **state)
 {
 	fixture_t *fixture = *state;
-	told_t told;
+	reply_t reply;
 
-	fault(fixture, "lose_append_answers=50");
+	set_fault(fixture, "lose_append_answers=50");
 	for (int i = 0; i < 20; i++) {
 		char *key = g_strdup_printf("lost-%d", i);
 
-		call(fixture, i % ENTRIES, "POST", "/s/charge", key, &told);
-		if (strcmp(told.run, "ran") == 0)
+		call_service(fixture, i % ENTRIES, "POST", "/s/charge", key,
+			     &reply);
+		if (strcmp(reply.run, "ran") == 0)
 			assert_int_equal(minion_runs_of(fixture->minion, key),
 					 1);
-		else if (strcmp(told.run, "not-run") == 0)
+		else if (strcmp(reply.run, "not-run") == 0)
 			assert_int_equal(minion_runs_of(fixture->minion, key),
 					 0);
 		assert_true(minion_runs_of(fixture->minion, key) <= 1);
-		told_clear(&told);
+		reply_clear(&reply);
 		g_free(key);
 	}
-	fault(fixture, "lose_append_answers=0");
+	set_fault(fixture, "lose_append_answers=0");
 }
 
 /*
- * Two operators publish at the same time through different hosts, both from
- * the same version. One change is in force everywhere, the other operator is
- * told that someone else came first; a late repeat of the old one is refused.
+ * Two operators publish changes of the same version through different entries.
+ * One change comes into force everywhere, the other is rejected as stale; a
+ * late repeat of the first one is rejected as well.
  */
-static void of_two_publications_one_wins(void **state)
+static void only_one_of_two_concurrent_publications_is_accepted(void **state)
 {
 	fixture_t *fixture = *state;
 	int64_t base = config_version(fixture, 0);
-	told_t first;
-	told_t second;
+	reply_t first;
+	reply_t second;
 
 	publish(fixture, 0, base, 2500, &first);
 	publish(fixture, 1, base, 2600, &second);
@@ -507,65 +511,67 @@
 			g_usleep(20 * 1000);
 		}
 	}
-	told_clear(&first);
-	told_clear(&second);
+	reply_clear(&first);
+	reply_clear(&second);
 	publish(fixture, 0, base, 2500, &first);
 	assert_int_equal(first.status, 409);
 	assert_int_equal(config_version(fixture, 1), base + 1);
-	told_clear(&first);
+	reply_clear(&first);
 }
 
 /*
- * The log is down for longer than a lease of seats lasts. Both hosts go on
- * answering reading requests: nobody can be evicted without the log, so the
- * members keep each other's leases by their votes.
+ * The log is down for longer than a lease of seats lasts. Both entries still
+ * answer read requests: no member can be evicted without the log, so the
+ * members renew each other's leases by their votes.
  */
-static void an_outage_longer_than_a_lease_stops_nobody(void **state)
+static void a_log_outage_longer_than_a_lease_stops_no_entry(void **state)
 {
 	fixture_t *fixture = *state;
-	told_t told;
+	reply_t reply;
 
-	fault(fixture, "log_down=1");
+	set_fault(fixture, "log_down=1");
 	g_usleep(6 * G_USEC_PER_SEC);
 	for (int i = 0; i < 2 * ENTRIES; i++) {
-		call(fixture, i % ENTRIES, "GET", "/s/read", NULL, &told);
-		assert_int_equal(told.status, 200);
-		told_clear(&told);
+		call_service(fixture, i % ENTRIES, "GET", "/s/read", NULL,
+			     &reply);
+		assert_int_equal(reply.status, 200);
+		reply_clear(&reply);
 	}
-	fault(fixture, "log_down=0");
+	set_fault(fixture, "log_down=0");
 }
 
 /*
- * A minion tells one host that it is leaving. Within a few seconds the other
- * host sends it no more either, though the platform's list still calls it
- * live. When it answers as before, work comes back.
+ * A minion reports to one entry that it is leaving. Within a few seconds the
+ * other entry sends it no requests either, although the platform still lists it
+ * as live.
  */
-static void a_leaving_minion_gets_no_new_work_from_anybody(void **state)
+static void a_leaving_minion_gets_no_requests_from_any_entry(void **state)
 {
 	fixture_t *fixture = *state;
-	told_t told = { 0 };
+	reply_t reply = { 0 };
 	int64_t runs;
 
 	minion_set_mode(fixture->minion, MINION_LEAVING);
-	call(fixture, 0, "GET", "/s/last", NULL, &told);
-	told_clear(&told);
+	call_service(fixture, 0, "GET", "/s/last", NULL, &reply);
+	reply_clear(&reply);
 	for (int i = 0; i < 200; i++) {
 		char *text;
 
-		ask(fixture, wwh_entry_operator_port(fixture->entries[1]),
-		    "GET", "/v1/counters", NULL, NULL, 0, &told);
-		text = strstr(told.body, "minions.leaving 1");
-		told_clear(&told);
+		send_request(fixture,
+			     wwh_entry_operator_port(fixture->entries[1]),
+			     "GET", "/v1/counters", NULL, NULL, 0, &reply);
+		text = strstr(reply.body, "minions.leaving 1");
+		reply_clear(&reply);
 		if (text != NULL)
 			break;
 		g_usleep(50 * 1000);
 	}
 	runs = fixture->minion->total_runs;
 	for (int i = 0; i < ENTRIES; i++) {
-		call(fixture, i, "GET", "/s/none", NULL, &told);
-		assert_int_equal(told.status, 503);
-		assert_string_equal(told.run, "not-run");
-		told_clear(&told);
+		call_service(fixture, i, "GET", "/s/none", NULL, &reply);
+		assert_int_equal(reply.status, 503);
+		assert_string_equal(reply.run, "not-run");
+		reply_clear(&reply);
 	}
 	assert_int_equal(fixture->minion->total_runs, runs);
 	minion_set_mode(fixture->minion, MINION_OK);
@@ -585,25 +591,27 @@
 }
 
 /*
- * The records that a new process would replay are gone from the log. It takes
- * up a snapshot that another process put there, and has the configuration in
- * force as the others have it.
+ * The records that a new process would replay are trimmed from the log. It
+ * restores a snapshot that another process published, and has the same
+ * configuration in force as the others.
  *
- * A process that lags behind the fillers by more than the log has left tells
- * a lower offset for its own next record than the log begins at. A new
- * process can't know then whether an earlier copy is gone, and rightly waits
- * for the next snapshot; so the processes are kept up.
+ * The id of a record holds a lower bound of its offset. If a process lags
+ * behind the fillers by more than the trimmed log holds, the bound of its next
+ * record is below the log's first offset. A new process then can't know whether
+ * an earlier copy was trimmed, and correctly waits for the next snapshot. So
+ * the test waits for the processes to catch up every FILLERS_AT_ONCE records.
  */
-static void a_new_process_starts_from_a_trimmed_log(void **state)
+static void a_new_process_restores_a_snapshot_of_a_trimmed_log(void **state)
 {
 	fixture_t *fixture = *state;
-	told_t told = { 0 };
+	reply_t reply = { 0 };
 
 	for (int i = 0; i < 4200; i++) {
-		ask(fixture, fixture->platform_port, "POST", "/log/control",
-		    NULL, (const uint8_t *)"filler", 6, &told);
-		assert_int_equal(told.status, 200);
-		told_clear(&told);
+		send_request(fixture, fixture->platform_port, "POST",
+			     "/log/control", NULL, (const uint8_t *)"filler", 6,
+			     &reply);
+		assert_int_equal(reply.status, 200);
+		reply_clear(&reply);
 		for (int j = 0; i % FILLERS_AT_ONCE == 0 && j < ENTRIES; j++)
 			wait_replayed(fixture, j, i);
 	}
@@ -611,13 +619,14 @@
 		bool published = false;
 
 		for (int j = 0; j < ENTRIES; j++) {
-			ask(fixture,
-			    wwh_entry_operator_port(fixture->entries[j]), "GET",
-			    "/v1/counters", NULL, NULL, 0, &told);
+			send_request(
+				fixture,
+				wwh_entry_operator_port(fixture->entries[j]),
+				"GET", "/v1/counters", NULL, NULL, 0, &reply);
 			published = published ||
-				    strstr(told.body,
+				    strstr(reply.body,
 					   "snapshots.published 1") != NULL;
-			told_clear(&told);
+			reply_clear(&reply);
 		}
 		if (published)
 			break;
@@ -626,46 +635,47 @@
 	}
 	g_usleep(200 * 1000);
 	/*
-	 * The fillers' ids tell lower offsets than they got, by as many records
-	 * as the processes wrote. With ids from before the log's first offset
-	 * a new process rightly takes nothing, so that is kept well below.
+	 * The offsets in the fillers' ids are lower than their real ones, by as
+	 * many records as the processes wrote. With ids from before the log's
+	 * first offset a new process correctly restores nothing, so the log is
+	 * trimmed well below those ids.
 	 */
-	fault(fixture, "trim_to=control:3000");
-	start_entry(fixture, LATE_ENTRY);
-	wait_ready(fixture, LATE_ENTRY);
-	assert_int_equal(config_version(fixture, LATE_ENTRY),
+	set_fault(fixture, "trim_to=control:3000");
+	start_entry(fixture, TRIMMED_LOG_ENTRY);
+	wait_ready(fixture, TRIMMED_LOG_ENTRY);
+	assert_int_equal(config_version(fixture, TRIMMED_LOG_ENTRY),
 			 config_version(fixture, 0));
 }
 
-/* The minion answers again, and both entries trust it with work. */
-static void serve_again(fixture_t *fixture)
+/* Makes the minion answer, and waits until both entries use it again. */
+static void restore_minion(fixture_t *fixture)
 {
 	minion_set_mode(fixture->minion, MINION_OK);
 	for (int i = 0; i < ENTRIES; i++)
 		wait_serving(fixture, i);
 }
 
-/* What entry's counter of that name says. */
-static int64_t counter_of(fixture_t *fixture, int entry, const char *name)
+/* The value of the entry's counter of that name; 0 if there is none. */
+static int64_t read_counter(fixture_t *fixture, int entry, const char *name)
 {
 	char *line = g_strdup_printf("\n%s ", name);
 	const char *at;
 	int64_t value = 0;
-	told_t told;
+	reply_t reply;
 
-	ask(fixture, wwh_entry_operator_port(fixture->entries[entry]), "GET",
-	    "/v1/counters", NULL, NULL, 0, &told);
-	at = strstr(told.body, line);
+	send_request(fixture, wwh_entry_operator_port(fixture->entries[entry]),
+		     "GET", "/v1/counters", NULL, NULL, 0, &reply);
+	at = strstr(reply.body, line);
 	if (at != NULL)
 		value = g_ascii_strtoll(at + strlen(line), NULL, 10);
-	told_clear(&told);
+	reply_clear(&reply);
 	g_free(line);
 	return value;
 }
 
-/* Sends a request on a connection of its own and leaves it open. */
-static int send_only(fixture_t *fixture, int entry, const char *method,
-		     const char *key)
+/* Sends a request on a new connection and returns the open socket. */
+static int send_without_reading(fixture_t *fixture, int entry,
+				const char *method, const char *key)
 {
 	struct sockaddr_in address = {
 		.sin_family = AF_INET,
@@ -688,209 +698,211 @@
 	return fd;
 }
 
-/* Calls until the key is no longer in progress; the last answer is told. */
+/* Repeats the call until its key is not in progress; reply is the last one. */
 static void call_until_settled(fixture_t *fixture, int entry, const char *key,
-			       told_t *told)
+			       reply_t *reply)
 {
 	for (int i = 0; i < 200; i++) {
-		call(fixture, entry, "POST", "/s/charge", key, told);
-		if (strstr(told->body, "key-in-progress") == NULL)
+		call_service(fixture, entry, "POST", "/s/charge", key, reply);
+		if (strstr(reply->body, "key-in-progress") == NULL)
 			return;
-		told_clear(told);
+		reply_clear(reply);
 		g_usleep(20 * 1000);
 	}
 	fail_msg("key %s stays in progress", key);
 }
 
 /*
- * The minion runs a charge and says that it failed. That is an answer: the
- * caller and every repeat get it, with "ran", and it runs once.
+ * The minion runs a charge and answers with an error. That is an answer: the
+ * caller and a repeat get it, with "ran", and the charge runs once.
  */
-static void a_failure_that_was_answered_is_kept_as_it_is(void **state)
+static void an_error_answer_of_a_minion_is_recorded_and_replayed(void **state)
 {
 	fixture_t *fixture = *state;
-	told_t told;
+	reply_t reply;
 
 	minion_set_mode(fixture->minion, MINION_FAIL);
-	call(fixture, 0, "POST", "/s/charge", "fail-1", &told);
-	serve_again(fixture);
-	assert_int_equal(told.status, 500);
-	assert_string_equal(told.run, "ran");
-	told_clear(&told);
-	call_until_settled(fixture, 1, "fail-1", &told);
-	assert_int_equal(told.status, 500);
-	assert_string_equal(told.run, "ran");
-	told_clear(&told);
+	call_service(fixture, 0, "POST", "/s/charge", "fail-1", &reply);
+	restore_minion(fixture);
+	assert_int_equal(reply.status, 500);
+	assert_string_equal(reply.run, "ran");
+	reply_clear(&reply);
+	call_until_settled(fixture, 1, "fail-1", &reply);
+	assert_int_equal(reply.status, 500);
+	assert_string_equal(reply.run, "ran");
+	reply_clear(&reply);
 	assert_int_equal(minion_runs_of(fixture->minion, "fail-1"), 1);
 }
 
 /*
- * The minion's answer is larger than the service passes on. The charge ran:
- * the caller and every repeat are told so, without the answer.
+ * The minion's answer exceeds the service's limit. The charge ran: the caller
+ * and a repeat get "ran", without the answer.
  */
 static void a_charge_whose_answer_is_too_large_did_run(void **state)
 {
 	fixture_t *fixture = *state;
-	told_t told;
+	reply_t reply;
 
-	call(fixture, 0, "POST", "/s/charge?bytes=20000000", "large-1", &told);
-	assert_int_equal(told.status, 502);
-	assert_string_equal(told.run, "ran");
-	told_clear(&told);
+	call_service(fixture, 0, "POST", "/s/charge?bytes=20000000", "large-1",
+		     &reply);
+	assert_int_equal(reply.status, 502);
+	assert_string_equal(reply.run, "ran");
+	reply_clear(&reply);
 	for (int i = 0; i < 200; i++) {
-		call(fixture, 1, "POST", "/s/charge?bytes=20000000", "large-1",
-		     &told);
-		if (strstr(told.body, "key-in-progress") == NULL)
+		call_service(fixture, 1, "POST", "/s/charge?bytes=20000000",
+			     "large-1", &reply);
+		if (strstr(reply.body, "key-in-progress") == NULL)
 			break;
-		told_clear(&told);
+		reply_clear(&reply);
 		g_usleep(20 * 1000);
 	}
-	assert_int_equal(told.status, 409);
-	assert_string_equal(told.run, "ran");
-	told_clear(&told);
+	assert_int_equal(reply.status, 409);
+	assert_string_equal(reply.run, "ran");
+	reply_clear(&reply);
 	assert_int_equal(minion_runs_of(fixture->minion, "large-1"), 1);
 }
 
 /*
- * The minion refuses a charge before running it. The caller is told "not run"
- * and the same key runs when the minion takes work again.
+ * The minion refuses a charge before running it. The caller gets "not run", and
+ * the same key runs when the minion accepts requests again.
  */
 static void a_refused_charge_may_be_repeated(void **state)
 {
 	fixture_t *fixture = *state;
-	told_t told;
+	reply_t reply;
 
 	minion_set_mode(fixture->minion, MINION_REFUSE);
-	call(fixture, 0, "POST", "/s/charge", "refuse-1", &told);
-	serve_again(fixture);
-	assert_int_equal(told.status, 503);
-	assert_string_equal(told.run, "not-run");
-	told_clear(&told);
+	call_service(fixture, 0, "POST", "/s/charge", "refuse-1", &reply);
+	restore_minion(fixture);
+	assert_int_equal(reply.status, 503);
+	assert_string_equal(reply.run, "not-run");
+	reply_clear(&reply);
 	for (int i = 0; i < 100; i++) {
-		call_until_settled(fixture, i % ENTRIES, "refuse-1", &told);
-		if (told.status == 200)
+		call_until_settled(fixture, i % ENTRIES, "refuse-1", &reply);
+		if (reply.status == 200)
 			break;
-		assert_string_equal(told.run, "not-run");
-		told_clear(&told);
+		assert_string_equal(reply.run, "not-run");
+		reply_clear(&reply);
 		g_usleep(50 * 1000);
 	}
-	assert_int_equal(told.status, 200);
-	told_clear(&told);
+	assert_int_equal(reply.status, 200);
+	reply_clear(&reply);
 	assert_int_equal(minion_runs_of(fixture->minion, "refuse-1"), 1);
 }
 
 /*
- * The minion is silent and the deadline passes. Whether the charge ran is
- * unknown, to the caller and to every repeat; it is sent once.
+ * The minion doesn't answer before the deadline. The caller and a repeat get
+ * "unknown", and the charge is sent once.
  */
 static void a_deadline_after_sending_is_unknown(void **state)
 {
 	fixture_t *fixture = *state;
-	told_t told;
+	reply_t reply;
 
 	minion_set_mode(fixture->minion, MINION_SILENT);
-	call(fixture, 0, "POST", "/s/charge", "silent-1", &told);
-	serve_again(fixture);
-	assert_int_equal(told.status, 504);
-	assert_string_equal(told.run, "unknown");
-	told_clear(&told);
-	call_until_settled(fixture, 1, "silent-1", &told);
-	assert_int_equal(told.status, 409);
-	assert_string_equal(told.run, "unknown");
-	told_clear(&told);
+	call_service(fixture, 0, "POST", "/s/charge", "silent-1", &reply);
+	restore_minion(fixture);
+	assert_int_equal(reply.status, 504);
+	assert_string_equal(reply.run, "unknown");
+	reply_clear(&reply);
+	call_until_settled(fixture, 1, "silent-1", &reply);
+	assert_int_equal(reply.status, 409);
+	assert_string_equal(reply.run, "unknown");
+	reply_clear(&reply);
 	assert_int_equal(minion_runs_of(fixture->minion, "silent-1"), 1);
 }
 
 /*
- * A caller hangs up after its charge was sent. The host notes "unknown": a
- * repeat through any host is told so and does not run a second time.
+ * A caller closes its connection after its charge was sent. The entry records
+ * "unknown": a repeat gets that and does not run the charge again.
  */
-static void a_caller_gone_after_sending_leaves_unknown(void **state)
+static void a_caller_gone_after_sending_leaves_the_key_unknown(void **state)
 {
 	fixture_t *fixture = *state;
-	told_t told;
+	reply_t reply;
 	int fd;
 
 	minion_set_mode(fixture->minion, MINION_SILENT);
-	fd = send_only(fixture, 0, "POST", "gone-1");
+	fd = send_without_reading(fixture, 0, "POST", "gone-1");
 	while (minion_runs_of(fixture->minion, "gone-1") == 0)
 		g_usleep(10 * 1000);
 	close(fd);
-	call_until_settled(fixture, 0, "gone-1", &told);
-	serve_again(fixture);
-	assert_int_equal(told.status, 409);
-	assert_string_equal(told.run, "unknown");
-	told_clear(&told);
+	call_until_settled(fixture, 0, "gone-1", &reply);
+	restore_minion(fixture);
+	assert_int_equal(reply.status, 409);
+	assert_string_equal(reply.run, "unknown");
+	reply_clear(&reply);
 	assert_int_equal(minion_runs_of(fixture->minion, "gone-1"), 1);
-	assert_true(counter_of(fixture, 0, "answers.caller-gone-unknown") > 0);
+	assert_true(read_counter(fixture, 0, "answers.caller-gone-unknown") >
+		    0);
 }
 
 /*
- * A caller hangs up while the log is late to take its intent. Nothing was
- * sent: once the intent is read back the key is free, and a repeat runs it.
+ * A caller closes its connection while the append of its intent is delayed.
+ * Nothing was sent: once the intent is read back, a repeat of the key may run.
  */
-static void a_caller_gone_before_its_intent_leaves_not_run(void **state)
+static void a_caller_gone_before_its_intent_leaves_the_key_not_run(void **state)
 {
 	fixture_t *fixture = *state;
-	told_t told;
+	reply_t reply;
 	int fd;
 
-	fault(fixture, "log_late_ms=500");
-	fd = send_only(fixture, 0, "POST", "early-1");
+	set_fault(fixture, "log_late_ms=500");
+	fd = send_without_reading(fixture, 0, "POST", "early-1");
 	g_usleep(100 * 1000);
 	close(fd);
 	g_usleep(900 * 1000);
-	fault(fixture, "log_late_ms=0");
+	set_fault(fixture, "log_late_ms=0");
 	assert_int_equal(minion_runs_of(fixture->minion, "early-1"), 0);
-	call_until_settled(fixture, 1, "early-1", &told);
-	assert_int_equal(told.status, 200);
-	told_clear(&told);
+	call_until_settled(fixture, 1, "early-1", &reply);
+	assert_int_equal(reply.status, 200);
+	reply_clear(&reply);
 	assert_int_equal(minion_runs_of(fixture->minion, "early-1"), 1);
 }
 
 /*
- * A read is refused by the minion, tried again, and then its connection is
- * lost. The caller is told "unknown", never "not run": after a byte has left,
- * a refusal before it says nothing.
+ * The minion refuses a read request; on a retry the connection is lost. The
+ * caller gets "unknown", never "not run": once a byte was sent, an earlier
+ * refusal proves nothing.
  */
-static void a_loss_after_a_refusal_is_not_called_not_run(void **state)
+static void a_lost_connection_after_a_refusal_is_unknown(void **state)
 {
 	fixture_t *fixture = *state;
 	char answer[4096] = "";
 	int fd;
 
 	minion_set_mode(fixture->minion, MINION_REFUSE);
-	fd = send_only(fixture, 0, "GET", "mixed-1");
+	fd = send_without_reading(fixture, 0, "GET", "mixed-1");
 	g_usleep(300 * 1000);
 	minion_set_mode(fixture->minion, MINION_CLOSE);
 	assert_true(recv(fd, answer, sizeof(answer) - 1, 0) > 0);
 	close(fd);
 	assert_true(minion_runs_of(fixture->minion, "mixed-1") > 0);
 	assert_non_null(strstr(answer, "Waxwinghollow-Run: unknown"));
-	serve_again(fixture);
+	restore_minion(fixture);
 }
 
 /*
- * A minion answers a charge and adds, by mistake, a header that says it did
- * not run. The caller gets one word on that, and the true one.
+ * A minion answers a charge and adds, by mistake, a header that reports "not
+ * run". The caller gets only the entry's own header, "ran".
  */
-static void a_minion_can_not_say_that_what_it_answered_did_not_run(void **state)
+static void a_minion_cannot_override_the_run_header(void **state)
 {
 	fixture_t *fixture = *state;
-	told_t told;
+	reply_t reply;
 
 	minion_set_mode(fixture->minion, MINION_DENIES);
-	call(fixture, 0, "POST", "/s/charge", "denies-1", &told);
-	serve_again(fixture);
-	assert_int_equal(told.status, 200);
-	assert_string_equal(told.run, "ran");
-	told_clear(&told);
+	call_service(fixture, 0, "POST", "/s/charge", "denies-1", &reply);
+	restore_minion(fixture);
+	assert_int_equal(reply.status, 200);
+	assert_string_equal(reply.run, "ran");
+	reply_clear(&reply);
 }
 
 /*
- * A host that can't read the log learns of a configuration from a neighbour
- * that lags behind it. Versions only grow: the older one is not put in force,
- * nor is its own a second time.
+ * An entry receives a configuration from a peer that lags behind it. Versions
+ * only rise: neither the older configuration nor the current one is put in
+ * force.
  */
 static void an_older_configuration_is_not_put_in_force(void **state)
 {
@@ -918,70 +930,80 @@
 }
 
 /*
- * The log was trimmed beyond the newest snapshot's end, so records between the
- * two are gone. A new process that took the snapshot up would go on from a
- * state that misses them; it stays unready and waits for a newer one.
+ * The log is trimmed beyond the newest snapshot's end, so records between the
+ * two are missing. A new process that restored the snapshot would continue from
+ * a state without them; it stays not ready and waits for a newer snapshot.
  */
-static void a_snapshot_that_ends_before_the_log_is_not_taken_up(void **state)
+static void a_snapshot_that_ends_before_the_log_is_not_restored(void **state)
 {
 	fixture_t *fixture = *state;
 	char *trim = g_strdup_printf("trim_to=control:%d",
 				     2 * WWH_SNAPSHOT_EVERY + 1);
-	told_t told;
+	reply_t reply;
 
 	for (int i = 0; i < WWH_SNAPSHOT_EVERY + 100; i++) {
-		ask(fixture, fixture->platform_port, "POST", "/log/control",
-		    NULL, (const uint8_t *)"filler", 6, &told);
-		assert_int_equal(told.status, 200);
-		told_clear(&told);
+		send_request(fixture, fixture->platform_port, "POST",
+			     "/log/control", NULL, (const uint8_t *)"filler", 6,
+			     &reply);
+		assert_int_equal(reply.status, 200);
+		reply_clear(&reply);
 	}
-	/* the others hold the snapshot and need none themselves */
-	for (int i = 0; i < LATER_ENTRY; i++)
+	/* the running entries have replayed all and need no snapshot */
+	for (int i = 0; i < OLD_SNAPSHOT_ENTRY; i++)
 		wait_replayed(fixture, i, 2 * WWH_SNAPSHOT_EVERY + 1);
-	fault(fixture, trim);
+	set_fault(fixture, trim);
 	g_free(trim);
-	start_entry(fixture, LATER_ENTRY);
+	start_entry(fixture, OLD_SNAPSHOT_ENTRY);
 	for (int i = 0; i < WAIT_LIMIT_MS / 20; i++) {
-		if (counter_of(fixture, LATER_ENTRY, "snapshots.too_old") > 0)
+		if (read_counter(fixture, OLD_SNAPSHOT_ENTRY,
+				 "snapshots.too_old") > 0)
 			break;
 		g_usleep(20 * 1000);
 	}
-	ask(fixture, wwh_entry_operator_port(fixture->entries[LATER_ENTRY]),
-	    "GET", "/v1/ready", NULL, NULL, 0, &told);
-	assert_int_not_equal(told.status, 200);
-	told_clear(&told);
-	assert_true(counter_of(fixture, LATER_ENTRY, "snapshots.too_old") > 0);
-	assert_int_equal(counter_of(fixture, LATER_ENTRY, "snapshots.restored"),
-			 0);
+	send_request(
+		fixture,
+		wwh_entry_operator_port(fixture->entries[OLD_SNAPSHOT_ENTRY]),
+		"GET", "/v1/ready", NULL, NULL, 0, &reply);
+	assert_int_not_equal(reply.status, 200);
+	reply_clear(&reply);
+	assert_true(read_counter(fixture, OLD_SNAPSHOT_ENTRY,
+				 "snapshots.too_old") > 0);
+	assert_int_equal(
+		read_counter(fixture, OLD_SNAPSHOT_ENTRY, "snapshots.restored"),
+		0);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_repeat_elsewhere_gets_the_first_answer),
+		cmocka_unit_test(
+			a_repeat_through_another_entry_gets_the_first_answer),
 		cmocka_unit_test(a_lost_answer_stays_unknown_and_runs_once),
-		cmocka_unit_test(a_key_of_another_request_is_refused),
+		cmocka_unit_test(a_key_reused_for_another_request_is_refused),
+		cmocka_unit_test(a_log_outage_refuses_only_keyed_requests),
 		cmocka_unit_test(
-			an_outage_of_the_log_refuses_only_what_needs_it),
-		cmocka_unit_test(a_failure_that_was_answered_is_kept_as_it_is),
+			an_error_answer_of_a_minion_is_recorded_and_replayed),
 		cmocka_unit_test(a_charge_whose_answer_is_too_large_did_run),
 		cmocka_unit_test(a_refused_charge_may_be_repeated),
 		cmocka_unit_test(a_deadline_after_sending_is_unknown),
-		cmocka_unit_test(a_caller_gone_after_sending_leaves_unknown),
 		cmocka_unit_test(
-			a_caller_gone_before_its_intent_leaves_not_run),
-		cmocka_unit_test(a_loss_after_a_refusal_is_not_called_not_run),
+			a_caller_gone_after_sending_leaves_the_key_unknown),
+		cmocka_unit_test(
+			a_caller_gone_before_its_intent_leaves_the_key_not_run),
+		cmocka_unit_test(a_lost_connection_after_a_refusal_is_unknown),
+		cmocka_unit_test(a_minion_cannot_override_the_run_header),
+		cmocka_unit_test(lost_append_answers_run_no_charge_twice),
 		cmocka_unit_test(
-			a_minion_can_not_say_that_what_it_answered_did_not_run),
-		cmocka_unit_test(lost_append_answers_run_nothing_twice),
-		cmocka_unit_test(of_two_publications_one_wins),
+			only_one_of_two_concurrent_publications_is_accepted),
 		cmocka_unit_test(an_older_configuration_is_not_put_in_force),
-		cmocka_unit_test(an_outage_longer_than_a_lease_stops_nobody),
-		cmocka_unit_test(a_new_process_starts_from_a_trimmed_log),
 		cmocka_unit_test(
-			a_snapshot_that_ends_before_the_log_is_not_taken_up),
+			a_log_outage_longer_than_a_lease_stops_no_entry),
+		cmocka_unit_test(
+			a_new_process_restores_a_snapshot_of_a_trimmed_log),
+		cmocka_unit_test(
+			a_snapshot_that_ends_before_the_log_is_not_restored),
 		cmocka_unit_test(
-			a_leaving_minion_gets_no_new_work_from_anybody),
+			a_leaving_minion_gets_no_requests_from_any_entry),
 	};
 
 	return cmocka_run_group_tests(tests, set_up, tear_down);
