--- a/include/waxwinghollow/bad_records.h
+++ b/include/waxwinghollow/bad_records.h
@@ -43,13 +43,13 @@
 void wwh_bad_records_delete(wwh_bad_records_t *records);
 
 /* key may hold any bytes. */
-void wwh_bad_records_found(wwh_bad_records_t *records, const char *key,
-			   const char *why);
+void wwh_bad_records_mark_unreadable(wwh_bad_records_t *records,
+				     const char *key, const char *why);
 /* The record can be read. */
-void wwh_bad_records_whole(wwh_bad_records_t *records, const char *key);
+void wwh_bad_records_mark_readable(wwh_bad_records_t *records, const char *key);
 /* The record was dropped. */
-void wwh_bad_records_gone(wwh_bad_records_t *records, const char *key);
+void wwh_bad_records_mark_removed(wwh_bad_records_t *records, const char *key);
 /* A whole list has shown these keys as bad: all others are gone. */
-void wwh_bad_records_listed(wwh_bad_records_t *records, GHashTable *keys);
+void wwh_bad_records_retain(wwh_bad_records_t *records, GHashTable *keys);
 
 #endif
--- a/include/waxwinghollow/config.h
+++ b/include/waxwinghollow/config.h
@@ -199,9 +199,9 @@
 void wwh_config_change_delete(wwh_config_change_t *change);
 
 /* Sets the pool of one worker; NULL when there is no such worker. */
-wwh_config_change_t *wwh_config_pool_change(const wwh_config_t *config,
-					    const char *worker,
-					    const char *pool);
+wwh_config_change_t *wwh_config_change_new_for_pool(const wwh_config_t *config,
+						    const char *worker,
+						    const char *pool);
 int32_t wwh_config_change_count(const wwh_config_change_t *change);
 
 /* msgpack of a change; decoding checks every bound and type. */
--- a/include/waxwinghollow/config_relay.h
+++ b/include/waxwinghollow/config_relay.h
@@ -11,21 +11,21 @@
  *	callers on an old configuration, or on none, until the log is back.
  *
  *	Each process keeps the last accepted changes. One that hears by gossip
- *	of a newer version than it has (membership.h) waits ask_after_ms, in
+ *	of a newer version than it has (membership.h) waits request_delay_ms, in
  *	which the log mostly brings it, then asks the peer that told of it.
- *	The answer is the missing changes in order, or the whole configuration
+ *	The answer is the missing changes in order, or the get_full_config configuration
  *	as a change from version 0 when some are kept no more. No answer in
- *	answer_ms: it asks again, backing off up to eight times as long, since
+ *	answer_timeout_ms: it asks again, backing off up to eight times as long, since
  *	the peer may be gone; gossip names another one then.
  *
  *	Only what was asked for is taken, only from the one that was asked,
- *	only whole, only in order, and only a newer version: nothing reverts.
+ *	only get_full_config, only in order, and only a newer version: nothing reverts.
  *	The versions come from accepted records, and replay gives the same
  *	ones, so what comes later from the log is the same or newer.
  *
- *	Bounds: kept_bytes of changes; one transfer at a time, of at most
- *	transfer_bytes; a whole configuration is served at most every
- *	serve_gap_ms, so that many that start at once don't take a peer's
+ *	Bounds: max_retained_bytes of changes; one transfer at a time, of at most
+ *	max_transfer_bytes; a get_full_config configuration is served at most every
+ *	min_full_interval_ms, so that many that start at once don't take a peer's
  *	share of the network; they ask again.
  *
  * ORDER OF CALLS
@@ -41,16 +41,17 @@
 #include "waxwinghollow/status.h"
 
 typedef struct {
-	int64_t kept_bytes;
-	int64_t transfer_bytes;
-	int32_t ask_after_ms;
-	int32_t answer_ms;
-	int32_t serve_gap_ms;
+	int64_t max_retained_bytes;
+	int64_t max_transfer_bytes;
+	int32_t request_delay_ms;
+	int32_t answer_timeout_ms;
+	int32_t min_full_interval_ms;
 
 	void (*send)(const char *address, const uint8_t *payload, size_t size,
 		     void *client_data);
 	/* The configuration in force as a change from version 0; a new ref. */
-	GBytes *(*whole)(int64_t *version, int64_t *offset, void *client_data);
+	GBytes *(*get_full_config)(int64_t *version, int64_t *offset,
+				   void *client_data);
 	/*
 	 * Applies change to version from (0: to nothing), which makes version.
 	 * false: it is refused; it is not asked for again for a while.
@@ -77,8 +78,8 @@
 void wwh_config_relay_delete(wwh_config_relay_t *relay);
 
 /* version is in force here; change made it from the version before. */
-void wwh_config_relay_note(wwh_config_relay_t *relay, int64_t version,
-			   int64_t offset, GBytes *change);
+void wwh_config_relay_add_change(wwh_config_relay_t *relay, int64_t version,
+				 int64_t offset, GBytes *change);
 
 /*
  * version is in force here without a change from the one before: it came
--- a/include/waxwinghollow/http_calls.h
+++ b/include/waxwinghollow/http_calls.h
@@ -52,8 +52,8 @@
 	const char *header_names[WWH_HTTP_CALL_HEADERS]; /* NULL: no more */
 	char *header_values[WWH_HTTP_CALL_HEADERS];
 	int64_t limit_ms;
-	int64_t send_limit_ms; /* it is sent by then or not at all; 0: limit_ms */
-	bool taken_first; /* its answer is read before those of other calls */
+	int64_t send_timeout_ms; /* it is sent by then or not at all; 0: limit_ms */
+	bool has_priority; /* its answer is read before those of other calls */
 } wwh_http_call_t;
 
 typedef struct {
@@ -75,8 +75,8 @@
 wwh_http_call_t *wwh_http_call_new(const char *method, const char *endpoint,
 				   int64_t limit_ms);
 /* name has to outlive the call. */
-void wwh_http_call_header(wwh_http_call_t *call, const char *name,
-			  const char *value);
+void wwh_http_call_add_header(wwh_http_call_t *call, const char *name,
+			      const char *value);
 void wwh_http_call_delete(wwh_http_call_t *call);
 
 /* Takes call over. client_data goes to done as it is. */
--- a/include/waxwinghollow/http_message.h
+++ b/include/waxwinghollow/http_message.h
@@ -41,7 +41,7 @@
  * Whether a header belongs to one connection and is not passed on: those of
  * RFC 9110 section 7.6.1 and those that the Connection header names.
  */
-bool wwh_headers_hop_by_hop(const wwh_headers_t *headers, const char *name);
+bool wwh_headers_is_hop_by_hop(const wwh_headers_t *headers, const char *name);
 
 /* A whole request. All pointers live as long as the handler runs. */
 typedef struct {
@@ -57,16 +57,16 @@
 	int32_t status;
 	wwh_headers_t *headers;
 	GByteArray *body;
-	int64_t head_length; /* Content-Length of an answer to HEAD; -1 */
+	int64_t head_content_length; /* Content-Length of an answer to HEAD; -1 */
 } wwh_http_response_t;
 
 void wwh_http_response_init(wwh_http_response_t *response);
 void wwh_http_response_clear(wwh_http_response_t *response);
 
 /* The part of target before the query. */
-char *wwh_http_path(const char *target);
+char *wwh_http_target_path(const char *target);
 
 /* The decoded value of a query parameter of target, or NULL. */
-char *wwh_http_query(const char *target, const char *name);
+char *wwh_http_query_value(const char *target, const char *name);
 
 #endif
--- a/include/waxwinghollow/listener.h
+++ b/include/waxwinghollow/listener.h
@@ -40,7 +40,7 @@
 	int32_t max_requests; /* at once; above: 503 */
 	int32_t max_connections; /* at once; above: not accepted */
 	int32_t thread_stack_kb;
-	int32_t idle_limit_s; /* a silent caller's connection is closed */
+	int32_t idle_timeout_s; /* a silent caller's connection is closed */
 	int64_t max_header_bytes;
 	int64_t max_body_bytes;
 	wwh_listener_handler_t handler;
@@ -68,7 +68,7 @@
 void wwh_listener_delete(wwh_listener_t *listener);
 
 /* Fills in response for an error kind: status, headers and JSON body. */
-void wwh_listener_answer_error(wwh_http_response_t *response,
-			       wwh_error_kind_t kind, int64_t retry_after_ms);
+void wwh_listener_set_error(wwh_http_response_t *response,
+			    wwh_error_kind_t kind, int64_t retry_after_ms);
 
 #endif
--- a/src/bench/bench_http_calls.c
+++ b/src/bench/bench_http_calls.c
@@ -126,7 +126,7 @@
 	call->content_type = "application/json";
 	call->body = g_byte_array_new();
 	g_byte_array_append(call->body, (const guint8 *)body, sizeof(body) - 1);
-	wwh_http_call_header(call, "X-Addressee", "upstream");
+	wwh_http_call_add_header(call, "X-Addressee", "upstream");
 	wwh_http_calls_send(load->calls, call, on_done, load);
 }
 
--- a/src/libwaxwinghollow/admission.c
+++ b/src/libwaxwinghollow/admission.c
@@ -468,7 +468,7 @@
 	child->parent = flow;
 	child->finish = flow->served;
 	child->node.owner = child;
-	child->node.number = ++admission->last_number;
+	child->node.tie_breaker = ++admission->last_number;
 	if (!leaf)
 		child->by_key = g_hash_table_new_full(
 			g_int64_hash, g_int64_equal, NULL, delete_flow);
@@ -501,7 +501,7 @@
 static void activate(wwh_flow_t *flow)
 {
 	assert(flow->parent != NULL);
-	if (flow->node.place != 0)
+	if (flow->node.position != 0)
 		return;
 	flow->node.key = MAX(flow->finish, flow->parent->served);
 	wwh_heap_insert(&flow->parent->children, &flow->node);
@@ -513,7 +513,7 @@
 	flow->parent->served = flow->node.key;
 	flow->finish = flow->node.key + cost;
 	flow->node.key = flow->finish;
-	wwh_heap_moved(&flow->parent->children, &flow->node);
+	wwh_heap_update(&flow->parent->children, &flow->node);
 }
 
 /* With nothing waiting, nobody is owed anything: the class starts anew. */
--- a/src/libwaxwinghollow/bad_records.c
+++ b/src/libwaxwinghollow/bad_records.c
@@ -46,8 +46,8 @@
 	g_free(records);
 }
 
-void wwh_bad_records_found(wwh_bad_records_t *records, const char *key,
-			   const char *why)
+void wwh_bad_records_mark_unreadable(wwh_bad_records_t *records,
+				     const char *key, const char *why)
 {
 	const char *before = g_hash_table_lookup(records->reasons, key);
 
@@ -67,17 +67,17 @@
 	tell(records, "record-unreadable", key, why);
 }
 
-void wwh_bad_records_whole(wwh_bad_records_t *records, const char *key)
+void wwh_bad_records_mark_readable(wwh_bad_records_t *records, const char *key)
 {
 	forget(records, "record-mended", key);
 }
 
-void wwh_bad_records_gone(wwh_bad_records_t *records, const char *key)
+void wwh_bad_records_mark_removed(wwh_bad_records_t *records, const char *key)
 {
 	forget(records, "record-gone", key);
 }
 
-void wwh_bad_records_listed(wwh_bad_records_t *records, GHashTable *keys)
+void wwh_bad_records_retain(wwh_bad_records_t *records, GHashTable *keys)
 {
 	GPtrArray *gone = g_ptr_array_new_with_free_func(g_free);
 	GHashTableIter iterator;
@@ -89,7 +89,8 @@
 			g_ptr_array_add(gone, g_strdup(key));
 	}
 	for (guint i = 0; i < gone->len; i++)
-		wwh_bad_records_gone(records, g_ptr_array_index(gone, i));
+		wwh_bad_records_mark_removed(records,
+					     g_ptr_array_index(gone, i));
 	g_ptr_array_unref(gone);
 }
 
--- a/src/libwaxwinghollow/config_change.c
+++ b/src/libwaxwinghollow/config_change.c
@@ -48,8 +48,8 @@
 	return &g_array_index(change->entries, wwh_change_entry_t, index);
 }
 
-int wwh_change_entry_order(const wwh_change_entry_t *a,
-			   const wwh_change_entry_t *b)
+int wwh_change_entry_compare(const wwh_change_entry_t *a,
+			     const wwh_change_entry_t *b)
 {
 	if (a->kind != b->kind)
 		return a->kind < b->kind ? -1 : 1;
@@ -259,9 +259,9 @@
 		wwh_message_set(message, "%s", text);
 }
 
-wwh_config_change_t *wwh_config_pool_change(const wwh_config_t *config,
-					    const char *worker,
-					    const char *pool)
+wwh_config_change_t *wwh_config_change_new_for_pool(const wwh_config_t *config,
+						    const char *worker,
+						    const char *pool)
 {
 	const wwh_worker_t *from = wwh_config_worker(config, worker);
 	wwh_config_change_t *change;
--- a/src/libwaxwinghollow/config_check.c
+++ b/src/libwaxwinghollow/config_check.c
@@ -79,8 +79,8 @@
 			if (strcmp(wwh_item_id((wwh_item_kind_t)kind, before),
 				   id) != 0)
 				continue;
-			first = wwh_check_at_line(check, before);
-			wwh_check_refuse(
+			first = wwh_check_line_suffix(check, before);
+			wwh_check_report_error(
 				check, item,
 				"%s id '%s' stands twice%s, expected once",
 				wwh_item_kind_names[kind], id, first);
@@ -130,8 +130,8 @@
 	first_parent = strcmp(kind, "rack") == 0 ? first->zone : first->region;
 	if (strcmp(first_parent, parent) == 0)
 		return;
-	where = wwh_check_at_line(check, first);
-	wwh_check_refuse(
+	where = wwh_check_line_suffix(check, first);
+	wwh_check_report_error(
 		check, worker,
 		"%s '%s' is in %s '%s' here and in '%s' by worker '%s'%s, "
 		"expected one %s",
@@ -153,8 +153,8 @@
 		g_hash_table_insert(addresses, worker->address, (void *)worker);
 		return;
 	}
-	where = wwh_check_at_line(check, first);
-	wwh_check_refuse(
+	where = wwh_check_line_suffix(check, first);
+	wwh_check_report_error(
 		check, worker,
 		"address %s is also worker '%s'%s, expected one worker an "
 		"address",
@@ -182,12 +182,12 @@
 			g_hash_table_add(endpoints, (gpointer)minion);
 			continue;
 		}
-		where = wwh_check_at_line(check, first);
-		wwh_check_refuse(check, minion,
-				 "address %s port %d is also minion '%s'%s, "
-				 "expected one minion an address and port",
-				 minion->address, minion->port, first->id,
-				 where);
+		where = wwh_check_line_suffix(check, first);
+		wwh_check_report_error(
+			check, minion,
+			"address %s port %d is also minion '%s'%s, "
+			"expected one minion an address and port",
+			minion->address, minion->port, first->id, where);
 		g_free(where);
 	}
 	g_hash_table_destroy(endpoints);
@@ -215,14 +215,14 @@
 		check->by_id[WWH_ITEM_WORKER], minion->worker);
 
 	if (worker != NULL && strcmp(worker->zone, minion->zone) != 0)
-		wwh_check_refuse(
+		wwh_check_report_error(
 			check, minion,
 			"minion '%s' is in zone '%s', expected '%s', the zone "
 			"of "
 			"its worker '%s'",
 			minion->id, minion->zone, worker->zone, worker->id);
 	if (worker == NULL && *minion->worker == '\0' && *minion->zone == '\0')
-		wwh_check_refuse(
+		wwh_check_report_error(
 			check, minion,
 			"minion '%s' has neither worker nor zone, expected one",
 			minion->id);
@@ -248,8 +248,8 @@
 					    (void *)service);
 			continue;
 		}
-		where = wwh_check_at_line(check, first);
-		wwh_check_refuse(
+		where = wwh_check_line_suffix(check, first);
+		wwh_check_report_error(
 			check, service,
 			"path_prefix %s is also service '%s'%s, expected one "
 			"service a prefix",
@@ -269,13 +269,13 @@
 			check_known(check, window, "pool", window->pool,
 				    WWH_ITEM_POOL);
 		if (window->days == 0)
-			wwh_check_refuse(
+			wwh_check_report_error(
 				check, window,
 				"window '%s' has no day and never opens, "
 				"expected at least one of mon ... sun",
 				window->id);
 		if (window->duration_minutes == 0)
-			wwh_check_refuse(
+			wwh_check_report_error(
 				check, window,
 				"window '%s' lasts 0 minutes and never opens, "
 				"expected duration_minutes from 1 to 1440",
@@ -289,15 +289,15 @@
 	if (kind != WWH_ITEM_WORKER && !check->rules_given)
 		return;
 	if (*id != '\0' && !g_hash_table_contains(check->by_id[kind], id))
-		wwh_check_refuse(check, item,
-				 "unknown %s '%s', expected one of '%s'", what,
-				 id, wwh_item_tables[kind].section);
+		wwh_check_report_error(check, item,
+				       "unknown %s '%s', expected one of '%s'",
+				       what, id, wwh_item_tables[kind].section);
 }
 
-void wwh_check_refuse(wwh_check_t *check, const void *item, const char *format,
-		      ...)
+void wwh_check_report_error(wwh_check_t *check, const void *item,
+			    const char *format, ...)
 {
-	const wwh_item_place_t *place =
+	const wwh_item_location_t *place =
 		check->places == NULL
 			? NULL
 			: g_hash_table_lookup(check->places, item);
@@ -314,7 +314,7 @@
 
 static int32_t line_of(wwh_check_t *check, const void *item)
 {
-	const wwh_item_place_t *place =
+	const wwh_item_location_t *place =
 		check->places == NULL
 			? NULL
 			: g_hash_table_lookup(check->places, item);
@@ -322,7 +322,7 @@
 	return place == NULL ? 0 : place->line;
 }
 
-char *wwh_check_at_line(wwh_check_t *check, const void *item)
+char *wwh_check_line_suffix(wwh_check_t *check, const void *item)
 {
 	int32_t line = line_of(check, item);
 
--- a/src/libwaxwinghollow/config_check_pools.c
+++ b/src/libwaxwinghollow/config_check_pools.c
@@ -99,7 +99,7 @@
 	reserve = reserve_beside_one(pool, workers, size);
 	if (budget > reserve)
 		return;
-	wwh_check_refuse(
+	wwh_check_report_error(
 		check, pool,
 		"pool '%s' of %d workers may lose %d (lose_count %d, "
 		"lose_percent %d) but waves are due in window '%s', expected "
@@ -163,7 +163,7 @@
 		if (strcmp(domain_of(pool, workers[i]), first) != 0)
 			return;
 	}
-	wwh_check_refuse(
+	wwh_check_report_error(
 		check, pool,
 		"pool '%s' is to survive the loss of a %s but all its %d "
 		"workers are in %s '%s', expected two at least",
@@ -214,10 +214,10 @@
 {
 	if (quota <= fleet)
 		return;
-	wwh_check_refuse(check, team,
-			 "team '%s' has a quota of %" G_GINT64_FORMAT
-			 " %s but the fleet has %" G_GINT64_FORMAT
-			 ", expected at most "
-			 "that",
-			 team->id, quota, what, fleet);
+	wwh_check_report_error(check, team,
+			       "team '%s' has a quota of %" G_GINT64_FORMAT
+			       " %s but the fleet has %" G_GINT64_FORMAT
+			       ", expected at most "
+			       "that",
+			       team->id, quota, what, fleet);
 }
--- a/src/libwaxwinghollow/config_codec.c
+++ b/src/libwaxwinghollow/config_codec.c
@@ -284,6 +284,6 @@
 	guint count = change->entries->len;
 
 	return count < 2 ||
-	       wwh_change_entry_order(wwh_change_at(change, count - 2),
-				      wwh_change_at(change, count - 1)) < 0;
+	       wwh_change_entry_compare(wwh_change_at(change, count - 2),
+					wwh_change_at(change, count - 1)) < 0;
 }
--- a/src/libwaxwinghollow/config_csv.c
+++ b/src/libwaxwinghollow/config_csv.c
@@ -25,18 +25,18 @@
 		     const char *cell, const char *expected);
 
 void wwh_config_csv_read(const wwh_config_text_t *text, wwh_report_t *report,
-			 wwh_csv_item_t add, void *client_data)
+			 wwh_csv_add_item_t add, void *client_data)
 {
 	wwh_csv_source_t source;
 	GPtrArray *header;
 	GPtrArray *cells;
 
 	wwh_csv_init(&source, text->name, text->text, text->size, report);
-	header = wwh_csv_next(&source);
+	header = wwh_csv_next_row(&source);
 	if (header == NULL)
 		return;
 	if (check_header(header, &source)) {
-		while ((cells = wwh_csv_next(&source)) != NULL) {
+		while ((cells = wwh_csv_next_row(&source)) != NULL) {
 			wwh_item_kind_t kind;
 			void *item = read_row(header, cells, &source, &kind);
 
--- a/src/libwaxwinghollow/config_items.c
+++ b/src/libwaxwinghollow/config_items.c
@@ -11,7 +11,7 @@
 	{                                                                      \
 		.name = #member, .type = (type_),                              \
 		.offset = offsetof(struct_, member), .minimum = (min),         \
-		.maximum = (max), .fallback = (default_)                       \
+		.maximum = (max), .default_number = (default_)                 \
 	}
 #define INT32(struct_, member, min, max, default_)                             \
 	NUMBER(WWH_FIELD_INT32, struct_, member, min, max, default_)
@@ -79,7 +79,7 @@
 	  .type = WWH_FIELD_NAME,
 	  .offset = offsetof(wwh_pool_t, reserve),
 	  .maximum = WWH_DOMAIN_COUNT - 1,
-	  .fallback = WWH_DOMAIN_WORKER,
+	  .default_number = WWH_DOMAIN_WORKER,
 	  .names = wwh_domain_names },
 };
 
--- a/src/libwaxwinghollow/config_load.c
+++ b/src/libwaxwinghollow/config_load.c
@@ -10,7 +10,7 @@
 /* What one load collects. */
 typedef struct {
 	wwh_config_t *config;
-	GHashTable *places; /* item to wwh_item_place_t * */
+	GHashTable *places; /* item to wwh_item_location_t * */
 	const char *inventory_file;
 	bool rules_given;
 	wwh_report_t report;
@@ -82,7 +82,7 @@
 			return WWH_STATUS_BAD_ARGUMENT;
 	}
 	loader.places = g_hash_table_new_full(NULL, NULL, NULL, g_free);
-	if (inventory->text != NULL && wwh_text_is_json(inventory))
+	if (inventory->text != NULL && wwh_config_text_is_json(inventory))
 		load_json(&loader, inventory, inventory_kinds,
 			  G_N_ELEMENTS(inventory_kinds));
 	else if (inventory->text != NULL)
@@ -116,7 +116,7 @@
 }
 
 /* JSON begins with a brace or a comment; no header of a CSV file does. */
-bool wwh_text_is_json(const wwh_config_text_t *text)
+bool wwh_config_text_is_json(const wwh_config_text_t *text)
 {
 	for (size_t i = 0; i < text->size; i++) {
 		if (!g_ascii_isspace(text->text[i]))
@@ -224,14 +224,14 @@
 static void add_item(loader_t *loader, wwh_item_kind_t kind, void *item,
 		     const char *file, int32_t line)
 {
-	wwh_item_place_t *place;
+	wwh_item_location_t *place;
 
 	/* An item without a usable id can't be named in further errors. */
 	if (*wwh_item_id(kind, item) == '\0') {
 		wwh_item_unref(kind, item);
 		return;
 	}
-	place = g_new0(wwh_item_place_t, 1);
+	place = g_new0(wwh_item_location_t, 1);
 	place->file = g_intern_string(file);
 	place->line = line;
 	g_ptr_array_add(loader->config->items[kind], item);
--- a/src/libwaxwinghollow/config_relay.c
+++ b/src/libwaxwinghollow/config_relay.c
@@ -38,7 +38,7 @@
 	wwh_config_relay_stats_t stats;
 	int64_t version; /* in force here */
 	GQueue kept; /* kept_t *, versions without a gap up to version */
-	int64_t kept_bytes;
+	int64_t max_retained_bytes;
 	int64_t behind_ms; /* since when a newer version is known; 0: none */
 	char *asked; /* address; NULL: no request is open */
 	int64_t asked_ms;
@@ -72,11 +72,11 @@
 void wwh_config_relay_options_defaults(wwh_config_relay_options_t *options)
 {
 	*options = (wwh_config_relay_options_t){
-		.kept_bytes = 256 * 1024,
-		.transfer_bytes = (int64_t)16 * 1024 * 1024,
-		.ask_after_ms = 1000,
-		.answer_ms = 3000,
-		.serve_gap_ms = 500,
+		.max_retained_bytes = 256 * 1024,
+		.max_transfer_bytes = (int64_t)16 * 1024 * 1024,
+		.request_delay_ms = 1000,
+		.answer_timeout_ms = 3000,
+		.min_full_interval_ms = 500,
 	};
 }
 
@@ -86,7 +86,7 @@
 	wwh_config_relay_t *relay = g_new0(wwh_config_relay_t, 1);
 
 	relay->options = *options;
-	relay->served_whole_ms = -options->serve_gap_ms;
+	relay->served_whole_ms = -options->min_full_interval_ms;
 	relay->received = g_byte_array_new();
 	return relay;
 }
@@ -101,8 +101,8 @@
 	g_free(relay);
 }
 
-void wwh_config_relay_note(wwh_config_relay_t *relay, int64_t version,
-			   int64_t offset, GBytes *change)
+void wwh_config_relay_add_change(wwh_config_relay_t *relay, int64_t version,
+				 int64_t offset, GBytes *change)
 {
 	kept_t *kept;
 
@@ -115,12 +115,13 @@
 	kept->offset = offset;
 	kept->change = g_bytes_ref(change);
 	g_queue_push_tail(&relay->kept, kept);
-	relay->kept_bytes += (int64_t)g_bytes_get_size(change);
+	relay->max_retained_bytes += (int64_t)g_bytes_get_size(change);
 	relay->version = version;
-	while (relay->kept_bytes > relay->options.kept_bytes) {
+	while (relay->max_retained_bytes > relay->options.max_retained_bytes) {
 		kept_t *oldest = g_queue_pop_head(&relay->kept);
 
-		relay->kept_bytes -= (int64_t)g_bytes_get_size(oldest->change);
+		relay->max_retained_bytes -=
+			(int64_t)g_bytes_get_size(oldest->change);
 		kept_free(oldest);
 	}
 }
@@ -130,14 +131,14 @@
 	if (version <= relay->version)
 		return;
 	g_queue_clear_full(&relay->kept, kept_free);
-	relay->kept_bytes = 0;
+	relay->max_retained_bytes = 0;
 	relay->version = version;
 }
 
 void wwh_config_relay_tick(wwh_config_relay_t *relay, int64_t newest,
 			   const char *address, int64_t now_ms)
 {
-	int64_t patience_ms = (int64_t)relay->options.answer_ms
+	int64_t patience_ms = (int64_t)relay->options.answer_timeout_ms
 			      << MIN(relay->failures, MAX_BACKOFF);
 
 	if (newest <= relay->version) {
@@ -155,7 +156,7 @@
 		end_request(relay);
 	}
 	if (address[0] != '\0' &&
-	    now_ms - relay->behind_ms >= relay->options.ask_after_ms)
+	    now_ms - relay->behind_ms >= relay->options.request_delay_ms)
 		ask(relay, address, now_ms);
 }
 
@@ -296,21 +297,22 @@
 			int64_t have, int64_t now_ms)
 {
 	part_t head = { 0 };
-	GBytes *whole;
+	GBytes *get_full_config;
 
-	if (now_ms - relay->served_whole_ms < relay->options.serve_gap_ms) {
+	if (now_ms - relay->served_whole_ms <
+	    relay->options.min_full_interval_ms) {
 		relay->stats.put_off++;
 		return;
 	}
-	whole = relay->options.whole(&head.version, &head.offset,
-				     relay->options.client_data);
-	if (whole != NULL && head.version > have) {
+	get_full_config = relay->options.get_full_config(
+		&head.version, &head.offset, relay->options.client_data);
+	if (get_full_config != NULL && head.version > have) {
 		relay->served_whole_ms = now_ms;
 		relay->stats.served_wholes++;
-		send_parts(relay, address, head, whole);
+		send_parts(relay, address, head, get_full_config);
 	}
-	if (whole != NULL)
-		g_bytes_unref(whole);
+	if (get_full_config != NULL)
+		g_bytes_unref(get_full_config);
 }
 
 static void send_parts(wwh_config_relay_t *relay, const char *address,
@@ -370,7 +372,7 @@
 			   : goes_on;
 
 	if (!fits || (int64_t)(relay->received->len + part->size) >
-			     relay->options.transfer_bytes) {
+			     relay->options.max_transfer_bytes) {
 		end_request(relay);
 		relay->failures++;
 		return false;
@@ -405,8 +407,8 @@
 		if (part->from == 0 && part->version != 1)
 			wwh_config_relay_reset(relay, part->version);
 		else
-			wwh_config_relay_note(relay, part->version,
-					      part->offset, change);
+			wwh_config_relay_add_change(relay, part->version,
+						    part->offset, change);
 		assert(relay->version == part->version);
 	}
 	g_bytes_unref(change);
--- a/src/libwaxwinghollow/csv_source.c
+++ b/src/libwaxwinghollow/csv_source.c
@@ -33,7 +33,7 @@
 	};
 }
 
-GPtrArray *wwh_csv_next(wwh_csv_source_t *source)
+GPtrArray *wwh_csv_next_row(wwh_csv_source_t *source)
 {
 	while (source->at < source->end) {
 		GPtrArray *cells = read_row(source);
--- a/src/libwaxwinghollow/dispatch_run.c
+++ b/src/libwaxwinghollow/dispatch_run.c
@@ -200,13 +200,13 @@
 {
 	wwh_dispatch_clear_timer(timers, node);
 	node->key = (double)at_ms;
-	node->number = ++dispatch->last_number;
+	node->tie_breaker = ++dispatch->last_number;
 	wwh_heap_insert(timers, node);
 }
 
 void wwh_dispatch_clear_timer(wwh_heap_t *timers, wwh_heap_node_t *node)
 {
-	if (node->place != 0)
+	if (node->position != 0)
 		wwh_heap_remove(timers, node);
 }
 
--- a/src/libwaxwinghollow/entry.c
+++ b/src/libwaxwinghollow/entry.c
@@ -299,7 +299,7 @@
 	options.client_data = entry;
 	options.thread_stack_kb = settings->thread_stack_kb;
 	options.max_header_bytes = settings->max_header_bytes;
-	options.idle_limit_s = MAX(settings->idle_timeout_ms / 1000, 1);
+	options.idle_timeout_s = MAX(settings->idle_timeout_ms / 1000, 1);
 	if (handler == wwh_entry_handle_caller) {
 		options.max_requests = settings->max_requests;
 		options.max_connections = settings->max_connections;
--- a/src/libwaxwinghollow/entry_caller.c
+++ b/src/libwaxwinghollow/entry_caller.c
@@ -119,7 +119,7 @@
 		return WWH_ERROR_SHUTTING_DOWN;
 	if (call->config == NULL)
 		return WWH_ERROR_NO_CONFIGURATION;
-	path = wwh_http_path(call->http->target);
+	path = wwh_http_target_path(call->http->target);
 	call->service = wwh_config_route(call->config, path);
 	g_free(path);
 	if (call->service == NULL)
@@ -421,7 +421,8 @@
  */
 static wwh_error_kind_t final_error_kind(call_t *call, wwh_error_kind_t kind)
 {
-	uint32_t not_run = wwh_chart_tag(call->entry->request_chart, "not-run");
+	uint32_t not_run =
+		wwh_chart_tag_mask(call->entry->request_chart, "not-run");
 
 	if (kind == WWH_ERROR_NONE && !call->answered && !call->replayed)
 		kind = WWH_ERROR_ANSWER_LOST;
@@ -542,7 +543,7 @@
 	}
 	wwh_http_response_clear(call->response);
 	wwh_http_response_init(call->response);
-	wwh_listener_answer_error(call->response, kind, call->retry_after_ms);
+	wwh_listener_set_error(call->response, kind, call->retry_after_ms);
 }
 
 static void step_chart(call_t *call, event_t event)
--- a/src/libwaxwinghollow/entry_exchange.c
+++ b/src/libwaxwinghollow/entry_exchange.c
@@ -28,7 +28,7 @@
 
 	wwh_config_relay_options_defaults(&options);
 	options.send = send_config;
-	options.whole = encode_full_config;
+	options.get_full_config = encode_full_config;
 	options.install = install_config;
 	options.client_data = peers;
 	g_mutex_init(&peers->relay_lock);
--- a/src/libwaxwinghollow/entry_operator.c
+++ b/src/libwaxwinghollow/entry_operator.c
@@ -46,7 +46,7 @@
 			       wwh_http_response_t *response, void *client_data)
 {
 	wwh_entry_t *entry = client_data;
-	char *path = wwh_http_path(request->target);
+	char *path = wwh_http_target_path(request->target);
 	bool found = false;
 
 	for (size_t i = 0; i < G_N_ELEMENTS(routes) && !found; i++) {
@@ -200,7 +200,7 @@
 static void post_publish(wwh_entry_t *entry, const wwh_http_request_t *request,
 			 wwh_http_response_t *response)
 {
-	char *base = wwh_http_query(request->target, "base");
+	char *base = wwh_http_query_value(request->target, "base");
 	char *author = operator_author(request);
 	wwh_submit_result_t result = { 0 };
 	wwh_record_t record;
@@ -250,7 +250,7 @@
 /* The prefix distinguishes operators from processes on the log. */
 static char *operator_author(const wwh_http_request_t *request)
 {
-	char *name = wwh_http_query(request->target, "author");
+	char *name = wwh_http_query_value(request->target, "author");
 	char *author =
 		g_strconcat("operator:", name != NULL ? name : "unnamed", NULL);
 
--- a/src/libwaxwinghollow/entry_peers.c
+++ b/src/libwaxwinghollow/entry_peers.c
@@ -58,7 +58,7 @@
 	options.region = settings->region;
 	options.seeds = (const char *const *)settings->peers;
 	options.round_ms = settings->heartbeat_ms;
-	options.suspect_ms = settings->suspect_after_ms;
+	options.suspicion_timeout_ms = settings->suspect_after_ms;
 	options.leaving = peers->leaving;
 	peers->membership =
 		wwh_membership_new(&options, peers->random, send_gossip, peers);
--- a/src/libwaxwinghollow/entry_verbs.c
+++ b/src/libwaxwinghollow/entry_verbs.c
@@ -258,7 +258,7 @@
 	wwh_record_t record;
 
 	if (config != NULL)
-		change = wwh_config_pool_change(config, worker, pool);
+		change = wwh_config_change_new_for_pool(config, worker, pool);
 	if (change == NULL) {
 		answer_refused(command, 422, "no such worker");
 	} else {
--- a/src/libwaxwinghollow/field.c
+++ b/src/libwaxwinghollow/field.c
@@ -132,9 +132,10 @@
 		if (field->type == WWH_FIELD_ENDPOINTS)
 			set_endpoints(field, object, g_new0(char *, 1));
 		else if (!wwh_field_is_text(field))
-			wwh_field_set_number(field, object, field->fallback);
-		else if (field->fallback_text != NULL)
-			wwh_field_set_text(field, object, field->fallback_text);
+			wwh_field_set_number(field, object,
+					     field->default_number);
+		else if (field->default_text != NULL)
+			wwh_field_set_text(field, object, field->default_text);
 		else
 			wwh_field_set_text(field, object, "");
 	}
--- a/src/libwaxwinghollow/heap.c
+++ b/src/libwaxwinghollow/heap.c
@@ -19,7 +19,7 @@
 
 void wwh_heap_insert(wwh_heap_t *heap, wwh_heap_node_t *node)
 {
-	assert(node->place == 0);
+	assert(node->position == 0);
 	if (heap->count == heap->room) {
 		heap->room = heap->room == 0 ? FIRST_ROOM : heap->room * 2;
 		heap->nodes =
@@ -32,21 +32,21 @@
 
 void wwh_heap_remove(wwh_heap_t *heap, wwh_heap_node_t *node)
 {
-	int32_t index = node->place - 1;
+	int32_t index = node->position - 1;
 	wwh_heap_node_t *last;
 
 	assert(index >= 0 && index < heap->count);
 	assert(heap->nodes[index] == node);
 	heap->count--;
 	last = heap->nodes[heap->count];
-	node->place = 0;
+	node->position = 0;
 	if (last == node)
 		return;
 	put(heap, index, last);
-	wwh_heap_moved(heap, last);
+	wwh_heap_update(heap, last);
 }
 
-void wwh_heap_moved(wwh_heap_t *heap, wwh_heap_node_t *node)
+void wwh_heap_update(wwh_heap_t *heap, wwh_heap_node_t *node)
 {
 	sift_up(heap, node);
 	sift_down(heap, node);
@@ -61,18 +61,18 @@
 {
 	if (a->key < b->key)
 		return true;
-	return a->key <= b->key && a->number < b->number;
+	return a->key <= b->key && a->tie_breaker < b->tie_breaker;
 }
 
 static void put(wwh_heap_t *heap, int32_t index, wwh_heap_node_t *node)
 {
 	heap->nodes[index] = node;
-	node->place = index + 1;
+	node->position = index + 1;
 }
 
 static void sift_up(wwh_heap_t *heap, wwh_heap_node_t *node)
 {
-	int32_t index = node->place - 1;
+	int32_t index = node->position - 1;
 
 	while (index > 0) {
 		int32_t parent = (index - 1) / 2;
@@ -87,7 +87,7 @@
 
 static void sift_down(wwh_heap_t *heap, wwh_heap_node_t *node)
 {
-	int32_t index = node->place - 1;
+	int32_t index = node->position - 1;
 
 	for (;;) {
 		int32_t child = index * 2 + 1;
--- a/src/libwaxwinghollow/http_calls.c
+++ b/src/libwaxwinghollow/http_calls.c
@@ -159,8 +159,8 @@
 	return call;
 }
 
-void wwh_http_call_header(wwh_http_call_t *call, const char *name,
-			  const char *value)
+void wwh_http_call_add_header(wwh_http_call_t *call, const char *name,
+			      const char *value)
 {
 	int32_t i = 0;
 
@@ -200,11 +200,11 @@
 	transfer->limit_us =
 		g_get_monotonic_time() + call->limit_ms * MILLISECOND_US;
 	transfer->send_limit_us = transfer->limit_us;
-	if (call->send_limit_ms > 0)
+	if (call->send_timeout_ms > 0)
 		transfer->send_limit_us =
 			MIN(transfer->limit_us,
 			    g_get_monotonic_time() +
-				    call->send_limit_ms * MILLISECOND_US);
+				    call->send_timeout_ms * MILLISECOND_US);
 	evtimer_assign(&transfer->limit, calls->base, on_limit, transfer);
 	g_hash_table_add(calls->transfers, transfer);
 	wwh_counter_add(calls->sent, 1);
@@ -303,7 +303,7 @@
 	if (transfer->has_ended)
 		return;
 	/* connecting sets the usual priority */
-	(void)bufferevent_priority_set(buffer, transfer->call->taken_first
+	(void)bufferevent_priority_set(buffer, transfer->call->has_priority
 						       ? FIRST_PRIORITY
 						       : USUAL_PRIORITY);
 	if (is_new) {
--- a/src/libwaxwinghollow/http_message.c
+++ b/src/libwaxwinghollow/http_message.c
@@ -64,7 +64,7 @@
 	return NULL;
 }
 
-bool wwh_headers_hop_by_hop(const wwh_headers_t *headers, const char *name)
+bool wwh_headers_is_hop_by_hop(const wwh_headers_t *headers, const char *name)
 {
 	for (size_t i = 0; i < G_N_ELEMENTS(hop_by_hop_names); i++) {
 		if (g_ascii_strcasecmp(hop_by_hop_names[i], name) == 0)
@@ -85,7 +85,7 @@
 	response->status = 200;
 	response->headers = wwh_headers_new();
 	response->body = g_byte_array_new();
-	response->head_length = -1;
+	response->head_content_length = -1;
 }
 
 void wwh_http_response_clear(wwh_http_response_t *response)
@@ -97,12 +97,12 @@
 	response->body = NULL;
 }
 
-char *wwh_http_path(const char *target)
+char *wwh_http_target_path(const char *target)
 {
 	return g_strndup(target, strcspn(target, "?"));
 }
 
-char *wwh_http_query(const char *target, const char *name)
+char *wwh_http_query_value(const char *target, const char *name)
 {
 	const char *query = strchr(target, '?');
 	char **pairs;
--- a/src/libwaxwinghollow/include/private/config_change.h
+++ b/src/libwaxwinghollow/include/private/config_change.h
@@ -28,7 +28,7 @@
 		    const char *id, void *item);
 const wwh_change_entry_t *wwh_change_at(const wwh_config_change_t *change,
 					guint index);
-int wwh_change_entry_order(const wwh_change_entry_t *a,
-			   const wwh_change_entry_t *b);
+int wwh_change_entry_compare(const wwh_change_entry_t *a,
+			     const wwh_change_entry_t *b);
 
 #endif
--- a/src/libwaxwinghollow/include/private/config_check.h
+++ b/src/libwaxwinghollow/include/private/config_check.h
@@ -21,10 +21,11 @@
 void wwh_check_pools(wwh_check_t *check);
 
 /* Reports an error at the place of item. */
-void wwh_check_refuse(wwh_check_t *check, const void *item, const char *format,
-		      ...) __attribute__((format(printf, 3, 4)));
+void wwh_check_report_error(wwh_check_t *check, const void *item,
+			    const char *format, ...)
+	__attribute__((format(printf, 3, 4)));
 
 /* " (line N)" of an item, "" when it isn't known; to be freed. */
-char *wwh_check_at_line(wwh_check_t *check, const void *item);
+char *wwh_check_line_suffix(wwh_check_t *check, const void *item);
 
 #endif
--- a/src/libwaxwinghollow/include/private/config_csv.h
+++ b/src/libwaxwinghollow/include/private/config_csv.h
@@ -16,10 +16,10 @@
 #include "waxwinghollow/config.h"
 
 /* Takes over item. */
-typedef void (*wwh_csv_item_t)(wwh_item_kind_t kind, void *item, int32_t line,
-			       void *client_data);
+typedef void (*wwh_csv_add_item_t)(wwh_item_kind_t kind, void *item,
+				   int32_t line, void *client_data);
 
 void wwh_config_csv_read(const wwh_config_text_t *text, wwh_report_t *report,
-			 wwh_csv_item_t add, void *client_data);
+			 wwh_csv_add_item_t add, void *client_data);
 
 #endif
--- a/src/libwaxwinghollow/include/private/config_items.h
+++ b/src/libwaxwinghollow/include/private/config_items.h
@@ -48,17 +48,17 @@
 		      const char *id);
 
 /* Whether a file is JSON; otherwise it is taken for CSV. */
-bool wwh_text_is_json(const wwh_config_text_t *text);
+bool wwh_config_text_is_json(const wwh_config_text_t *text);
 
 /* Where an item was read; NULL for file when that isn't known. */
 typedef struct {
 	const char *file;
 	int32_t line;
-} wwh_item_place_t;
+} wwh_item_location_t;
 
 /*
  * Checks the configuration as a whole. places maps items to
- * wwh_item_place_t *; it may be NULL. Without rules_given, ids of pools,
+ * wwh_item_location_t *; it may be NULL. Without rules_given, ids of pools,
  * services and teams are not looked up. Budgets, reserves and quotas are checked
  * only while the report has no error, because they build on all items.
  */
--- a/src/libwaxwinghollow/include/private/csv_source.h
+++ b/src/libwaxwinghollow/include/private/csv_source.h
@@ -12,7 +12,7 @@
  *	spreadsheets write one.
  *
  * ORDER OF CALLS
- *	wwh_csv_init; wwh_csv_next until it returns NULL.
+ *	wwh_csv_init; wwh_csv_next_row until it returns NULL.
  */
 
 #include <glib.h>
@@ -25,7 +25,7 @@
 	const char *file;
 	const char *at;
 	const char *end;
-	int32_t line; /* of the row that wwh_csv_next gave last */
+	int32_t line; /* of the row that wwh_csv_next_row gave last */
 	int32_t next_line;
 	wwh_report_t *report;
 } wwh_csv_source_t;
@@ -37,6 +37,6 @@
  * The cells of the next row (char *, freed with the array); NULL at the end
  * or, after a report, at text that is not CSV.
  */
-GPtrArray *wwh_csv_next(wwh_csv_source_t *source);
+GPtrArray *wwh_csv_next_row(wwh_csv_source_t *source);
 
 #endif
--- a/src/libwaxwinghollow/include/private/field.h
+++ b/src/libwaxwinghollow/include/private/field.h
@@ -40,8 +40,8 @@
 	bool required;
 	int64_t minimum; /* of numbers */
 	int64_t maximum;
-	int64_t fallback; /* default of numbers */
-	const char *fallback_text; /* default of strings; NULL: "" */
+	int64_t default_number; /* default of numbers */
+	const char *default_text; /* default of strings; NULL: "" */
 	const char *const *names; /* of WWH_FIELD_NAME, maximum + 1 of them */
 } wwh_field_t;
 
--- a/src/libwaxwinghollow/include/private/heap.h
+++ b/src/libwaxwinghollow/include/private/heap.h
@@ -21,8 +21,8 @@
 
 typedef struct {
 	double key;
-	uint64_t number; /* breaks ties */
-	int32_t place; /* in the heap plus one; 0: in none */
+	uint64_t tie_breaker; /* breaks ties */
+	int32_t position; /* in the heap plus one; 0: in none */
 	void *owner;
 } wwh_heap_node_t;
 
@@ -37,7 +37,7 @@
 void wwh_heap_remove(wwh_heap_t *heap, wwh_heap_node_t *node);
 
 /* Call after node->key was changed. */
-void wwh_heap_moved(wwh_heap_t *heap, wwh_heap_node_t *node);
+void wwh_heap_update(wwh_heap_t *heap, wwh_heap_node_t *node);
 
 /* NULL when empty. */
 wwh_heap_node_t *wwh_heap_first(const wwh_heap_t *heap);
--- a/src/libwaxwinghollow/include/private/log_budget.h
+++ b/src/libwaxwinghollow/include/private/log_budget.h
@@ -4,8 +4,8 @@
 #include "waxwinghollow/log_core.h"
 
 /* A first send earns a tenth of a retry. */
-void wwh_log_budget_first_send(wwh_log_budget_t *budget);
+void wwh_log_budget_credit_first_send(wwh_log_budget_t *budget);
 /* 0: one retry was taken. Else how long until there is one. */
-int64_t wwh_log_budget_take(wwh_log_budget_t *budget, int64_t now_ms);
+int64_t wwh_log_budget_try_acquire(wwh_log_budget_t *budget, int64_t now_ms);
 
 #endif
--- a/src/libwaxwinghollow/input_file.c
+++ b/src/libwaxwinghollow/input_file.c
@@ -33,8 +33,8 @@
 		return WWH_STATUS_BAD_INPUT;
 	}
 	text.text = content;
-	if (wwh_text_is_json(&text) && !kind_of_json(&text, kind, &report) &&
-	    report.count == 0)
+	if (wwh_config_text_is_json(&text) &&
+	    !kind_of_json(&text, kind, &report) && report.count == 0)
 		wwh_report_error(&report, path, 1,
 				 "no known key, expected settings, an "
 				 "inventory or rules");
--- a/src/libwaxwinghollow/job_holder.c
+++ b/src/libwaxwinghollow/job_holder.c
@@ -174,7 +174,8 @@
 void wwh_job_holder_apply_wave(wwh_job_holder_t *holder, const char *key,
 			       const uint8_t *value, size_t size)
 {
-	wwh_wave_order_t *order = wire_operator_wave(key, value, size, NULL);
+	wwh_wave_order_t *order =
+		wire_operator_parse_wave(key, value, size, NULL);
 
 	if (order != NULL)
 		wwh_host_duties_add_wave(holder->duties, order, holder->now_ms);
@@ -334,9 +335,9 @@
 
 	/* an unreadable record of this key is replaced now */
 	if (value == NULL)
-		wwh_bad_records_gone(holder->bad_records, journal_key);
+		wwh_bad_records_mark_removed(holder->bad_records, journal_key);
 	else
-		wwh_bad_records_whole(holder->bad_records, journal_key);
+		wwh_bad_records_mark_readable(holder->bad_records, journal_key);
 	g_free(journal_key);
 	return number;
 }
@@ -427,10 +428,10 @@
 {
 	const wwh_host_settings_t *settings = holder->options.settings;
 
-	if (holder->options.others_at_work)
+	if (holder->options.previous_holder_may_act)
 		return wwh_host_duties_takeover_delay_ms(
 			settings->hosts_fence, settings->duty_lease_ms);
-	if (holder->options.others_ended && !settings->hosts_fence)
+	if (holder->options.previous_holder_ended && !settings->hosts_fence)
 		return MIN(settings->duty_lease_ms, WWH_OVERTAKEN_HOLDER_MS);
 	return 0;
 }
@@ -477,8 +478,8 @@
 				holder->scheduler, kind, key + 1, data, size,
 				holder->now_ms, holder->wall_ms, &message);
 		if (!ok)
-			wwh_bad_records_found(holder->bad_records, key,
-					      message.text);
+			wwh_bad_records_mark_unreadable(holder->bad_records,
+							key, message.text);
 	}
 }
 
--- a/src/libwaxwinghollow/job_holder_hosts.c
+++ b/src/libwaxwinghollow/job_holder_hosts.c
@@ -75,7 +75,7 @@
 	gsize size;
 	const uint8_t *data = g_bytes_get_data(state, &size);
 
-	wire_store_pack(body, key, data, size);
+	wire_store_pack_record(body, key, data, size);
 	g_ptr_array_add(holder->reports, body);
 	g_bytes_unref(state);
 	g_free(key);
@@ -125,14 +125,14 @@
 		return;
 	}
 	job_holder_update_clock(holder);
-	ok = wire_hosts_listed(answer, &next, on_listed_host, holder);
+	ok = wire_hosts_list_answer(answer, &next, on_listed_host, holder);
 	g_free(holder->list_page_token);
 	holder->list_page_token = next;
 	if (ok && next != NULL) {
 		request_page(holder);
 	} else {
 		if (ok)
-			wwh_bad_records_listed(holder->bad_hosts,
+			wwh_bad_records_retain(holder->bad_hosts,
 					       holder->bad_host_rows);
 		wwh_host_duties_list_end(holder->duties, ok, holder->now_ms);
 	}
@@ -146,10 +146,10 @@
 
 	if (host->unreadable != NULL) {
 		g_hash_table_add(holder->bad_host_rows, g_strdup(name));
-		wwh_bad_records_found(holder->bad_hosts, name,
-				      host->unreadable);
+		wwh_bad_records_mark_unreadable(holder->bad_hosts, name,
+						host->unreadable);
 	} else {
-		wwh_bad_records_whole(holder->bad_hosts, name);
+		wwh_bad_records_mark_readable(holder->bad_hosts, name);
 	}
 	wwh_host_duties_list_host(holder->duties, host);
 }
@@ -158,7 +158,7 @@
 {
 	host_order_t *order = data;
 	wwh_job_holder_t *holder = order->holder;
-	wwh_duty_result_t result = wire_hosts_result(answer);
+	wwh_duty_result_t result = wire_hosts_duty_answer(answer);
 
 	holder->host_orders_pending--;
 	job_holder_update_clock(holder);
@@ -178,7 +178,7 @@
 {
 	host_order_t *order = data;
 	wwh_job_holder_t *holder = order->holder;
-	wwh_duty_result_t result = wire_hosts_result(answer);
+	wwh_duty_result_t result = wire_hosts_duty_answer(answer);
 
 	holder->host_orders_pending--;
 	job_holder_update_clock(holder);
--- a/src/libwaxwinghollow/job_holder_orders.c
+++ b/src/libwaxwinghollow/job_holder_orders.c
@@ -43,7 +43,7 @@
 		order, holder->options.epoch, ORDER_TIMEOUT_MS);
 
 	/* don't send it after a wait in which the upstream may have left */
-	call->send_limit_ms =
+	call->send_timeout_ms =
 		MAX(holder->starts_allowed_until_ms - holder->now_ms, 1);
 	wwh_counter_add(holder->starts, 1);
 	wwh_http_calls_send(
@@ -150,7 +150,7 @@
 static void on_started(const wwh_http_answer_t *answer, void *data)
 {
 	order_t *order = data;
-	wwh_order_result_t result = wire_upstream_result(answer);
+	wwh_order_result_t result = wire_upstream_order_answer(answer);
 
 	if (!holder_has_ended(order)) {
 		wwh_histogram_add(order->holder->start_ms,
@@ -167,7 +167,7 @@
 static void on_stopped(const wwh_http_answer_t *answer, void *data)
 {
 	order_t *order = data;
-	wwh_order_result_t result = wire_upstream_result(answer);
+	wwh_order_result_t result = wire_upstream_order_answer(answer);
 
 	if (!holder_has_ended(order)) {
 		wwh_scheduler_handle_stop_result(
@@ -186,7 +186,7 @@
 	if (!holder_has_ended(order))
 		wwh_scheduler_handle_pace_result(
 			order->holder->scheduler, order->upstream, order->task,
-			order->run, wire_upstream_result(answer),
+			order->run, wire_upstream_order_answer(answer),
 			order->holder->now_ms);
 	order_delete(order);
 }
@@ -202,7 +202,7 @@
 		order_delete(order);
 		return;
 	}
-	result = wire_upstream_polled(answer, &poll);
+	result = wire_upstream_poll_answer(answer, &poll);
 	switch (result) {
 	case WWH_ORDER_DONE:
 		wwh_scheduler_handle_poll_answer(
@@ -237,7 +237,7 @@
 		order_delete(order);
 		return;
 	}
-	if (wire_upstream_advised(answer, &advice)) {
+	if (wire_upstream_advise_answer(answer, &advice)) {
 		wwh_scheduler_handle_advice(
 			holder->scheduler, order->task,
 			(wwh_advice_ticket_t *)(void *)advice.admitted->data,
--- a/src/libwaxwinghollow/job_holder_upstreams.c
+++ b/src/libwaxwinghollow/job_holder_upstreams.c
@@ -58,12 +58,12 @@
 	g_hash_table_remove(holder->announcement_digests, key);
 	if (value == NULL) {
 		g_hash_table_remove(holder->unconfigured, key);
-		wwh_bad_records_gone(holder->bad_upstreams, key);
+		wwh_bad_records_mark_removed(holder->bad_upstreams, key);
 		wwh_scheduler_upstream_withdrawn(holder->scheduler, key,
 						 holder->now_ms);
 		return;
 	}
-	if (!wire_operator_upstream(key, value, size, &info, &why)) {
+	if (!wire_operator_parse_upstream(key, value, size, &info, &why)) {
 		g_hash_table_remove(holder->unconfigured, key);
 		reject_entry(holder, key, why.text);
 		return;
@@ -95,7 +95,7 @@
 	wwh_job_holder_t *holder = data;
 	char *key = g_strdup_printf("(offset %" G_GINT64_FORMAT ")", offset);
 
-	wwh_bad_records_found(holder->bad_upstreams, key, why);
+	wwh_bad_records_mark_unreadable(holder->bad_upstreams, key, why);
 	g_free(key);
 }
 
@@ -133,7 +133,7 @@
 
 	g_hash_table_remove(holder->unconfigured, info->id);
 	if (service_is_configured(holder, info->pool)) {
-		wwh_bad_records_whole(holder->bad_upstreams, info->id);
+		wwh_bad_records_mark_readable(holder->bad_upstreams, info->id);
 		wwh_scheduler_upstream_announced(holder->scheduler, info,
 						 holder->now_ms);
 		return;
@@ -147,7 +147,7 @@
 static void reject_entry(wwh_job_holder_t *holder, const char *key,
 			 const char *why)
 {
-	wwh_bad_records_found(holder->bad_upstreams, key, why);
+	wwh_bad_records_mark_unreadable(holder->bad_upstreams, key, why);
 	wwh_scheduler_upstream_unreadable(holder->scheduler, key,
 					  holder->now_ms);
 }
--- a/src/libwaxwinghollow/job_service_access.c
+++ b/src/libwaxwinghollow/job_service_access.c
@@ -18,11 +18,11 @@
 	if (keys_are_stale(service)) {
 		wwh_event_log_write(service->log, "not-authenticated",
 				    call->path, "access=configuration-unread");
-		wwh_listener_answer_error(response, WWH_ERROR_NO_CONFIGURATION,
-					  SECOND_MS);
+		wwh_listener_set_error(response, WWH_ERROR_NO_CONFIGURATION,
+				       SECOND_MS);
 		return false;
 	}
-	key = wire_caller_key(call->http->headers);
+	key = wire_caller_api_key(call->http->headers);
 	access = wwh_api_keys_check(call->config->api_keys, key,
 				    &call->workspace);
 	g_free(key);
@@ -56,7 +56,7 @@
 	wwh_event_log_printf(call->service->log, "not-authenticated",
 			     call->path, "access=%s config=%" G_GINT64_FORMAT,
 			     wwh_access_names[access], call->config->version);
-	wwh_listener_answer_error(response, WWH_ERROR_UNAUTHORIZED, 0);
+	wwh_listener_set_error(response, WWH_ERROR_UNAUTHORIZED, 0);
 	wwh_headers_add(response->headers, "WWW-Authenticate",
 			wire_caller_challenge());
 }
--- a/src/libwaxwinghollow/job_service_events.c
+++ b/src/libwaxwinghollow/job_service_events.c
@@ -87,10 +87,11 @@
 	wwh_job_service_t *service = data;
 
 	if (value == NULL)
-		wwh_bad_records_gone(service->bad_operator_records, key);
-	else if (wire_operator_is_config(key))
+		wwh_bad_records_mark_removed(service->bad_operator_records,
+					     key);
+	else if (wire_operator_is_config_key(key))
 		apply_config(service, key, value, size);
-	else if (wire_operator_is_wave(key))
+	else if (wire_operator_is_wave_key(key))
 		apply_wave(service, key, value, size);
 }
 
@@ -99,7 +100,8 @@
 	wwh_job_service_t *service = data;
 	char *key = g_strdup_printf("(offset %" G_GINT64_FORMAT ")", offset);
 
-	wwh_bad_records_found(service->bad_operator_records, key, why);
+	wwh_bad_records_mark_unreadable(service->bad_operator_records, key,
+					why);
 	g_free(key);
 }
 
@@ -108,15 +110,16 @@
 		       const uint8_t *value, size_t size)
 {
 	wwh_message_t why;
-	wwh_wave_order_t *order = wire_operator_wave(key, value, size, &why);
+	wwh_wave_order_t *order =
+		wire_operator_parse_wave(key, value, size, &why);
 
 	if (order == NULL) {
-		wwh_bad_records_found(service->bad_operator_records, key,
-				      why.text);
+		wwh_bad_records_mark_unreadable(service->bad_operator_records,
+						key, why.text);
 		return;
 	}
 	wwh_wave_order_delete(order);
-	wwh_bad_records_whole(service->bad_operator_records, key);
+	wwh_bad_records_mark_readable(service->bad_operator_records, key);
 	g_hash_table_replace(service->waves, g_strdup(key),
 			     g_bytes_new(value, size));
 	if (service->holder != NULL)
@@ -132,16 +135,16 @@
 			 const uint8_t *value, size_t size)
 {
 	wwh_message_t why = { "version isn't a number above 0" };
-	wwh_job_config_t *config = wire_operator_config(
+	wwh_job_config_t *config = wire_operator_parse_config(
 		value, size, service->settings.checks_keys, &why);
 	bool newer;
 
 	if (config == NULL) {
-		wwh_bad_records_found(service->bad_operator_records, key,
-				      why.text);
+		wwh_bad_records_mark_unreadable(service->bad_operator_records,
+						key, why.text);
 		return;
 	}
-	wwh_bad_records_whole(service->bad_operator_records, key);
+	wwh_bad_records_mark_readable(service->bad_operator_records, key);
 	g_mutex_lock(&service->lock);
 	newer = service->config == NULL ||
 		config->version > service->config->version;
@@ -184,11 +187,11 @@
 		.journal_part = JOURNAL_PART,
 		.producer = PRODUCER,
 		.epoch = held->epoch,
-		.holder_count = held->holder_count,
+		.claim_count = held->claim_count,
 		.next_sequence = held->next_sequence,
 		.records = held->records,
-		.others_at_work = held->others_at_work,
-		.others_ended = held->others_ended,
+		.previous_holder_may_act = held->previous_holder_may_act,
+		.previous_holder_ended = held->previous_holder_ended,
 		.clock_ms = job_service_now_ms,
 		.wall_ms = job_service_wall_ms(),
 		.on_lost = on_shard_lost,
--- a/src/libwaxwinghollow/job_service_http.c
+++ b/src/libwaxwinghollow/job_service_http.c
@@ -58,17 +58,16 @@
 	char *path;
 
 	if (config == NULL) {
-		wwh_listener_answer_error(response, WWH_ERROR_NO_CONFIGURATION,
-					  SECOND_MS);
+		wwh_listener_set_error(response, WWH_ERROR_NO_CONFIGURATION,
+				       SECOND_MS);
 		return;
 	}
 	if ((int64_t)http->body_size > config->max_body_bytes) {
-		wwh_listener_answer_error(response, WWH_ERROR_BODY_TOO_LARGE,
-					  0);
+		wwh_listener_set_error(response, WWH_ERROR_BODY_TOO_LARGE, 0);
 		wwh_job_config_unref(config);
 		return;
 	}
-	path = wwh_http_path(http->target);
+	path = wwh_http_target_path(http->target);
 	call.config = config;
 	call.path = path;
 	call.queue = wwh_job_config_find_queue(config, host == NULL ? "" : host,
@@ -78,8 +77,7 @@
 				     "host=%s config=%" G_GINT64_FORMAT,
 				     host == NULL ? "-" : host,
 				     config->version);
-		wwh_listener_answer_error(response, WWH_ERROR_NO_SUCH_SERVICE,
-					  0);
+		wwh_listener_set_error(response, WWH_ERROR_NO_SUCH_SERVICE, 0);
 	} else if (job_service_authenticate(&call, response)) {
 		answer_caller(&call, response);
 	}
@@ -100,10 +98,10 @@
 		wwh_event_log_printf(service->log, "bad-request", call->path,
 				     "method=%s why=%s", call->http->method,
 				     message.text);
-		wwh_listener_answer_error(response, WWH_ERROR_BAD_REQUEST, 0);
+		wwh_listener_set_error(response, WWH_ERROR_BAD_REQUEST, 0);
 		return;
 	}
-	request->timeout_ms = wire_caller_patience_ms(
+	request->timeout_ms = wire_caller_timeout_ms(
 		call->http->headers,
 		timeout_ms > 0 ? timeout_ms : DEFAULT_TIMEOUT_MS);
 	answer = job_service_execute(service, request);
@@ -158,7 +156,7 @@
 				     http->target,
 				     "method=%s bytes=%" G_GSIZE_FORMAT,
 				     http->method, http->body_size);
-		wwh_listener_answer_error(response, WWH_ERROR_BAD_REQUEST, 0);
+		wwh_listener_set_error(response, WWH_ERROR_BAD_REQUEST, 0);
 		return;
 	}
 	request->timeout_ms = PEER_TIMEOUT_MS;
@@ -267,8 +265,8 @@
 	} else if (strcmp(http->method, "DELETE") == 0) {
 		request = job_request_new(JOB_REQUEST_CANCEL);
 	} else if (strcmp(http->method, "POST") == 0) {
-		wwh_job_t *job = wire_caller_job(subpath, rules, http->body,
-						 http->body_size, message);
+		wwh_job_t *job = wire_caller_parse_job(
+			subpath, rules, http->body, http->body_size, message);
 
 		if (job == NULL)
 			return NULL;
@@ -304,9 +302,9 @@
 		return;
 	}
 	if (request->kind == JOB_REQUEST_STATE)
-		text = wire_caller_state(answer->state);
+		text = wire_caller_state_body(answer->state);
 	else if (request->kind == JOB_REQUEST_PENDING)
-		text = wire_caller_pending(answer->pending);
+		text = wire_caller_pending_body(answer->pending);
 	else
 		text = g_strdup("{}");
 	answer_text(response, STATUS_OK, "application/json", text);
@@ -329,8 +327,8 @@
 		kind = WWH_ERROR_NO_SUCH_JOB;
 	else if (answer->kind == WWH_JOB_ANSWER_UNKNOWN && changes)
 		kind = WWH_ERROR_DEADLINE_UNKNOWN;
-	wwh_listener_answer_error(response, kind,
-				  MAX(answer->retry_after_s, 1) * SECOND_MS);
+	wwh_listener_set_error(response, kind,
+			       MAX(answer->retry_after_s, 1) * SECOND_MS);
 }
 
 static wwh_job_config_t *ref_config(wwh_job_service_t *service)
--- a/src/libwaxwinghollow/job_service_peer.c
+++ b/src/libwaxwinghollow/job_service_peer.c
@@ -47,7 +47,7 @@
 bool job_service_parse_peer_request(const wwh_http_request_t *http,
 				    job_request_t **request)
 {
-	char *path = wwh_http_path(http->target);
+	char *path = wwh_http_target_path(http->target);
 	wwh_message_t message;
 
 	*request = NULL;
@@ -69,7 +69,8 @@
 						   : JOB_REQUEST_STATE);
 		g_strlcpy((*request)->id, path + strlen(JOBS_PATH) + 1,
 			  sizeof((*request)->id));
-		(*request)->workspace = wwh_http_query(http->target, WORKSPACE);
+		(*request)->workspace =
+			wwh_http_query_value(http->target, WORKSPACE);
 	} else if (g_str_has_prefix(path, PENDING_PATH)) {
 		*request = job_request_new(JOB_REQUEST_PENDING);
 		(*request)->queue = g_uri_unescape_string(
--- a/src/libwaxwinghollow/listener.c
+++ b/src/libwaxwinghollow/listener.c
@@ -75,7 +75,7 @@
 		.max_requests = 1024,
 		.max_connections = 2048,
 		.thread_stack_kb = 256,
-		.idle_limit_s = 60,
+		.idle_timeout_s = 60,
 		.max_header_bytes = 32 * 1024,
 		.max_body_bytes = 4 * 1024 * 1024,
 	};
@@ -120,7 +120,8 @@
 		  listener },
 		{ MHD_OPTION_SOCK_ADDR, 0, &address },
 		{ MHD_OPTION_CONNECTION_LIMIT, options->max_connections, NULL },
-		{ MHD_OPTION_CONNECTION_TIMEOUT, options->idle_limit_s, NULL },
+		{ MHD_OPTION_CONNECTION_TIMEOUT, options->idle_timeout_s,
+		  NULL },
 		{ MHD_OPTION_THREAD_STACK_SIZE,
 		  (intptr_t)options->thread_stack_kb * 1024, NULL },
 		{ MHD_OPTION_CONNECTION_MEMORY_LIMIT,
@@ -227,8 +228,8 @@
 	g_free(listener);
 }
 
-void wwh_listener_answer_error(wwh_http_response_t *response,
-			       wwh_error_kind_t kind, int64_t retry_after_ms)
+void wwh_listener_set_error(wwh_http_response_t *response,
+			    wwh_error_kind_t kind, int64_t retry_after_ms)
 {
 	const wwh_answer_t *row = wwh_answer_for(kind);
 	int64_t retry_s = row->retry_after_s;
@@ -367,19 +368,18 @@
 
 	if (wwh_listener_busy(listener) > listener->options.max_requests) {
 		wwh_counter_add(listener->refused, 1);
-		wwh_listener_answer_error(answer, WWH_ERROR_TOO_MANY_REQUESTS,
-					  0);
+		wwh_listener_set_error(answer, WWH_ERROR_TOO_MANY_REQUESTS, 0);
 		return;
 	}
 	if ((int64_t)http.body_size > listener->options.max_body_bytes) {
 		wwh_counter_add(listener->refused, 1);
-		wwh_listener_answer_error(answer, WWH_ERROR_BODY_TOO_LARGE, 0);
+		wwh_listener_set_error(answer, WWH_ERROR_BODY_TOO_LARGE, 0);
 		return;
 	}
 	if (declared != NULL &&
 	    g_ascii_strtoull(declared, NULL, 10) != http.body_size) {
 		wwh_counter_add(listener->refused, 1);
-		wwh_listener_answer_error(answer, WWH_ERROR_BAD_REQUEST, 0);
+		wwh_listener_set_error(answer, WWH_ERROR_BAD_REQUEST, 0);
 		return;
 	}
 	listener->options.handler(&http, answer, listener->options.client_data);
@@ -397,7 +397,7 @@
 	for (int32_t i = 0; i < wwh_headers_count(answer->headers); i++) {
 		const wwh_header_t *header = wwh_headers_at(answer->headers, i);
 
-		if (wwh_headers_hop_by_hop(answer->headers, header->name) ||
+		if (wwh_headers_is_hop_by_hop(answer->headers, header->name) ||
 		    g_ascii_strcasecmp(header->name, "Content-Length") == 0)
 			continue;
 		put_header(response->map_header, header->name, header->value);
@@ -405,11 +405,11 @@
 	if (closing)
 		u_map_put(response->map_header, "Connection", "close");
 	response->status = answer->status;
-	if (strcmp(method, "HEAD") == 0 && answer->head_length >= 0) {
+	if (strcmp(method, "HEAD") == 0 && answer->head_content_length >= 0) {
 		/* libmicrohttpd writes the length and asks for no byte */
 		ulfius_set_stream_response(
 			response, (uint)answer->status, no_bytes, NULL,
-			(uint64_t)answer->head_length, 1, NULL);
+			(uint64_t)answer->head_content_length, 1, NULL);
 		return;
 	}
 	response->binary_body_length = answer->body->len;
--- a/src/libwaxwinghollow/log_budget.c
+++ b/src/libwaxwinghollow/log_budget.c
@@ -29,7 +29,7 @@
 	g_free(budget);
 }
 
-void wwh_log_budget_first_send(wwh_log_budget_t *budget)
+void wwh_log_budget_credit_first_send(wwh_log_budget_t *budget)
 {
 	g_mutex_lock(&budget->lock);
 	budget->milli =
@@ -37,7 +37,7 @@
 	g_mutex_unlock(&budget->lock);
 }
 
-int64_t wwh_log_budget_take(wwh_log_budget_t *budget, int64_t now_ms)
+int64_t wwh_log_budget_try_acquire(wwh_log_budget_t *budget, int64_t now_ms)
 {
 	int64_t wait_ms = 0;
 
--- a/src/libwaxwinghollow/log_core.c
+++ b/src/libwaxwinghollow/log_core.c
@@ -354,7 +354,7 @@
 			sooner(wait_ms, append->retry_ms - now_ms);
 			continue;
 		}
-		budget_ms = wwh_log_budget_take(core->budget, now_ms);
+		budget_ms = wwh_log_budget_try_acquire(core->budget, now_ms);
 		if (budget_ms == 0)
 			return append;
 		sooner(wait_ms, budget_ms);
@@ -401,7 +401,7 @@
 				g_queue_pop_head(&core->waiting));
 	}
 	g_ptr_array_add(core->open, append);
-	wwh_log_budget_first_send(core->budget);
+	wwh_log_budget_credit_first_send(core->budget);
 	return append;
 }
 
--- a/src/libwaxwinghollow/settings.c
+++ b/src/libwaxwinghollow/settings.c
@@ -10,7 +10,7 @@
 	{                                                                      \
 		.name = #member, .type = (type_),                              \
 		.offset = offsetof(wwh_settings_t, member), .minimum = (min),  \
-		.maximum = (max), .fallback = (default_)                       \
+		.maximum = (max), .default_number = (default_)                 \
 	}
 #define INT32(member, min, max, default_)                                      \
 	NUMBER(WWH_FIELD_INT32, member, min, max, default_)
@@ -53,7 +53,7 @@
 	  .type = WWH_FIELD_NAME,
 	  .offset = offsetof(wwh_settings_t, log_level),
 	  .maximum = WWH_LOG_LEVEL_COUNT - 1,
-	  .fallback = WWH_LOG_INFO,
+	  .default_number = WWH_LOG_INFO,
 	  .names = wwh_log_level_names },
 	INT32(max_requests, 1, 100000, 400),
 	INT32(max_connections, 1, 100000, 1000),
--- a/src/libwaxwinghollow/shard_claim_text.c
+++ b/src/libwaxwinghollow/shard_claim_text.c
@@ -21,7 +21,7 @@
 		g_clear_pointer(address, g_free);
 		return true;
 	}
-	if (wire_fields_endpoint(*address))
+	if (wire_fields_is_endpoint(*address))
 		return true;
 	g_clear_pointer(address, g_free);
 	return false;
@@ -49,9 +49,10 @@
 	if (bad == NULL)
 		return;
 	if (is_valid)
-		wwh_bad_records_whole(bad, key);
+		wwh_bad_records_mark_readable(bad, key);
 	else
-		wwh_bad_records_found(bad, key, "expected an epoch and a text");
+		wwh_bad_records_mark_unreadable(bad, key,
+						"expected an epoch and a text");
 }
 
 void claim_on_unreadable_key(int64_t offset, const char *why, void *data)
@@ -60,7 +61,8 @@
 	char *key = g_strdup_printf("(offset %" G_GINT64_FORMAT ")", offset);
 
 	if (claim->options.bad_records != NULL)
-		wwh_bad_records_found(claim->options.bad_records, key, why);
+		wwh_bad_records_mark_unreadable(claim->options.bad_records, key,
+						why);
 	g_free(key);
 }
 
--- a/src/libwaxwinghollow/shard_claim_watch.c
+++ b/src/libwaxwinghollow/shard_claim_watch.c
@@ -361,7 +361,7 @@
 		    HANDOVER_PROBE_INTERVAL_MS)
 		return;
 	body = g_byte_array_new();
-	wire_store_pack(body, WRITE_CHECK_KEY, NULL, 0);
+	wire_store_pack_record(body, WRITE_CHECK_KEY, NULL, 0);
 	call = wire_store_append(claim->store, claim->topic,
 				 claim->options.journal_part, &plain, body,
 				 WRITE_CHECK_TIMEOUT_MS);
--- a/src/libwaxwinghollow/upstream.c
+++ b/src/libwaxwinghollow/upstream.c
@@ -263,7 +263,8 @@
 
 	if (g_ascii_strcasecmp(name, "Content-Length") == 0) {
 		transfer->has_length = true;
-		response->head_length = g_ascii_strtoll(value, NULL, 10);
+		response->head_content_length =
+			g_ascii_strtoll(value, NULL, 10);
 	}
 	if (g_ascii_strcasecmp(name, "Transfer-Encoding") == 0 &&
 	    g_ascii_strcasecmp(value, "chunked") == 0)
@@ -303,7 +304,7 @@
 		const wwh_header_t *header = wwh_headers_at(headers, i);
 		char *line;
 
-		if (wwh_headers_hop_by_hop(headers, header->name) ||
+		if (wwh_headers_is_hop_by_hop(headers, header->name) ||
 		    g_ascii_strcasecmp(header->name, "Content-Length") == 0 ||
 		    g_ascii_strcasecmp(header->name, "Expect") == 0)
 			continue;
--- a/src/test_bad_records/test_bad_records.c
+++ b/src/test_bad_records/test_bad_records.c
@@ -99,21 +99,22 @@
 	char line[512];
 
 	for (int32_t i = 0; i < 100; i++)
-		wwh_bad_records_found(fixture->records, "u1", "no address");
+		wwh_bad_records_mark_unreadable(fixture->records, "u1",
+						"no address");
 	assert_int_equal(
 		lines_of(fixture, "\"record-unreadable\"", line, sizeof(line)),
 		1);
 	assert_non_null(strstr(line, "\"id\":\"u1\""));
 	assert_non_null(strstr(line, "list=upstreams why=no address"));
-	wwh_bad_records_found(fixture->records, "u1", "no state");
+	wwh_bad_records_mark_unreadable(fixture->records, "u1", "no state");
 	assert_int_equal(
 		lines_of(fixture, "\"record-unreadable\"", line, sizeof(line)),
 		1);
 	assert_int_equal(counted(fixture, "records.unreadable"), 2);
 	assert_int_equal(counted(fixture, "records.unreadable_now"), 1);
-	wwh_bad_records_whole(fixture->records, "u1");
-	wwh_bad_records_whole(fixture->records, "u1");
-	wwh_bad_records_whole(fixture->records, "u2");
+	wwh_bad_records_mark_readable(fixture->records, "u1");
+	wwh_bad_records_mark_readable(fixture->records, "u1");
+	wwh_bad_records_mark_readable(fixture->records, "u2");
 	assert_int_equal(
 		lines_of(fixture, "\"record-mended\"", line, sizeof(line)), 1);
 	assert_int_equal(counted(fixture, "records.unreadable_now"), 0);
@@ -126,12 +127,12 @@
 		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, NULL);
 	char line[512];
 
-	wwh_bad_records_found(fixture->records, "h1", "x");
-	wwh_bad_records_found(fixture->records, "h2", "x");
-	wwh_bad_records_found(fixture->records, "h3", "x");
-	wwh_bad_records_gone(fixture->records, "h1");
+	wwh_bad_records_mark_unreadable(fixture->records, "h1", "x");
+	wwh_bad_records_mark_unreadable(fixture->records, "h2", "x");
+	wwh_bad_records_mark_unreadable(fixture->records, "h3", "x");
+	wwh_bad_records_mark_removed(fixture->records, "h1");
 	g_hash_table_add(listed, "h3");
-	wwh_bad_records_listed(fixture->records, listed);
+	wwh_bad_records_retain(fixture->records, listed);
 	assert_int_equal(
 		lines_of(fixture, "\"record-gone\"", line, sizeof(line)), 2);
 	assert_int_equal(counted(fixture, "records.unreadable_now"), 1);
@@ -149,19 +150,19 @@
 		char name[32];
 
 		g_snprintf(name, sizeof(name), "u%d", i);
-		wwh_bad_records_found(fixture->records, name, "x");
+		wwh_bad_records_mark_unreadable(fixture->records, name, "x");
 	}
 	assert_int_equal(
 		lines_of(fixture, "\"record-unreadable\"", line, sizeof(line)),
 		WWH_BAD_RECORDS_MAX);
-	wwh_bad_records_found(fixture->records, "u9999", "x");
+	wwh_bad_records_mark_unreadable(fixture->records, "u9999", "x");
 	assert_int_equal(lines_of(fixture, "\"records-unreadable-more\"", line,
 				  sizeof(line)),
 			 0);
 	assert_int_equal(counted(fixture, "records.unreadable_now"),
 			 WWH_BAD_RECORDS_MAX);
-	wwh_bad_records_gone(fixture->records, "u0");
-	wwh_bad_records_found(fixture->records, key, "x");
+	wwh_bad_records_mark_removed(fixture->records, "u0");
+	wwh_bad_records_mark_unreadable(fixture->records, key, "x");
 	assert_int_equal(
 		lines_of(fixture, "\"record-unreadable\"", line, sizeof(line)),
 		1);
--- a/src/test_config_relay/test_config_relay.c
+++ b/src/test_config_relay/test_config_relay.c
@@ -12,7 +12,7 @@
 
 /*
  * A process with a relay. Its "configuration" is a text; a change appends to
- * it, a whole replaces it.
+ * it, a get_full_config replaces it.
  */
 typedef struct node node_t;
 struct node {
@@ -40,7 +40,8 @@
 				 size, node->now_ms);
 }
 
-static GBytes *whole(int64_t *version, int64_t *offset, void *client_data)
+static GBytes *get_full_config(int64_t *version, int64_t *offset,
+			       void *client_data)
 {
 	node_t *node = client_data;
 
@@ -77,9 +78,9 @@
 			  .now_ms = START_MS,
 			  .config = g_string_new(NULL) };
 	wwh_config_relay_options_defaults(&options);
-	options.kept_bytes = 1000;
+	options.max_retained_bytes = 1000;
 	options.send = send_to_peer;
-	options.whole = whole;
+	options.get_full_config = get_full_config;
 	options.install = install;
 	options.client_data = node;
 	node->relay = wwh_config_relay_new(&options);
@@ -103,8 +104,8 @@
 		memset(text, 'a' + (int)(node->version % 26), size);
 		change = g_bytes_new(text, size);
 		g_string_append_len(node->config, text, (gssize)size);
-		wwh_config_relay_note(node->relay, node->version,
-				      node->version * 10, change);
+		wwh_config_relay_add_change(node->relay, node->version,
+					    node->version * 10, change);
 		g_bytes_unref(change);
 	}
 	g_free(text);
@@ -149,7 +150,7 @@
 	stop(&b);
 }
 
-/* It was away for longer than changes are kept: it gets the whole, in parts. */
+/* It was away for longer than changes are kept: it gets the get_full_config, in parts. */
 static void whole_comes_when_changes_are_gone(void **unused)
 {
 	node_t a;
@@ -172,8 +173,8 @@
 }
 
 /*
- * A part of the whole is lost with its connection. What came so far must not
- * be taken for a whole; it asks again.
+ * A part of the get_full_config is lost with its connection. What came so far must not
+ * be taken for a get_full_config; it asks again.
  */
 static void lost_part_starts_anew(void **unused)
 {
--- a/src/test_fuzz/fuzz_config_relay.c
+++ b/src/test_fuzz/fuzz_config_relay.c
@@ -18,7 +18,8 @@
 	assert(size > 0 && size < 200 * 1024);
 }
 
-static GBytes *whole(int64_t *version, int64_t *offset, void *client_data)
+static GBytes *get_full_config(int64_t *version, int64_t *offset,
+			       void *client_data)
 {
 	const int64_t *in_force = client_data;
 
@@ -52,11 +53,11 @@
 	int64_t now_ms = 1000;
 
 	wwh_config_relay_options_defaults(&options);
-	options.kept_bytes = 64;
-	options.transfer_bytes = 4096;
-	options.ask_after_ms = 0;
+	options.max_retained_bytes = 64;
+	options.max_transfer_bytes = 4096;
+	options.request_delay_ms = 0;
 	options.send = send_nothing;
-	options.whole = whole;
+	options.get_full_config = get_full_config;
 	options.install = install;
 	options.client_data = &in_force;
 	relay = wwh_config_relay_new(&options);
--- a/src/test_fuzz/fuzz_wire.c
+++ b/src/test_fuzz/fuzz_wire.c
@@ -50,8 +50,8 @@
 {
 	wwh_job_queue_t queue = { .name = "q", .pool = "p" };
 	wwh_message_t message;
-	wwh_job_t *job = wire_caller_job("00000000000000aa", &queue, data, size,
-					 &message);
+	wwh_job_t *job = wire_caller_parse_job("00000000000000aa", &queue, data,
+					       size, &message);
 	wwh_job_t *again;
 	GBytes *bytes;
 	gsize length;
@@ -77,7 +77,7 @@
 	char *key;
 
 	wwh_headers_add(headers, "Authorization", value);
-	key = wire_caller_key(headers);
+	key = wire_caller_api_key(headers);
 	assert(key == NULL || (key[0] != '\0' && strpbrk(key, " \t") == NULL &&
 			       g_str_has_suffix(value, key)));
 	g_free(key);
@@ -91,19 +91,19 @@
 	wire_advice_t advice;
 	wire_poll_t poll;
 
-	if (wire_upstream_polled(&answer, &poll) == WWH_ORDER_DONE) {
+	if (wire_upstream_poll_answer(&answer, &poll) == WWH_ORDER_DONE) {
 		for (int32_t i = 0; i < poll.rows.running_count; i++)
 			assert(poll.rows.running[i].checkpoint != NULL);
 		for (int32_t i = 0; i < poll.rows.ended_count; i++)
 			assert(poll.rows.ended[i].kind < WWH_END_KIND_COUNT);
 		wire_upstream_poll_clear(&poll);
 	}
-	if (wire_upstream_advised(&answer, &advice))
+	if (wire_upstream_advise_answer(&answer, &advice))
 		wire_upstream_advice_clear(&advice);
 	answer.status = 409;
-	assert(wire_upstream_result(&answer) < WWH_ORDER_RESULT_COUNT);
+	assert(wire_upstream_order_answer(&answer) < WWH_ORDER_RESULT_COUNT);
 	assert(wire_store_append_answer(&answer) < WIRE_STORE_RESULT_COUNT);
-	assert(wire_hosts_result(&answer) < WWH_DUTY_RESULT_COUNT);
+	assert(wire_hosts_duty_answer(&answer) < WWH_DUTY_RESULT_COUNT);
 }
 
 static void try_store(const uint8_t *data, size_t size)
@@ -125,7 +125,7 @@
 	(void)wire_store_join_answer(&answer, "keyed.wwh", 0, &generation,
 				     &mine);
 	last = NULL;
-	(void)wire_hosts_listed(&answer, &last, on_host, NULL);
+	(void)wire_hosts_list_answer(&answer, &last, on_host, NULL);
 	g_free(last);
 }
 
@@ -134,9 +134,9 @@
 	wwh_upstream_info_t info;
 	wwh_message_t why;
 	wwh_job_config_t *config =
-		wire_operator_config(data, size, size % 2 == 0, &why);
+		wire_operator_parse_config(data, size, size % 2 == 0, &why);
 	wwh_wave_order_t *order =
-		wire_operator_wave("wave/1", data, size, &why);
+		wire_operator_parse_wave("wave/1", data, size, &why);
 	const char *rest;
 
 	if (config != NULL) {
@@ -149,7 +149,7 @@
 		assert(order->duration_ms >= 0);
 		wwh_wave_order_delete(order);
 	}
-	if (wire_operator_upstream("u", data, size, &info, &why)) {
+	if (wire_operator_parse_upstream("u", data, size, &info, &why)) {
 		assert(info.endpoint != NULL && info.pool != NULL);
 		assert(info.zone != NULL && info.labels != NULL);
 		assert(info.size.cpu_millicores >= 0 &&
--- a/src/test_http_calls/test_http_calls.c
+++ b/src/test_http_calls/test_http_calls.c
@@ -87,7 +87,7 @@
 	call->content_type = "application/json";
 	call->body = g_byte_array_new();
 	g_byte_array_append(call->body, (const guint8 *)"{}", 2);
-	wwh_http_call_header(call, "X-Life", "u1");
+	wwh_http_call_add_header(call, "X-Life", "u1");
 	wwh_http_calls_send(fixture->calls, call, on_done, fixture);
 }
 
@@ -333,7 +333,7 @@
 	for (int32_t i = 0; i < CONNECTIONS_AN_ENDPOINT; i++)
 		send_to(fixture, endpoint, LIMIT_MS);
 	call->path = g_strdup("/order");
-	call->send_limit_ms = SHORT_LIMIT_MS;
+	call->send_timeout_ms = SHORT_LIMIT_MS;
 	wwh_http_calls_send(fixture->calls, call, on_done, fixture);
 	wait_for(fixture, 1);
 	assert_int_equal(fixture->outcomes[WWH_CALL_NOT_SENT], 1);
@@ -411,7 +411,7 @@
 					   (int)raw_server_port(servers[i]));
 		call = wwh_http_call_new("GET", endpoint, WAIT_MAX_MS);
 		call->path = g_strdup("/");
-		call->taken_first = last;
+		call->has_priority = last;
 		wwh_http_calls_send(fixture->calls, call,
 				    last ? on_done : on_counted,
 				    last ? (void *)fixture : &others);
--- a/src/test_listener/test_listener.c
+++ b/src/test_listener/test_listener.c
@@ -42,7 +42,7 @@
 	wwh_headers_add(response->headers, "Set-Cookie", "a=1");
 	wwh_headers_add(response->headers, "Set-Cookie", "b=2");
 	wwh_headers_add(response->headers, "Set-Cookie", "c=3");
-	response->head_length = 12345;
+	response->head_content_length = 12345;
 	g_byte_array_append(response->body, (const guint8 *)text->str,
 			    (guint)text->len);
 	g_string_free(text, TRUE);
--- a/src/test_settings/test_settings.c
+++ b/src/test_settings/test_settings.c
@@ -226,9 +226,10 @@
 		return g_strdup_printf(
 			"| %" G_GINT64_FORMAT " | %" G_GINT64_FORMAT
 			" to %" G_GINT64_FORMAT " |",
-			field->fallback, field->minimum, field->maximum);
+			field->default_number, field->minimum, field->maximum);
 	value = wwh_field_expected(field);
-	row = g_strdup_printf("| %s | %s |", field->names[field->fallback],
+	row = g_strdup_printf("| %s | %s |",
+			      field->names[field->default_number],
 			      value + strlen("one of: "));
 	g_free(value);
 	return row;
--- a/src/test_standins/include/standin_store.h
+++ b/src/test_standins/include/standin_store.h
@@ -139,7 +139,7 @@
 static inline int64_t standin_number(const char *target, const char *name,
 				     int64_t fallback)
 {
-	char *text = wwh_http_query(target, name);
+	char *text = wwh_http_query_value(target, name);
 	int64_t value =
 		text == NULL ? fallback : g_ascii_strtoll(text, NULL, 10);
 
@@ -250,7 +250,7 @@
 				  wwh_http_response_t *response)
 {
 	standin_part_t *found = standin_part(standin, topic, part);
-	char *after = wwh_http_query(http->target, "dependsOn");
+	char *after = wwh_http_query_value(http->target, "dependsOn");
 	GTree *keys = g_tree_new((GCompareFunc)(void *)strcmp);
 	GString *text = g_string_new("{\"items\":[");
 	GTreeNode *node;
@@ -370,9 +370,9 @@
 				    wwh_http_response_t *response, void *data)
 {
 	standin_t *standin = data;
-	char *path = wwh_http_path(http->target);
-	char *topic = wwh_http_query(http->target, "topic");
-	char *part = wwh_http_query(http->target, "part");
+	char *path = wwh_http_target_path(http->target);
+	char *topic = wwh_http_query_value(http->target, "topic");
+	char *part = wwh_http_query_value(http->target, "part");
 
 	g_mutex_lock(&standin->lock);
 	if (standin_on_hosts(standin, path, http, response)) {
--- a/src/test_wire/test_fields.c
+++ b/src/test_wire/test_fields.c
@@ -10,8 +10,8 @@
 static bool reads_upstream(const char *text)
 {
 	wwh_upstream_info_t info;
-	bool ok = wire_operator_upstream("u1", (const uint8_t *)text,
-					 strlen(text), &info, NULL);
+	bool ok = wire_operator_parse_upstream("u1", (const uint8_t *)text,
+					       strlen(text), &info, NULL);
 
 	wwh_upstream_info_clear(&info);
 	return ok;
@@ -19,8 +19,8 @@
 
 static bool reads_wave(const char *key, const char *text)
 {
-	wwh_wave_order_t *order = wire_operator_wave(key, (const uint8_t *)text,
-						     strlen(text), NULL);
+	wwh_wave_order_t *order = wire_operator_parse_wave(
+		key, (const uint8_t *)text, strlen(text), NULL);
 	bool ok = order != NULL;
 
 	wwh_wave_order_delete(order);
@@ -29,7 +29,7 @@
 
 static bool reads_config(const char *text)
 {
-	wwh_job_config_t *config = wire_operator_config(
+	wwh_job_config_t *config = wire_operator_parse_config(
 		(const uint8_t *)text, strlen(text), false, NULL);
 	bool ok = config != NULL;
 
--- a/src/test_wire/test_keys.c
+++ b/src/test_wire/test_keys.c
@@ -21,7 +21,7 @@
 		wwh_headers_add(headers, "authorization", first);
 	if (second != NULL)
 		wwh_headers_add(headers, "Authorization", second);
-	key = wire_caller_key(headers);
+	key = wire_caller_api_key(headers);
 	wwh_headers_delete(headers);
 	return key;
 }
@@ -61,8 +61,8 @@
 
 static wwh_job_config_t *config_of(const char *text, bool checks_keys)
 {
-	return wire_operator_config((const uint8_t *)text, strlen(text),
-				    checks_keys, NULL);
+	return wire_operator_parse_config((const uint8_t *)text, strlen(text),
+					  checks_keys, NULL);
 }
 
 /* Guards against a damaged configuration that lets all callers in. */
--- a/src/test_wire/test_wire.c
+++ b/src/test_wire/test_wire.c
@@ -222,7 +222,7 @@
 	wwh_http_answer_t answer = answer_of(body, strlen(body));
 	char *next = NULL;
 
-	if (!wire_hosts_listed(&answer, &next, on_host, &visits))
+	if (!wire_hosts_list_answer(&answer, &next, on_host, &visits))
 		g_string_append(visits.seen, "not-ok");
 	g_free(next);
 	g_free(body);
@@ -281,7 +281,8 @@
 	char *next = NULL;
 
 	(void)state;
-	assert_true(wire_hosts_listed(&answer, &next, on_whole_host, &count));
+	assert_true(
+		wire_hosts_list_answer(&answer, &next, on_whole_host, &count));
 	assert_int_equal(count, 3);
 	assert_null(next);
 }
@@ -341,7 +342,8 @@
 	wire_poll_t poll;
 	bool all;
 
-	assert_int_equal(wire_upstream_polled(&answer, &poll), WWH_ORDER_DONE);
+	assert_int_equal(wire_upstream_poll_answer(&answer, &poll),
+			 WWH_ORDER_DONE);
 	all = poll.rows.ended_complete;
 	*rows = poll.rows.running_count + poll.rows.ended_count;
 	wire_upstream_poll_clear(&poll);
