--- a/include/waxwinghollow/dispatch_loan.h
+++ b/include/waxwinghollow/dispatch_loan.h
@@ -3,26 +3,29 @@
 
 /*
  * NAME
- *	dispatch_loan - what dispatchers tell each other about idle slots
+ *	dispatch_loan - messages between dispatchers that lend idle slots
  *
  * USE
- *	Each entry process calls wwh_dispatch_loans_tell for each peer, every
- *	10 to 50 ms, and sends what is visited; the receiver hands each to
- *	wwh_dispatch_loan_hear. Messages may be lost, repeated and come out of
- *	order: loan.h says why that is safe. Nothing that is unchanged is told
- *	again before five seconds have passed.
+ *	Each entry process calls wwh_dispatch_loans_visit_updates for each peer every
+ *	10 to 50 ms and sends the visited updates; the receiver passes each to
+ *	wwh_dispatch_loans_apply_update. Messages may be lost, repeated and reordered;
+ *	loan.h explains why that is safe. An unchanged update is repeated only
+ *	after five seconds.
  *
- *	The number of slots that a minion bears goes along (limiter.h).
+ *	An update also carries the number of slots that the minion bears
+ *	(limiter.h).
  *
- *	wanted is how many slots more the sender has a use for on that minion.
- *	To a peer that has borrowed from the sender it is a recall. A lender
- *	lends only while none of its own requests waits for that service, and
- *	keeps an eighth of its slots of the service for its own next requests.
+ *	wanted is the number of additional slots that the sender can use on
+ *	the minion. It recalls slots from a peer that borrowed them from the
+ *	sender. A process lends only while none of its own requests waits for
+ *	the service, and reserves an eighth of its slots of the service for
+ *	its own next requests.
  *
  * ORDER OF CALLS
- *	After wwh_dispatch_configure. A peer is its incarnation, see loan.h.
- *	wwh_dispatch_loans_forget once a peer's eviction is complete; nothing
- *	heard from it later may be handed in.
+ *	Call these functions after wwh_dispatch_configure. peer is the
+ *	incarnation of a process, see loan.h. Call wwh_dispatch_loans_remove_peer
+ *	when a peer's eviction is complete; don't pass updates from that peer
+ *	afterwards.
  */
 
 #include "waxwinghollow/dispatch.h"
@@ -39,12 +42,14 @@
 typedef void (*wwh_dispatch_loan_visit_t)(const wwh_dispatch_loan_t *loan,
 					  void *client_data);
 
-void wwh_dispatch_loans_tell(wwh_dispatch_t *dispatch, int64_t now_ms,
-			     uint64_t peer, wwh_dispatch_loan_visit_t visit,
-			     void *client_data);
-void wwh_dispatch_loan_hear(wwh_dispatch_t *dispatch, int64_t now_ms,
-			    uint64_t peer, const wwh_dispatch_loan_t *loan);
-void wwh_dispatch_loans_forget(wwh_dispatch_t *dispatch, int64_t now_ms,
-			       uint64_t peer);
+void wwh_dispatch_loans_visit_updates(wwh_dispatch_t *dispatch, int64_t now_ms,
+				      uint64_t peer,
+				      wwh_dispatch_loan_visit_t visit,
+				      void *client_data);
+void wwh_dispatch_loans_apply_update(wwh_dispatch_t *dispatch, int64_t now_ms,
+				     uint64_t peer,
+				     const wwh_dispatch_loan_t *loan);
+void wwh_dispatch_loans_remove_peer(wwh_dispatch_t *dispatch, int64_t now_ms,
+				    uint64_t peer);
 
 #endif
--- a/include/waxwinghollow/ejection.h
+++ b/include/waxwinghollow/ejection.h
@@ -3,49 +3,53 @@
 
 /*
  * NAME
- *	ejection - which minions of a service get no work for a while
+ *	ejection - temporarily excludes unhealthy minions of a service
  *
  * LOAD PATTERN
- *	A minion that fails everything, fails fast and so always has a free
- *	slot, is several times slower than its peers, or is silent.
+ *	A minion fails all requests, and so fast that it always has a free
+ *	slot; or it is several times slower than its peers; or it doesn't
+ *	answer at all.
  *
  * WHAT GOES WRONG WITHOUT IT
  *	A minion that fails in 1 ms is free again after 1 ms and draws most of
- *	the service's requests. A silent one takes its share of requests and
- *	keeps each until its time-out.
+ *	the service's requests. A silent minion gets its share of requests
+ *	and holds each until its time-out.
  *
  * HOW IT DECIDES
- *	- Failing: three failures in a row (a silent attempt counts twice), or
+ *	- Failing: three consecutive failures (a silent attempt counts twice), or
  *	  half of at least ten recent attempts, while its peers fail less than
  *	  a quarter of theirs. Three, because one connection reset is common
  *	  and costs one retry, and eight processes each pay the three; against
  *	  the peers, because a request that fails everywhere, or an outage of
- *	  all, is not that minion's fault. A row counts only when the peers'
- *	  rate of failures would make it by chance less than once in 100 000
- *	  times: with a tenth of all requests failing, three in a row are
- *	  ordinary and five are not.
- *	- Slow: an answer is slow above four times the peers' median run time
- *	  and 20 ms more. Five more slow answers than others are enough where
- *	  6% of the peers' are slow (exponential run times); where more are,
- *	  as with long work among short, it takes more, by the same rule of
- *	  once in 100 000. It is back when a probe is below twice the median.
- *	- Never more than half of a service's minions, and no faster than the
- *	  service's bucket allows (shift.h), so a service always keeps
- *	  capacity.
- *	- Return: after 1 s, doubled at each further time up to 8 s, one
- *	  request at a time is sent there as a probe. Two good ones bring it
- *	  back with a slow start, a bad one sends it out again. With 8
+ *	  all, is not that minion's fault. Consecutive failures count only if
+ *	  their probability at the peers' failure rate is below 1 in 100 000:
+ *	  if a tenth of all requests fail, three in a row are to be expected
+ *	  and five are not.
+ *	- Slow: an answer is slow if its run time is above four times the peers'
+ *	  median and more than 20 ms above it. If 6% of the peers' answers are
+ *	  slow (exponential run times), five more slow answers than others
+ *	  eject the minion; if a larger share is slow, as with a mix of long
+ *	  and short work, more are needed, by the same bound of 1 in 100 000.
+ *	  The minion returns when its probes take less than twice the median.
+ *	- Limits: at most half of a service's minions are ejected, and no
+ *	  faster than the service's bucket allows (shift.h), so a service
+ *	  always keeps capacity.
+ *	- Return: after 1 s, doubled at each further ejection up to 8 s, the
+ *	  minion gets one request at a time as a probe. Two successful probes
+ *	  readmit it with a slow start; a failed one ejects it again. With 8
  *	  processes, 8 s means one failed request a second, and a minion that
- *	  is well again is used again within 8 s. While the median peer fails
- *	  too, it is an outage of the service: a probe each 250 ms, and one
- *	  good one brings it back at once and fully, for all return together. A fixed time
- *	  without a probe (the cooldown of "Retries, fallbacks and cooldowns")
- *	  sends a full share to a minion that is still bad, at each end of the
- *	  time: docs/measurements/load.md compares them.
+ *	  has recovered is used again within 8 s. If the median peer fails
+ *	  too, it is an outage of the service: a probe is sent after 250 ms,
+ *	  and one success readmits the minion without a slow start, since all
+ *	  minions return together. A fixed time without probes (the cooldown of
+ *	  "Retries, fallbacks and cooldowns") sends a full share to a minion
+ *	  that is still bad, each time it ends: docs/measurements/load.md
+ *	  compares the two.
  *
  * ORDER OF CALLS
- *	wwh_ejection_init; wwh_ejection_observe after each attempt;
- *	wwh_ejection_judge after it; wwh_ejection_usable when routing.
+ *	wwh_ejection_init; wwh_ejection_observe, then wwh_ejection_evaluate after
+ *	each attempt; wwh_ejection_advance, then wwh_ejection_is_usable when
+ *	routing.
  */
 
 #include <stdbool.h>
@@ -65,53 +69,53 @@
 extern const char *const wwh_ejection_state_names[WWH_EJECTION_STATE_COUNT];
 
 typedef enum {
-	WWH_SIGN_GOOD = 0,
-	WWH_SIGN_FAILED,
-	WWH_SIGN_SILENT,
-	WWH_SIGN_NONE, /* says nothing about the minion */
-	WWH_SIGN_COUNT
-} wwh_sign_t;
+	WWH_HEALTH_SIGNAL_GOOD = 0,
+	WWH_HEALTH_SIGNAL_FAILED,
+	WWH_HEALTH_SIGNAL_SILENT,
+	WWH_HEALTH_SIGNAL_NONE, /* no evidence about the minion's health */
+	WWH_HEALTH_SIGNAL_COUNT
+} wwh_health_signal_t;
 
-/* Names of wwh_sign_t, in the same order. */
-extern const char *const wwh_sign_names[WWH_SIGN_COUNT];
+/* Names of wwh_health_signal_t, in the same order. */
+extern const char *const wwh_health_signal_names[WWH_HEALTH_SIGNAL_COUNT];
 
 typedef struct {
 	wwh_ejection_state_t state;
 	int64_t until_ms;
-	int64_t returned_ms; /* slow start from then on */
-	int32_t in_a_row;
+	int64_t returned_ms; /* start of the slow start */
+	int32_t consecutive_failures; /* a silent attempt counts twice */
 	int32_t good_probes;
-	int32_t times; /* ejected, lately */
-	double good; /* recent, with a half-life */
-	double failed;
-	int64_t at_ms;
+	int32_t ejection_count; /* recent; doubles the time to the next probe */
+	double recent_good; /* attempts, decayed with a half-life */
+	double recent_failed;
+	int64_t decayed_ms;
 	wwh_quantile_t run_ms; /* median: a few long runs don't count as slow */
 	int32_t last_run_ms;
-	bool fresh; /* last_run_ms was not judged yet */
-	double late_share; /* of recent answers were slow */
-	int32_t late_score; /* slow answers less the others */
+	bool has_new_run; /* last_run_ms was not evaluated yet */
+	double slow_share; /* of recent answers */
+	int32_t slow_score; /* slow answers minus others, at least 0 */
 	bool for_slowness;
-	bool in_outage; /* its peers failed, too, when it last did */
+	bool in_outage; /* its peers failed, too, at its last failed probe */
 } wwh_ejection_t;
 
-/* returned_ms: WWH_SHIFT_NO_RAMP for no slow start. */
+/* returned_ms: start of the slow start, or WWH_SHIFT_NO_RAMP for none. */
 void wwh_ejection_init(wwh_ejection_t *ejection, int64_t returned_ms);
 
 void wwh_ejection_observe(wwh_ejection_t *ejection, int64_t now_ms,
-			  wwh_sign_t sign, int32_t run_ms);
+			  wwh_health_signal_t signal, int32_t run_ms);
 
 /*
- * Judges the minion at index among the service's usable minions and changes
- * its state. True when it was ejected by this call.
+ * Compares the minion at index with the other minions of its service and
+ * updates its state. Returns true if this call ejected it.
  */
-bool wwh_ejection_judge(wwh_ejection_t *const *minions, int32_t count,
-			int32_t index, int64_t now_ms,
-			wwh_shift_bucket_t *bucket);
+bool wwh_ejection_evaluate(wwh_ejection_t *const *minions, int32_t count,
+			   int32_t index, int64_t now_ms,
+			   wwh_shift_bucket_t *bucket);
 
-/* OUT becomes TRIAL when its time has come. */
+/* Moves the minion from OUT to TRIAL if until_ms has passed. */
 void wwh_ejection_advance(wwh_ejection_t *ejection, int64_t now_ms);
 
-/* May get a request, with running of this process's there already. */
-bool wwh_ejection_usable(const wwh_ejection_t *ejection, int32_t running);
+/* Whether the minion may get a request; running: those it has from here. */
+bool wwh_ejection_is_usable(const wwh_ejection_t *ejection, int32_t running);
 
 #endif
--- a/src/libwaxwinghollow/dispatch.c
+++ b/src/libwaxwinghollow/dispatch.c
@@ -22,27 +22,28 @@
 	"end",
 };
 
-static wwh_error_kind_t refusal(wwh_dispatch_t *dispatch, int64_t now_ms,
-				const wwh_dispatch_request_t *request,
-				wwh_service_state_t *service,
-				const wwh_team_state_t *team);
-static bool any_takes_work(const wwh_service_state_t *service);
-static int32_t blocked_ms(const wwh_service_state_t *service, int64_t now_ms);
-static bool over_quota(const wwh_dispatch_t *dispatch,
-		       const wwh_team_state_t *team);
-static wwh_request_record_t *make_record(const wwh_dispatch_request_t *request,
-					 int64_t now_ms,
-					 wwh_service_state_t *service,
-					 wwh_team_state_t *team);
-static void refuse(wwh_dispatch_t *dispatch, int64_t now_ms,
+static wwh_error_kind_t
+find_rejection_reason(wwh_dispatch_t *dispatch, int64_t now_ms,
+		      const wwh_dispatch_request_t *request,
+		      wwh_service_state_t *service,
+		      const wwh_team_state_t *team);
+static bool any_minion_takes_work(const wwh_service_state_t *service);
+static int32_t time_until_unblocked_ms(const wwh_service_state_t *service,
+				       int64_t now_ms);
+static bool is_over_quota(const wwh_dispatch_t *dispatch,
+			  const wwh_team_state_t *team);
+static wwh_request_record_t *
+new_request_record(const wwh_dispatch_request_t *request, int64_t now_ms,
+		   wwh_service_state_t *service, wwh_team_state_t *team);
+static void reject(wwh_dispatch_t *dispatch, int64_t now_ms,
 		   const wwh_dispatch_request_t *request,
 		   wwh_service_state_t *service, wwh_error_kind_t kind);
-static void let_in(wwh_dispatch_t *dispatch, int64_t now_ms,
-		   wwh_request_record_t *record);
+static void admit(wwh_dispatch_t *dispatch, int64_t now_ms,
+		  wwh_request_record_t *record);
 static void end_all_waiting(wwh_dispatch_t *dispatch, int64_t now_ms);
 static int compare_requests(gconstpointer a, gconstpointer b);
-static void request_due(wwh_dispatch_t *dispatch, int64_t now_ms,
-			wwh_request_record_t *request);
+static void handle_request_timer(wwh_dispatch_t *dispatch, int64_t now_ms,
+				 wwh_request_record_t *request);
 
 void wwh_dispatch_options_defaults(wwh_dispatch_options_t *options)
 {
@@ -93,22 +94,22 @@
 	assert(!g_hash_table_contains(dispatch->requests, &request->id));
 	if (request->team != NULL)
 		team = g_hash_table_lookup(dispatch->teams, request->team);
-	kind = refusal(dispatch, now_ms, request, service, team);
+	kind = find_rejection_reason(dispatch, now_ms, request, service, team);
 	if (kind != WWH_ERROR_NONE) {
-		refuse(dispatch, now_ms, request, service, kind);
+		reject(dispatch, now_ms, request, service, kind);
 		return;
 	}
 	service->arrived++;
-	record = make_record(request, now_ms, service, team);
+	record = new_request_record(request, now_ms, service, team);
 	verdict = wwh_admission_offer(
 		service->admission, now_ms, &record->waiting,
 		wwh_dispatch_can_start(dispatch, now_ms, service));
 	if (verdict == WWH_ADMISSION_IN) {
-		let_in(dispatch, now_ms, record);
+		admit(dispatch, now_ms, record);
 		return;
 	}
 	wwh_dispatch_free_request(record);
-	refuse(dispatch, now_ms, request, service,
+	reject(dispatch, now_ms, request, service,
 	       verdict == WWH_ADMISSION_QUEUE_FULL ? WWH_ERROR_QUEUE_FULL
 						   : WWH_ERROR_WAIT_TOO_LONG);
 }
@@ -128,8 +129,8 @@
 	wwh_dispatch_end(dispatch, now_ms, request, kind, 0);
 }
 
-void wwh_dispatch_finished(wwh_dispatch_t *dispatch, int64_t now_ms,
-			   const wwh_dispatch_result_t *result)
+void wwh_dispatch_finish_attempt(wwh_dispatch_t *dispatch, int64_t now_ms,
+				 const wwh_dispatch_result_t *result)
 {
 	wwh_request_record_t *request =
 		g_hash_table_lookup(dispatch->requests, &result->request);
@@ -139,7 +140,7 @@
 	assert(g_str_equal(request->minion->id, result->minion));
 	service = request->service;
 	wwh_dispatch_attempt_ended(dispatch, now_ms, request, result);
-	wwh_dispatch_pump(dispatch, now_ms, service);
+	wwh_dispatch_start_waiting(dispatch, now_ms, service);
 }
 
 void wwh_dispatch_tick(wwh_dispatch_t *dispatch, int64_t now_ms)
@@ -148,13 +149,13 @@
 
 	while (node != NULL && node->key <= (double)now_ms) {
 		wwh_heap_remove(&dispatch->timers, node);
-		request_due(dispatch, now_ms, node->owner);
+		handle_request_timer(dispatch, now_ms, node->owner);
 		node = wwh_heap_first(&dispatch->timers);
 	}
 	node = wwh_heap_first(&dispatch->wakes);
 	while (node != NULL && node->key <= (double)now_ms) {
 		wwh_heap_remove(&dispatch->wakes, node);
-		wwh_dispatch_pump(dispatch, now_ms, node->owner);
+		wwh_dispatch_start_waiting(dispatch, now_ms, node->owner);
 		node = wwh_heap_first(&dispatch->wakes);
 	}
 }
@@ -175,14 +176,14 @@
 bool wwh_dispatch_next_decision(wwh_dispatch_t *dispatch,
 				wwh_decision_t *decision)
 {
-	if (dispatch->taken == dispatch->decisions->len) {
+	if (dispatch->decisions_read == dispatch->decisions->len) {
 		g_array_set_size(dispatch->decisions, 0);
-		dispatch->taken = 0;
+		dispatch->decisions_read = 0;
 		return false;
 	}
 	*decision = g_array_index(dispatch->decisions, wwh_decision_t,
-				  dispatch->taken);
-	dispatch->taken++;
+				  dispatch->decisions_read);
+	dispatch->decisions_read++;
 	return true;
 }
 
@@ -202,29 +203,30 @@
 	return dispatch->running;
 }
 
-/* Why it can't be let in whatever its turn would be. */
-static wwh_error_kind_t refusal(wwh_dispatch_t *dispatch, int64_t now_ms,
-				const wwh_dispatch_request_t *request,
-				wwh_service_state_t *service,
-				const wwh_team_state_t *team)
+/* The reason to reject a request before its place in the queue matters. */
+static wwh_error_kind_t
+find_rejection_reason(wwh_dispatch_t *dispatch, int64_t now_ms,
+		      const wwh_dispatch_request_t *request,
+		      wwh_service_state_t *service,
+		      const wwh_team_state_t *team)
 {
 	int64_t deadline_ms;
 
 	if (dispatch->closed)
 		return WWH_ERROR_SHUTTING_DOWN;
-	if (!dispatch->set_up)
+	if (!dispatch->is_configured)
 		return WWH_ERROR_NO_CONFIGURATION;
 	if (service == NULL || !service->configured)
 		return WWH_ERROR_NO_SUCH_SERVICE;
 	if (!dispatch->has_share || now_ms >= dispatch->share.lease_until_ms ||
-	    !any_takes_work(service))
+	    !any_minion_takes_work(service))
 		return WWH_ERROR_NO_MINION;
-	if (over_quota(dispatch, team))
+	if (is_over_quota(dispatch, team))
 		return WWH_ERROR_QUOTA_EXCEEDED;
 	deadline_ms = request->deadline_ms;
 	if (deadline_ms == 0)
 		deadline_ms = now_ms + service->deadline_ms;
-	if (blocked_ms(service, now_ms) > deadline_ms - now_ms)
+	if (time_until_unblocked_ms(service, now_ms) > deadline_ms - now_ms)
 		return WWH_ERROR_WAIT_TOO_LONG;
 	if (dispatch->waiting_bytes + request->bytes >
 	    dispatch->options.waiting_bytes_max)
@@ -232,7 +234,7 @@
 	return WWH_ERROR_NONE;
 }
 
-static bool any_takes_work(const wwh_service_state_t *service)
+static bool any_minion_takes_work(const wwh_service_state_t *service)
 {
 	for (guint i = 0; i < service->minions->len; i++) {
 		const wwh_minion_record_t *minion =
@@ -244,8 +246,9 @@
 	return false;
 }
 
-/* Until the first minion is over the time that it asked to be left alone. */
-static int32_t blocked_ms(const wwh_service_state_t *service, int64_t now_ms)
+/* Time until the first minion is past the Retry-After that it sent. */
+static int32_t time_until_unblocked_ms(const wwh_service_state_t *service,
+				       int64_t now_ms)
 {
 	int64_t first_ms = INT64_MAX;
 
@@ -261,9 +264,9 @@
 	return (int32_t)MIN(first_ms - now_ms, INT32_MAX);
 }
 
-/* This process's part of the team's quota goes with its part of the seats. */
-static bool over_quota(const wwh_dispatch_t *dispatch,
-		       const wwh_team_state_t *team)
+/* This process's part of a team's quota is proportional to its seats. */
+static bool is_over_quota(const wwh_dispatch_t *dispatch,
+			  const wwh_team_state_t *team)
 {
 	int32_t held = __builtin_popcountll(dispatch->share.seats);
 	int64_t part;
@@ -274,10 +277,9 @@
 	return team->active >= MAX(part, 1);
 }
 
-static wwh_request_record_t *make_record(const wwh_dispatch_request_t *request,
-					 int64_t now_ms,
-					 wwh_service_state_t *service,
-					 wwh_team_state_t *team)
+static wwh_request_record_t *
+new_request_record(const wwh_dispatch_request_t *request, int64_t now_ms,
+		   wwh_service_state_t *service, wwh_team_state_t *team)
 {
 	wwh_request_record_t *record = g_new0(wwh_request_record_t, 1);
 
@@ -297,7 +299,7 @@
 	return record;
 }
 
-static void refuse(wwh_dispatch_t *dispatch, int64_t now_ms,
+static void reject(wwh_dispatch_t *dispatch, int64_t now_ms,
 		   const wwh_dispatch_request_t *request,
 		   wwh_service_state_t *service, wwh_error_kind_t kind)
 {
@@ -309,14 +311,15 @@
 			dispatch, now_ms, service,
 			request->urgent || service->urgent, kind);
 		if (kind == WWH_ERROR_WAIT_TOO_LONG)
-			retry_after_ms = MAX(retry_after_ms,
-					     blocked_ms(service, now_ms));
+			retry_after_ms =
+				MAX(retry_after_ms,
+				    time_until_unblocked_ms(service, now_ms));
 	}
 	wwh_dispatch_emit_end(dispatch, request->id, kind, retry_after_ms);
 }
 
-static void let_in(wwh_dispatch_t *dispatch, int64_t now_ms,
-		   wwh_request_record_t *record)
+static void admit(wwh_dispatch_t *dispatch, int64_t now_ms,
+		  wwh_request_record_t *record)
 {
 	wwh_service_state_t *service = record->service;
 
@@ -329,10 +332,10 @@
 	record->state = WWH_REQUEST_WAITING;
 	wwh_dispatch_set_timer(dispatch, &dispatch->timers, &record->timer,
 			       record->waiting.give_up_ms);
-	wwh_dispatch_pump(dispatch, now_ms, service);
+	wwh_dispatch_start_waiting(dispatch, now_ms, service);
 }
 
-/* In the order of their ids, not in that of the table. */
+/* Sorts by id, since the order of the hash table is not deterministic. */
 static void end_all_waiting(wwh_dispatch_t *dispatch, int64_t now_ms)
 {
 	GPtrArray *requests = g_ptr_array_new();
@@ -364,8 +367,8 @@
 	return (x > y) - (x < y);
 }
 
-static void request_due(wwh_dispatch_t *dispatch, int64_t now_ms,
-			wwh_request_record_t *request)
+static void handle_request_timer(wwh_dispatch_t *dispatch, int64_t now_ms,
+				 wwh_request_record_t *request)
 {
 	wwh_service_state_t *service = request->service;
 	wwh_error_kind_t kind;
@@ -373,7 +376,7 @@
 	if (request->state == WWH_REQUEST_BACKING_OFF && !dispatch->closed &&
 	    service->configured) {
 		wwh_dispatch_enqueue(dispatch, now_ms, request);
-		wwh_dispatch_pump(dispatch, now_ms, service);
+		wwh_dispatch_start_waiting(dispatch, now_ms, service);
 		return;
 	}
 	kind = WWH_ERROR_DEADLINE_NOT_RUN;
--- a/src/libwaxwinghollow/dispatch_loan.c
+++ b/src/libwaxwinghollow/dispatch_loan.c
@@ -2,42 +2,44 @@
 
 #include "private/dispatch_state.h"
 
-#define RESERVE_PART 8
+#define RESERVE_DIVISOR 8
 
 static int32_t wanted_slots(const wwh_minion_record_t *minion, int64_t now_ms);
-static int32_t lent_before(const wwh_service_state_t *service,
-			   const wwh_minion_record_t *minion);
+static int32_t lending_minions_before(const wwh_service_state_t *service,
+				      const wwh_minion_record_t *minion);
 static int32_t unused_slots(const wwh_minion_record_t *minion);
-static void return_idle(wwh_minion_record_t *minion, uint64_t peer);
-static void lend_idle(wwh_minion_record_t *minion, uint64_t peer);
-static int32_t lendable(const wwh_minion_record_t *minion);
-
-void wwh_dispatch_loans_tell(wwh_dispatch_t *dispatch, int64_t now_ms,
-			     uint64_t peer, wwh_dispatch_loan_visit_t visit,
-			     void *client_data)
+static void return_unused_slots(wwh_minion_record_t *minion, uint64_t peer);
+static void lend_unused_slots(wwh_minion_record_t *minion, uint64_t peer);
+static int32_t lendable_slots(const wwh_minion_record_t *minion);
+
+void wwh_dispatch_loans_visit_updates(wwh_dispatch_t *dispatch, int64_t now_ms,
+				      uint64_t peer,
+				      wwh_dispatch_loan_visit_t visit,
+				      void *client_data)
 {
 	for (guint i = 0; i < dispatch->minion_list->len; i++) {
 		wwh_minion_record_t *minion =
 			g_ptr_array_index(dispatch->minion_list, i);
 		wwh_dispatch_loan_t loan = { .minion = minion->id };
 
-		return_idle(minion, peer);
-		lend_idle(minion, peer);
+		return_unused_slots(minion, peer);
+		lend_unused_slots(minion, peer);
 		if (wwh_bearing_advance(&minion->bearing, now_ms))
 			wwh_dispatch_set_seats(dispatch, minion);
 		loan.wanted = wanted_slots(minion, now_ms);
 		loan.bears = minion->bearing.bears;
 		loan.bears_version = minion->bearing.version;
-		if (!wwh_loan_told(minion->loans, peer, loan.wanted,
-				   loan.bears_version, now_ms))
+		if (!wwh_loan_mark_sent_if_due(minion->loans, peer, loan.wanted,
+					       loan.bears_version, now_ms))
 			continue;
-		loan.totals = wwh_loan_tell(minion->loans, peer);
+		loan.totals = wwh_loan_totals(minion->loans, peer);
 		visit(&loan, client_data);
 	}
 }
 
-void wwh_dispatch_loan_hear(wwh_dispatch_t *dispatch, int64_t now_ms,
-			    uint64_t peer, const wwh_dispatch_loan_t *loan)
+void wwh_dispatch_loans_apply_update(wwh_dispatch_t *dispatch, int64_t now_ms,
+				     uint64_t peer,
+				     const wwh_dispatch_loan_t *loan)
 {
 	wwh_minion_record_t *minion =
 		g_hash_table_lookup(dispatch->minions, loan->minion);
@@ -45,38 +47,38 @@
 
 	if (minion == NULL)
 		return;
-	gained = wwh_loan_hear(minion->loans, peer, loan->totals);
+	gained = wwh_loan_apply_totals(minion->loans, peer, loan->totals);
 	if (wwh_bearing_hear(&minion->bearing, now_ms, loan->bears_version,
 			     loan->bears))
 		wwh_dispatch_set_seats(dispatch, minion);
-	wwh_loan_want(minion->loans, peer, loan->wanted);
+	wwh_loan_set_wanted_by(minion->loans, peer, loan->wanted);
 	wwh_dispatch_apply_share(minion);
-	wwh_dispatch_settle_loans(minion);
-	lend_idle(minion, peer);
+	wwh_dispatch_return_recalled_slots(minion);
+	lend_unused_slots(minion, peer);
 	if (minion->service == NULL)
 		return;
-	wwh_dispatch_capacity(minion->service);
+	wwh_dispatch_update_capacity(minion->service);
 	if (gained)
-		wwh_dispatch_pump(dispatch, now_ms, minion->service);
+		wwh_dispatch_start_waiting(dispatch, now_ms, minion->service);
 }
 
-void wwh_dispatch_loans_forget(wwh_dispatch_t *dispatch, int64_t now_ms,
-			       uint64_t peer)
+void wwh_dispatch_loans_remove_peer(wwh_dispatch_t *dispatch, int64_t now_ms,
+				    uint64_t peer)
 {
 	for (guint i = 0; i < dispatch->minion_list->len; i++) {
 		wwh_minion_record_t *minion =
 			g_ptr_array_index(dispatch->minion_list, i);
 
-		wwh_loan_forget(minion->loans, peer);
+		wwh_loan_remove_peer(minion->loans, peer);
 		wwh_dispatch_apply_share(minion);
 	}
 	for (guint i = 0; i < dispatch->service_list->len; i++)
-		wwh_dispatch_capacity(
+		wwh_dispatch_update_capacity(
 			g_ptr_array_index(dispatch->service_list, i));
-	wwh_dispatch_pump_all(dispatch, now_ms);
+	wwh_dispatch_start_all_waiting(dispatch, now_ms);
 }
 
-void wwh_dispatch_settle_loans(wwh_minion_record_t *minion)
+void wwh_dispatch_return_recalled_slots(wwh_minion_record_t *minion)
 {
 	uint64_t peer;
 
@@ -97,21 +99,22 @@
 	    minion->ejection.state != WWH_EJECTION_IN ||
 	    now_ms < minion->blocked_until_ms)
 		return 0;
-	/* The part has become smaller than what is lent. */
+	/* This process's own slots have become fewer than those it has lent. */
 	if (wwh_loan_lent(minion->loans) > minion->seat_slots)
 		return 1;
 	waiting = wwh_admission_waiting(service->admission);
 	if (waiting == 0)
 		return 0;
-	/* One that waits needs one slot back, not one of each minion. */
+	/* A waiting request needs one slot back, not one on each minion. */
 	if (wwh_loan_lent(minion->loans) > 0)
-		return lent_before(service, minion) < waiting ? 1 : 0;
+		return lending_minions_before(service, minion) < waiting ? 1
+									 : 0;
 	return MIN(1 + waiting / (int32_t)service->minions->len, minion->slots);
 }
 
-/* Minions of the service before this one of which slots are lent. */
-static int32_t lent_before(const wwh_service_state_t *service,
-			   const wwh_minion_record_t *minion)
+/* Number of minions of the service before this one that have lent slots. */
+static int32_t lending_minions_before(const wwh_service_state_t *service,
+				      const wwh_minion_record_t *minion)
 {
 	int32_t lent = 0;
 
@@ -132,14 +135,14 @@
 }
 
 /*
- * A borrower that runs less than half of its own share gives back what it
- * does not use; above that it keeps it, or each lull would send the same
- * slots to and fro.
+ * A borrower returns unused slots only while it runs fewer requests than half
+ * of its own slots of the service. Otherwise each short lull would move the
+ * same slots back and forth.
  */
-static void return_idle(wwh_minion_record_t *minion, uint64_t peer)
+static void return_unused_slots(wwh_minion_record_t *minion, uint64_t peer)
 {
 	const wwh_service_state_t *service = minion->service;
-	int32_t own = 0;
+	int32_t own_slots = 0;
 
 	if (wwh_loan_borrowed_from(minion->loans, peer) == 0)
 		return;
@@ -147,35 +150,35 @@
 		const wwh_minion_record_t *other =
 			g_ptr_array_index(service->minions, i);
 
-		own += other->seat_slots;
+		own_slots += other->seat_slots;
 	}
-	if (service != NULL && service->running * 2 >= own)
+	if (service != NULL && service->running * 2 >= own_slots)
 		return;
 	wwh_loan_return(minion->loans, peer, unused_slots(minion));
 	wwh_dispatch_apply_share(minion);
 }
 
-/* To a peer that wants some and from which nothing is borrowed. */
-static void lend_idle(wwh_minion_record_t *minion, uint64_t peer)
+/* Lends to a peer that wants slots and from which none are borrowed. */
+static void lend_unused_slots(wwh_minion_record_t *minion, uint64_t peer)
 {
 	int32_t wanted = wwh_loan_wanted_by(minion->loans, peer);
 	int32_t count;
 
 	if (wanted == 0 || wwh_loan_borrowed_from(minion->loans, peer) > 0)
 		return;
-	count = MIN(wanted, lendable(minion));
+	count = MIN(wanted, lendable_slots(minion));
 	if (count <= 0)
 		return;
 	wwh_loan_grant(minion->loans, peer, count);
 	wwh_dispatch_apply_share(minion);
 }
 
-/* Only own slots; a borrowed one is not lent on. */
-static int32_t lendable(const wwh_minion_record_t *minion)
+/* Only own slots can be lent: a borrowed slot is not lent to a third peer. */
+static int32_t lendable_slots(const wwh_minion_record_t *minion)
 {
 	const wwh_service_state_t *service = minion->service;
 	int32_t share = 0, unused = 0;
-	int32_t own = minion->seat_slots - wwh_loan_lent(minion->loans);
+	int32_t own_slots = minion->seat_slots - wwh_loan_lent(minion->loans);
 
 	if (service == NULL || wwh_admission_waiting(service->admission) > 0 ||
 	    wwh_loan_borrowed(minion->loans) > 0)
@@ -187,6 +190,6 @@
 		share += other->seat_slots;
 		unused += unused_slots(other);
 	}
-	unused -= (share + RESERVE_PART - 1) / RESERVE_PART;
-	return MAX(MIN(MIN(own, unused_slots(minion)), unused), 0);
+	unused -= (share + RESERVE_DIVISOR - 1) / RESERVE_DIVISOR;
+	return MAX(MIN(MIN(own_slots, unused_slots(minion)), unused), 0);
 }
--- a/src/libwaxwinghollow/dispatch_run.c
+++ b/src/libwaxwinghollow/dispatch_run.c
@@ -3,71 +3,77 @@
 
 #include "private/dispatch_state.h"
 
-#define ROUTED_MAX 256 /* minions of a service that one choice looks at */
-#define TIMEOUT_RUNS 8 /* usual p90 run times an attempt may take */
-#define TIMEOUT_CALLER_RUNS 4 /* mean run times of that caller */
-#define RAMP_STEP_MS 100
-#define PROBE_ANY_MS 2000
-#define REFUSAL_MAX_MS 1000
-#define HAD_TIME_RUNS 3 /* p90 run times: 0.1% of exponential ones */
-
-static wwh_minion_record_t *choose(wwh_dispatch_t *dispatch, int64_t now_ms,
-				   const wwh_service_state_t *service,
-				   const wwh_request_record_t *request);
+#define ROUTED_MINIONS_MAX 256 /* minions compared for one request */
+#define TIMEOUT_P90_RUNS 8 /* multiple of the service's p90 run time */
+#define TIMEOUT_CALLER_MEAN_RUNS 4 /* multiple of the caller's mean run time */
+#define RAMP_WAKE_INTERVAL_MS 100
+#define NON_IDEMPOTENT_PROBE_DELAY_MS 2000
+#define REFUSAL_PAUSE_MAX_MS 1000
+/* Multiple of the p90 run time; 0.1% of exponential run times exceed it. */
+#define ENOUGH_TIME_P90_RUNS 3
+
+static wwh_minion_record_t *choose_minion(wwh_dispatch_t *dispatch,
+					  int64_t now_ms,
+					  const wwh_service_state_t *service,
+					  const wwh_request_record_t *request);
 static bool has_room(wwh_minion_record_t *minion, int64_t now_ms);
 static bool may_probe(const wwh_request_record_t *request,
 		      const wwh_minion_record_t *minion, int64_t now_ms);
-static double ramp_of(const wwh_minion_record_t *minion, int64_t now_ms);
+static double relative_ramp(const wwh_minion_record_t *minion, int64_t now_ms);
 static bool was_tried(const wwh_request_record_t *request,
 		      const wwh_minion_record_t *minion);
-static void start(wwh_dispatch_t *dispatch, int64_t now_ms,
-		  wwh_request_record_t *request, wwh_minion_record_t *minion);
+static void start_attempt(wwh_dispatch_t *dispatch, int64_t now_ms,
+			  wwh_request_record_t *request,
+			  wwh_minion_record_t *minion);
 static int32_t attempt_timeout_ms(const wwh_dispatch_t *dispatch,
 				  int64_t now_ms,
 				  const wwh_request_record_t *request);
-static void arm_wake(wwh_dispatch_t *dispatch, int64_t now_ms,
-		     wwh_service_state_t *service);
-static int64_t wake_of(const wwh_minion_record_t *minion, int64_t now_ms);
-static void account(wwh_dispatch_t *dispatch, int64_t now_ms,
-		    wwh_request_record_t *request,
-		    const wwh_dispatch_result_t *result);
-static void judge(wwh_minion_record_t *minion, int64_t now_ms);
-static wwh_sign_t sign_of(wwh_outcome_t outcome, bool had_time);
+static void arm_wake_timer(wwh_dispatch_t *dispatch, int64_t now_ms,
+			   wwh_service_state_t *service);
+static int64_t next_wake_ms(const wwh_minion_record_t *minion, int64_t now_ms);
+static void record_attempt(wwh_dispatch_t *dispatch, int64_t now_ms,
+			   wwh_request_record_t *request,
+			   const wwh_dispatch_result_t *result);
+static void evaluate_minion(wwh_minion_record_t *minion, int64_t now_ms);
+static wwh_health_signal_t health_signal_of(wwh_outcome_t outcome,
+					    bool had_enough_time);
 static int32_t refusal_pause_ms(const wwh_minion_record_t *minion,
 				const wwh_dispatch_result_t *result);
-static bool learn_bearing(wwh_minion_record_t *minion, int64_t now_ms,
-			  wwh_outcome_t outcome);
-static bool other_usable(const wwh_request_record_t *request,
-			 const wwh_minion_record_t *failed, int64_t now_ms);
+static bool update_bearing(wwh_minion_record_t *minion, int64_t now_ms,
+			   wwh_outcome_t outcome);
+static bool has_other_usable_minion(const wwh_request_record_t *request,
+				    const wwh_minion_record_t *failed,
+				    int64_t now_ms);
 static void back_off(wwh_dispatch_t *dispatch, int64_t now_ms,
 		     wwh_request_record_t *request, int32_t delay_ms);
-static void stop_waiting(wwh_dispatch_t *dispatch, int64_t now_ms,
-			 wwh_request_record_t *request, bool starts);
+static void dequeue(wwh_dispatch_t *dispatch, int64_t now_ms,
+		    wwh_request_record_t *request, bool starts);
 
-void wwh_dispatch_pump(wwh_dispatch_t *dispatch, int64_t now_ms,
-		       wwh_service_state_t *service)
+void wwh_dispatch_start_waiting(wwh_dispatch_t *dispatch, int64_t now_ms,
+				wwh_service_state_t *service)
 {
 	wwh_waiting_t *waiting = wwh_admission_peek(service->admission);
 
 	while (waiting != NULL) {
 		wwh_request_record_t *request = waiting->owner;
 		wwh_minion_record_t *minion =
-			choose(dispatch, now_ms, service, request);
+			choose_minion(dispatch, now_ms, service, request);
 
 		if (minion == NULL)
 			break;
-		stop_waiting(dispatch, now_ms, request, true);
-		start(dispatch, now_ms, request, minion);
+		dequeue(dispatch, now_ms, request, true);
+		start_attempt(dispatch, now_ms, request, minion);
 		waiting = wwh_admission_peek(service->admission);
 	}
-	arm_wake(dispatch, now_ms, service);
+	arm_wake_timer(dispatch, now_ms, service);
 }
 
-void wwh_dispatch_pump_all(wwh_dispatch_t *dispatch, int64_t now_ms)
+void wwh_dispatch_start_all_waiting(wwh_dispatch_t *dispatch, int64_t now_ms)
 {
 	for (guint i = 0; i < dispatch->service_list->len; i++)
-		wwh_dispatch_pump(dispatch, now_ms,
-				  g_ptr_array_index(dispatch->service_list, i));
+		wwh_dispatch_start_waiting(
+			dispatch, now_ms,
+			g_ptr_array_index(dispatch->service_list, i));
 }
 
 bool wwh_dispatch_can_start(wwh_dispatch_t *dispatch, int64_t now_ms,
@@ -108,16 +114,16 @@
 	wwh_retry_attempt_t attempt = { 0 };
 	wwh_retry_decision_t decision;
 
-	account(dispatch, now_ms, request, result);
+	record_attempt(dispatch, now_ms, request, result);
 	if (request->state == WWH_REQUEST_ENDED_RUNNING) {
-		wwh_dispatch_forget(dispatch, request);
+		wwh_dispatch_remove_request(dispatch, request);
 		return;
 	}
 	attempt.outcome = result->outcome;
 	attempt.idempotent = request->idempotent;
 	attempt.answer_begun = result->answer_begun;
 	attempt.may_have_run = request->may_have_run;
-	attempt.other_minion = other_usable(request, minion, now_ms);
+	attempt.other_minion = has_other_usable_minion(request, minion, now_ms);
 	attempt.attempts = request->attempts;
 	attempt.attempts_max = dispatch->options.attempts_max;
 	attempt.remaining_ms = request->waiting.deadline_ms - now_ms;
@@ -149,12 +155,12 @@
 		request->team->active--;
 	wwh_dispatch_emit_end(dispatch, request->id, kind, retry_after_ms);
 	if (request->state == WWH_REQUEST_WAITING)
-		stop_waiting(dispatch, now_ms, request, false);
+		dequeue(dispatch, now_ms, request, false);
 	if (request->minion != NULL) {
 		request->state = WWH_REQUEST_ENDED_RUNNING;
 		return;
 	}
-	wwh_dispatch_forget(dispatch, request);
+	wwh_dispatch_remove_request(dispatch, request);
 }
 
 void wwh_dispatch_emit_end(wwh_dispatch_t *dispatch, uint64_t request,
@@ -168,8 +174,8 @@
 	g_array_append_val(dispatch->decisions, decision);
 }
 
-void wwh_dispatch_forget(wwh_dispatch_t *dispatch,
-			 wwh_request_record_t *request)
+void wwh_dispatch_remove_request(wwh_dispatch_t *dispatch,
+				 wwh_request_record_t *request)
 {
 	wwh_dispatch_clear_timer(&dispatch->timers, &request->timer);
 	request->service->active--;
@@ -200,7 +206,7 @@
 {
 	wwh_dispatch_clear_timer(timers, node);
 	node->key = (double)at_ms;
-	node->tie_breaker = ++dispatch->last_number;
+	node->tie_breaker = ++dispatch->last_tie_breaker;
 	wwh_heap_insert(timers, node);
 }
 
@@ -210,12 +216,13 @@
 		wwh_heap_remove(timers, node);
 }
 
-static wwh_minion_record_t *choose(wwh_dispatch_t *dispatch, int64_t now_ms,
-				   const wwh_service_state_t *service,
-				   const wwh_request_record_t *request)
+static wwh_minion_record_t *choose_minion(wwh_dispatch_t *dispatch,
+					  int64_t now_ms,
+					  const wwh_service_state_t *service,
+					  const wwh_request_record_t *request)
 {
-	wwh_router_minion_t routed[ROUTED_MAX];
-	int32_t count = MIN((int32_t)service->minions->len, ROUTED_MAX);
+	wwh_router_minion_t routed[ROUTED_MINIONS_MAX];
+	int32_t count = MIN((int32_t)service->minions->len, ROUTED_MINIONS_MAX);
 	int32_t p90_ms = wwh_admission_p90_ms(service->admission);
 	int32_t index;
 
@@ -233,7 +240,7 @@
 		routed[i].avoid =
 			was_tried(request, minion) ||
 			wwh_router_stalled(now_ms, minion->limiter.running,
-					   minion->quiet_since_ms, p90_ms);
+					   minion->last_progress_ms, p90_ms);
 	}
 	index = wwh_router_pick(routed, count, dispatch->options.random);
 	return index < 0 ? NULL : g_ptr_array_index(service->minions, index);
@@ -246,15 +253,16 @@
 	if (!wwh_minion_takes_work(minion) || now_ms < minion->blocked_until_ms)
 		return false;
 	wwh_ejection_advance(&minion->ejection, now_ms);
-	if (!wwh_ejection_usable(&minion->ejection, minion->limiter.running))
+	if (!wwh_ejection_is_usable(&minion->ejection, minion->limiter.running))
 		return false;
-	ramp = ramp_of(minion, now_ms);
+	ramp = relative_ramp(minion, now_ms);
 	return wwh_limiter_has_room(&minion->limiter, now_ms, ramp);
 }
 
 /*
- * A request that can't be tried again is the last choice for a probe: only
- * when no idempotent one has come for a while.
+ * A request that is not idempotent can't be retried if the probe fails, so it
+ * becomes a probe only if the trial has lasted longer than
+ * NON_IDEMPOTENT_PROBE_DELAY_MS.
  */
 static bool may_probe(const wwh_request_record_t *request,
 		      const wwh_minion_record_t *minion, int64_t now_ms)
@@ -262,17 +270,17 @@
 	const wwh_ejection_t *ejection = &minion->ejection;
 
 	return ejection->state != WWH_EJECTION_TRIAL || request->idempotent ||
-	       now_ms - ejection->until_ms > PROBE_ANY_MS;
+	       now_ms - ejection->until_ms > NON_IDEMPOTENT_PROBE_DELAY_MS;
 }
 
 /*
- * Relative to the most settled minion of the service: when all are new, as
- * after an outage, there is no settled one to spare them for.
+ * The ramp relative to that of the service's warmest minion. If all minions
+ * are new, as after an outage, no warm one could take the load instead.
  */
-static double ramp_of(const wwh_minion_record_t *minion, int64_t now_ms)
+static double relative_ramp(const wwh_minion_record_t *minion, int64_t now_ms)
 {
 	double own = wwh_shift_ramp(minion->ejection.returned_ms, now_ms);
-	double most = own;
+	double highest = own;
 
 	if (own >= 1 || minion->service == NULL)
 		return own;
@@ -281,11 +289,11 @@
 			g_ptr_array_index(minion->service->minions, i);
 
 		if (wwh_minion_takes_work(peer))
-			most = MAX(most,
-				   wwh_shift_ramp(peer->ejection.returned_ms,
-						  now_ms));
+			highest = MAX(highest,
+				      wwh_shift_ramp(peer->ejection.returned_ms,
+						     now_ms));
 	}
-	return own / most;
+	return own / highest;
 }
 
 static bool was_tried(const wwh_request_record_t *request,
@@ -298,8 +306,9 @@
 	return false;
 }
 
-static void start(wwh_dispatch_t *dispatch, int64_t now_ms,
-		  wwh_request_record_t *request, wwh_minion_record_t *minion)
+static void start_attempt(wwh_dispatch_t *dispatch, int64_t now_ms,
+			  wwh_request_record_t *request,
+			  wwh_minion_record_t *minion)
 {
 	wwh_service_state_t *service = request->service;
 	wwh_decision_t decision = { .type = WWH_DECISION_START };
@@ -310,7 +319,7 @@
 	request->minion = minion;
 	request->state = WWH_REQUEST_RUNNING;
 	if (minion->limiter.running == 0)
-		minion->quiet_since_ms = now_ms;
+		minion->last_progress_ms = now_ms;
 	wwh_limiter_start(&minion->limiter);
 	minion->started++;
 	service->attempts++;
@@ -328,9 +337,10 @@
 }
 
 /*
- * An idempotent request on a silent minion still has time for another when
- * the first attempt gets half of it. Less than some usual run times would cut
- * off work that is only longer than most.
+ * If an attempt of an idempotent request gets half of the remaining time, a
+ * silent minion leaves time for another attempt. The multiples of the
+ * usual run times are a lower bound, so that work which only takes longer than
+ * most is not cut off.
  */
 static int32_t attempt_timeout_ms(const wwh_dispatch_t *dispatch,
 				  int64_t now_ms,
@@ -339,9 +349,9 @@
 	const wwh_admission_t *admission = request->service->admission;
 	int64_t remaining_ms = request->waiting.deadline_ms - now_ms;
 	int64_t runs_ms =
-		(int64_t)TIMEOUT_RUNS * wwh_admission_p90_ms(admission);
+		(int64_t)TIMEOUT_P90_RUNS * wwh_admission_p90_ms(admission);
 	int64_t caller_ms =
-		(int64_t)TIMEOUT_CALLER_RUNS *
+		(int64_t)TIMEOUT_CALLER_MEAN_RUNS *
 		wwh_admission_caller_ms(admission, request->waiting.caller);
 	int64_t least_ms = MAX(MAX(runs_ms, caller_ms), remaining_ms / 2);
 
@@ -352,9 +362,9 @@
 	return (int32_t)CLAMP(remaining_ms, 1, INT32_MAX);
 }
 
-/* Without it, a minion that has room again by time alone would stay idle. */
-static void arm_wake(wwh_dispatch_t *dispatch, int64_t now_ms,
-		     wwh_service_state_t *service)
+/* A minion may get room by time alone, without an event that starts requests. */
+static void arm_wake_timer(wwh_dispatch_t *dispatch, int64_t now_ms,
+			   wwh_service_state_t *service)
 {
 	int64_t wake_ms = INT64_MAX;
 
@@ -362,8 +372,8 @@
 	if (wwh_admission_waiting(service->admission) == 0)
 		return;
 	for (guint i = 0; i < service->minions->len; i++) {
-		int64_t at_ms =
-			wake_of(g_ptr_array_index(service->minions, i), now_ms);
+		int64_t at_ms = next_wake_ms(
+			g_ptr_array_index(service->minions, i), now_ms);
 
 		wake_ms = MIN(wake_ms, at_ms);
 	}
@@ -373,7 +383,7 @@
 				       MAX(wake_ms, now_ms + 1));
 }
 
-static int64_t wake_of(const wwh_minion_record_t *minion, int64_t now_ms)
+static int64_t next_wake_ms(const wwh_minion_record_t *minion, int64_t now_ms)
 {
 	const wwh_limiter_t *limiter = &minion->limiter;
 	int64_t wake_ms;
@@ -381,10 +391,10 @@
 	if (!wwh_minion_takes_work(minion) || limiter->share == 0)
 		return INT64_MAX;
 	if (limiter->running > 0) {
-		/* The slow start opens more slots while some are taken. */
+		/* The slow start allows more slots while some are in use. */
 		if (limiter->running < limiter->share &&
 		    minion->ejection.returned_ms + WWH_SHIFT_RAMP_MS > now_ms)
-			return now_ms + RAMP_STEP_MS;
+			return now_ms + RAMP_WAKE_INTERVAL_MS;
 		if (limiter->running < limiter->share &&
 		    minion->blocked_until_ms > now_ms)
 			return minion->blocked_until_ms;
@@ -396,17 +406,18 @@
 	return wake_ms;
 }
 
-static void account(wwh_dispatch_t *dispatch, int64_t now_ms,
-		    wwh_request_record_t *request,
-		    const wwh_dispatch_result_t *result)
+static void record_attempt(wwh_dispatch_t *dispatch, int64_t now_ms,
+			   wwh_request_record_t *request,
+			   const wwh_dispatch_result_t *result)
 {
 	wwh_service_state_t *service = request->service;
 	wwh_minion_record_t *minion = request->minion;
-	double ramp = ramp_of(minion, now_ms);
-	bool had_time =
+	double ramp = relative_ramp(minion, now_ms);
+	bool had_enough_time =
 		result->latency_ms >=
-		HAD_TIME_RUNS * wwh_admission_p90_ms(service->admission);
-	wwh_sign_t sign = sign_of(result->outcome, had_time);
+		ENOUGH_TIME_P90_RUNS * wwh_admission_p90_ms(service->admission);
+	wwh_health_signal_t signal =
+		health_signal_of(result->outcome, had_enough_time);
 
 	request->minion = NULL;
 	if (request->tried_count < WWH_TRIED_MAX) {
@@ -415,39 +426,41 @@
 	}
 	service->running--;
 	dispatch->running--;
-	minion->quiet_since_ms = now_ms;
+	minion->last_progress_ms = now_ms;
 	wwh_limiter_finish(&minion->limiter, now_ms, ramp,
-			   sign == WWH_SIGN_GOOD ? result->latency_ms : 0);
-	wwh_ejection_observe(&minion->ejection, now_ms, sign,
+			   signal == WWH_HEALTH_SIGNAL_GOOD ? result->latency_ms
+							    : 0);
+	wwh_ejection_observe(&minion->ejection, now_ms, signal,
 			     result->latency_ms);
 	if (result->outcome == WWH_OUTCOME_ANSWERED) {
 		service->answered++;
 		wwh_admission_ran(service->admission, request->waiting.caller,
 				  result->latency_ms);
 	}
-	minion->failed += sign == WWH_SIGN_FAILED || sign == WWH_SIGN_SILENT;
+	minion->failed += signal == WWH_HEALTH_SIGNAL_FAILED ||
+			  signal == WWH_HEALTH_SIGNAL_SILENT;
 	minion->refused += result->outcome == WWH_OUTCOME_REFUSED;
 	if (result->outcome == WWH_OUTCOME_REFUSED)
 		minion->blocked_until_ms =
 			now_ms + refusal_pause_ms(minion, result);
-	if (learn_bearing(minion, now_ms, result->outcome))
+	if (update_bearing(minion, now_ms, result->outcome))
 		wwh_dispatch_set_seats(dispatch, minion);
-	judge(minion, now_ms);
-	wwh_dispatch_settle_loans(minion);
-	wwh_dispatch_capacity(service);
+	evaluate_minion(minion, now_ms);
+	wwh_dispatch_return_recalled_slots(minion);
+	wwh_dispatch_update_capacity(service);
 }
 
-static void judge(wwh_minion_record_t *minion, int64_t now_ms)
+static void evaluate_minion(wwh_minion_record_t *minion, int64_t now_ms)
 {
-	wwh_ejection_t *peers[ROUTED_MAX];
+	wwh_ejection_t *peers[ROUTED_MINIONS_MAX];
 	wwh_service_state_t *service = minion->service;
 	int32_t count = 0;
 	int32_t index = -1;
 
 	if (service == NULL)
 		return;
-	for (guint i = 0; i < service->minions->len && count < ROUTED_MAX;
-	     i++) {
+	for (guint i = 0;
+	     i < service->minions->len && count < ROUTED_MINIONS_MAX; i++) {
 		wwh_minion_record_t *peer =
 			g_ptr_array_index(service->minions, i);
 
@@ -460,46 +473,49 @@
 	}
 	if (index < 0)
 		return;
-	if (wwh_ejection_judge(peers, count, index, now_ms,
-			       &service->ejections))
+	if (wwh_ejection_evaluate(peers, count, index, now_ms,
+				  &service->ejection_bucket))
 		minion->ejected++;
 }
 
 /*
- * An attempt that began shortly before the deadline is silent for want of
- * time; to blame the minion would take slots away just under saturation.
+ * An attempt that began shortly before the deadline may be silent for lack of
+ * time. Counting it as the minion's fault would remove slots under saturation,
+ * when they are needed most.
  */
-static wwh_sign_t sign_of(wwh_outcome_t outcome, bool had_time)
+static wwh_health_signal_t health_signal_of(wwh_outcome_t outcome,
+					    bool had_enough_time)
 {
 	switch (outcome) {
 	case WWH_OUTCOME_ANSWERED:
-		return WWH_SIGN_GOOD;
+		return WWH_HEALTH_SIGNAL_GOOD;
 	case WWH_OUTCOME_SILENT:
-		return had_time ? WWH_SIGN_SILENT : WWH_SIGN_NONE;
+		return had_enough_time ? WWH_HEALTH_SIGNAL_SILENT
+				       : WWH_HEALTH_SIGNAL_NONE;
 	case WWH_OUTCOME_REFUSED:
 	case WWH_OUTCOME_ABORTED:
-		return WWH_SIGN_NONE;
+		return WWH_HEALTH_SIGNAL_NONE;
 	default:
-		return WWH_SIGN_FAILED;
+		return WWH_HEALTH_SIGNAL_FAILED;
 	}
 }
 
 /*
- * Without a Retry-After, half a run time: what fills the minion has to end
- * first, and a refusal takes so little time that the next would follow at
- * once.
+ * Without a Retry-After the pause is half a run time: running work has to end
+ * first, and a refusal is so fast that the next attempt would follow at once.
  */
 static int32_t refusal_pause_ms(const wwh_minion_record_t *minion,
 				const wwh_dispatch_result_t *result)
 {
 	if (result->retry_after_ms > 0)
 		return result->retry_after_ms;
-	return CLAMP((int32_t)minion->limiter.run_ms / 2, 1, REFUSAL_MAX_MS);
+	return CLAMP((int32_t)minion->limiter.run_ms / 2, 1,
+		     REFUSAL_PAUSE_MAX_MS);
 }
 
-/* True when its part of the minion changed. */
-static bool learn_bearing(wwh_minion_record_t *minion, int64_t now_ms,
-			  wwh_outcome_t outcome)
+/* Returns true if the number of slots that the minion bears changed. */
+static bool update_bearing(wwh_minion_record_t *minion, int64_t now_ms,
+			   wwh_outcome_t outcome)
 {
 	if (outcome == WWH_OUTCOME_REFUSED)
 		return wwh_bearing_refused(&minion->bearing, now_ms,
@@ -509,8 +525,9 @@
 	return wwh_bearing_advance(&minion->bearing, now_ms);
 }
 
-static bool other_usable(const wwh_request_record_t *request,
-			 const wwh_minion_record_t *failed, int64_t now_ms)
+static bool has_other_usable_minion(const wwh_request_record_t *request,
+				    const wwh_minion_record_t *failed,
+				    int64_t now_ms)
 {
 	const wwh_service_state_t *service = request->service;
 
@@ -540,8 +557,8 @@
 			       now_ms + delay_ms);
 }
 
-static void stop_waiting(wwh_dispatch_t *dispatch, int64_t now_ms,
-			 wwh_request_record_t *request, bool starts)
+static void dequeue(wwh_dispatch_t *dispatch, int64_t now_ms,
+		    wwh_request_record_t *request, bool starts)
 {
 	wwh_admission_t *admission = request->service->admission;
 
--- a/src/libwaxwinghollow/dispatch_setup.c
+++ b/src/libwaxwinghollow/dispatch_setup.c
@@ -3,7 +3,7 @@
 
 #include "private/dispatch_state.h"
 
-#define EJECTIONS_PER_S 1.0
+#define EJECTION_PERMITS_PER_S 1.0
 
 static bool setup_is_valid(const wwh_dispatch_setup_t *setup);
 static void set_services(wwh_dispatch_t *dispatch,
@@ -19,7 +19,7 @@
 static wwh_team_state_t *get_team(wwh_dispatch_t *dispatch, const char *id);
 static void end_unconfigured(wwh_dispatch_t *dispatch, int64_t now_ms,
 			     wwh_service_state_t *service);
-static void release_unused(wwh_dispatch_t *dispatch);
+static void free_unused_records(wwh_dispatch_t *dispatch);
 static void delete_service(wwh_service_state_t *service);
 static void delete_minion(wwh_minion_record_t *minion);
 static void delete_team(wwh_team_state_t *team);
@@ -65,15 +65,15 @@
 		wwh_service_state_t *service =
 			g_ptr_array_index(dispatch->service_list, i);
 
-		wwh_shift_bucket_resize(&service->ejections,
+		wwh_shift_bucket_resize(&service->ejection_bucket,
 					MAX(service->minions->len / 2, 1));
 		if (!service->configured)
 			end_unconfigured(dispatch, now_ms, service);
-		wwh_dispatch_capacity(service);
+		wwh_dispatch_update_capacity(service);
 	}
-	release_unused(dispatch);
-	dispatch->set_up = true;
-	wwh_dispatch_pump_all(dispatch, now_ms);
+	free_unused_records(dispatch);
+	dispatch->is_configured = true;
+	wwh_dispatch_start_all_waiting(dispatch, now_ms);
 	return WWH_STATUS_OK;
 }
 
@@ -83,28 +83,31 @@
 	bool same = dispatch->has_share &&
 		    dispatch->share.seat_count == share->seat_count &&
 		    dispatch->share.seats == share->seats;
-	bool lapsed = dispatch->share.lease_until_ms <= now_ms;
+	bool lease_expired = dispatch->share.lease_until_ms <= now_ms;
 
 	assert(share->seat_count >= 1 &&
 	       share->seat_count <= WWH_DISPATCH_SEATS_MAX);
 	dispatch->share = *share;
 	dispatch->has_share = true;
-	/* a lease is renewed ten times a second, whatever the minions' number */
+	/*
+	 * A lease is renewed ten times a second; a renewal must not cost time
+	 * for each minion.
+	 */
 	if (same) {
-		if (lapsed)
-			wwh_dispatch_pump_all(dispatch, now_ms);
+		if (lease_expired)
+			wwh_dispatch_start_all_waiting(dispatch, now_ms);
 		return;
 	}
 	for (guint i = 0; i < dispatch->minion_list->len; i++)
 		wwh_dispatch_set_seats(
 			dispatch, g_ptr_array_index(dispatch->minion_list, i));
 	for (guint i = 0; i < dispatch->service_list->len; i++)
-		wwh_dispatch_capacity(
+		wwh_dispatch_update_capacity(
 			g_ptr_array_index(dispatch->service_list, i));
-	wwh_dispatch_pump_all(dispatch, now_ms);
+	wwh_dispatch_start_all_waiting(dispatch, now_ms);
 }
 
-bool wwh_dispatch_share_settled(const wwh_dispatch_t *dispatch)
+bool wwh_dispatch_is_within_share(const wwh_dispatch_t *dispatch)
 {
 	for (guint i = 0; i < dispatch->minion_list->len; i++) {
 		const wwh_minion_record_t *minion =
@@ -119,8 +122,8 @@
 	return true;
 }
 
-void wwh_dispatch_minion_state(wwh_dispatch_t *dispatch, int64_t now_ms,
-			       const char *minion, wwh_minion_state_t state)
+void wwh_dispatch_set_minion_state(wwh_dispatch_t *dispatch, int64_t now_ms,
+				   const char *minion, wwh_minion_state_t state)
 {
 	wwh_minion_record_t *record =
 		g_hash_table_lookup(dispatch->minions, minion);
@@ -139,8 +142,8 @@
 	}
 	if (record->service == NULL)
 		return;
-	wwh_dispatch_capacity(record->service);
-	wwh_dispatch_pump(dispatch, now_ms, record->service);
+	wwh_dispatch_update_capacity(record->service);
+	wwh_dispatch_start_waiting(dispatch, now_ms, record->service);
 }
 
 void wwh_dispatch_apply_share(wwh_minion_record_t *minion)
@@ -155,7 +158,7 @@
 		wwh_limiter_set_share(&minion->limiter, share);
 }
 
-void wwh_dispatch_capacity(wwh_service_state_t *service)
+void wwh_dispatch_update_capacity(wwh_service_state_t *service)
 {
 	double slots = 0;
 
@@ -229,7 +232,7 @@
 		minion->service = get_service(
 			dispatch, setup->services[from->service].id);
 		minion->own_zone = g_strcmp0(from->zone, dispatch->zone) == 0;
-		/* Declared anew, it is believed anew. */
+		/* A new declaration replaces the learned number of slots. */
 		if (minion->slots != from->slots)
 			wwh_bearing_init(&minion->bearing, from->slots);
 		minion->slots = from->slots;
@@ -275,7 +278,8 @@
 	service->minions = g_ptr_array_new();
 	service->wake.owner = service;
 	wwh_retry_budget_init(&service->budget);
-	wwh_shift_bucket_init(&service->ejections, 0, 1, EJECTIONS_PER_S);
+	wwh_shift_bucket_init(&service->ejection_bucket, 0, 1,
+			      EJECTION_PERMITS_PER_S);
 	g_hash_table_insert(dispatch->services, service->id, service);
 	g_ptr_array_add(dispatch->service_list, service);
 	return service;
@@ -292,9 +296,9 @@
 	minion = g_new0(wwh_minion_record_t, 1);
 	minion->id = g_strdup(id);
 	minion->loans = wwh_loan_book_new();
-	/* At its own start a process knows no minion as new. */
+	/* At the start of the process, minions are not new: no slow start. */
 	wwh_ejection_init(&minion->ejection,
-			  dispatch->set_up ? now_ms : WWH_SHIFT_NO_RAMP);
+			  dispatch->is_configured ? now_ms : WWH_SHIFT_NO_RAMP);
 	g_hash_table_insert(dispatch->minions, minion->id, minion);
 	g_ptr_array_add(dispatch->minion_list, minion);
 	return minion;
@@ -329,8 +333,8 @@
 	}
 }
 
-/* Records of what was removed from the setup and has no request any more. */
-static void release_unused(wwh_dispatch_t *dispatch)
+/* Frees records that are no longer configured and no longer in use. */
+static void free_unused_records(wwh_dispatch_t *dispatch)
 {
 	for (guint i = dispatch->service_list->len; i > 0; i--) {
 		wwh_service_state_t *service =
--- a/src/libwaxwinghollow/ejection.c
+++ b/src/libwaxwinghollow/ejection.c
@@ -5,25 +5,25 @@
 #include <math.h>
 
 #define HALF_LIFE_MS 5000.0
-#define ROW_BOUND 3
-#define CHANCE 1e-5
+#define CONSECUTIVE_FAILURES_MIN 3
+#define CHANCE_PROBABILITY_MAX 1e-5
 #define SILENT_WEIGHT 2
 #define ATTEMPTS_MIN 10.0
 #define FAILED_SHARE 0.5
 #define PEERS_FAILED_SHARE 0.25
 #define SLOW_FACTOR 4.0
-#define SLOW_BACK_FACTOR 2.0
+#define SLOW_RETURN_FACTOR 2.0
 #define SLOW_MIN_MS 20.0
-#define LATE_WEIGHT 0.05
-#define LATE_SCORE_MIN 4
-#define LATE_SHARE_MIN 0.06 /* exponential run times */
-#define OUT_FIRST_MS 1000
-#define OUT_MAX_MS 8000
-#define OUT_IN_OUTAGE_MS 250
+#define SLOW_SHARE_WEIGHT 0.05
+#define SLOW_SCORE_MIN 4
+#define SLOW_SHARE_MIN 0.06 /* share with exponential run times */
+#define EJECTION_FIRST_MS 1000
+#define EJECTION_MAX_MS 8000
+#define EJECTION_IN_OUTAGE_MS 250
 #define RETURN_RAMP_MS 3000
-#define FORGET_MS 60000 /* in, without trouble: the doubling starts anew */
-#define PROBES_GOOD 2
-#define MINIONS_MAX 256 /* peers looked at */
+#define EJECTION_COUNT_RESET_MS 60000 /* in use without an ejection */
+#define GOOD_PROBES_MIN 2
+#define PEERS_MAX 256 /* peers that are compared */
 
 const char *const wwh_ejection_state_names[WWH_EJECTION_STATE_COUNT] = {
 	"in",
@@ -31,7 +31,7 @@
 	"trial",
 };
 
-const char *const wwh_sign_names[WWH_SIGN_COUNT] = {
+const char *const wwh_health_signal_names[WWH_HEALTH_SIGNAL_COUNT] = {
 	"good",
 	"failed",
 	"silent",
@@ -39,17 +39,17 @@
 };
 
 static void decay(wwh_ejection_t *ejection, int64_t now_ms);
-static bool fails(wwh_ejection_t *const *minions, int32_t count, int32_t index,
-		  int64_t now_ms);
+static bool is_failing(wwh_ejection_t *const *minions, int32_t count,
+		       int32_t index, int64_t now_ms);
 static bool slower_than_peers(wwh_ejection_t *const *minions, int32_t count,
 			      int32_t index, double run_ms, double factor);
 static bool is_slow(wwh_ejection_t *const *minions, int32_t count,
 		    int32_t index);
-static int32_t out_count(wwh_ejection_t *const *minions, int32_t count);
+static int32_t ejected_count(wwh_ejection_t *const *minions, int32_t count);
 static double peers_failed_share(wwh_ejection_t *const *minions, int32_t count,
 				 int32_t index, int64_t now_ms);
-static void put_out(wwh_ejection_t *ejection, int64_t now_ms, bool slow);
-static void bring_back(wwh_ejection_t *ejection, int64_t now_ms);
+static void eject(wwh_ejection_t *ejection, int64_t now_ms, bool slow);
+static void readmit(wwh_ejection_t *ejection, int64_t now_ms);
 static double median_of(double *values, int32_t count);
 static int compare_doubles(const void *a, const void *b);
 
@@ -60,26 +60,26 @@
 }
 
 void wwh_ejection_observe(wwh_ejection_t *ejection, int64_t now_ms,
-			  wwh_sign_t sign, int32_t run_ms)
+			  wwh_health_signal_t signal, int32_t run_ms)
 {
 	decay(ejection, now_ms);
-	switch (sign) {
-	case WWH_SIGN_GOOD:
-		ejection->in_a_row = 0;
-		ejection->good += 1;
+	switch (signal) {
+	case WWH_HEALTH_SIGNAL_GOOD:
+		ejection->consecutive_failures = 0;
+		ejection->recent_good += 1;
 		ejection->good_probes++;
 		wwh_quantile_add(&ejection->run_ms, 0.5, run_ms);
 		ejection->last_run_ms = run_ms;
-		ejection->fresh = true;
+		ejection->has_new_run = true;
 		break;
-	case WWH_SIGN_FAILED:
-		ejection->in_a_row++;
-		ejection->failed += 1;
+	case WWH_HEALTH_SIGNAL_FAILED:
+		ejection->consecutive_failures++;
+		ejection->recent_failed += 1;
 		ejection->good_probes = 0;
 		break;
-	case WWH_SIGN_SILENT:
-		ejection->in_a_row += SILENT_WEIGHT;
-		ejection->failed += SILENT_WEIGHT;
+	case WWH_HEALTH_SIGNAL_SILENT:
+		ejection->consecutive_failures += SILENT_WEIGHT;
+		ejection->recent_failed += SILENT_WEIGHT;
 		ejection->good_probes = 0;
 		break;
 	default:
@@ -87,9 +87,9 @@
 	}
 }
 
-bool wwh_ejection_judge(wwh_ejection_t *const *minions, int32_t count,
-			int32_t index, int64_t now_ms,
-			wwh_shift_bucket_t *bucket)
+bool wwh_ejection_evaluate(wwh_ejection_t *const *minions, int32_t count,
+			   int32_t index, int64_t now_ms,
+			   wwh_shift_bucket_t *bucket)
 {
 	wwh_ejection_t *ejection = minions[index];
 	bool slow;
@@ -97,31 +97,31 @@
 	if (ejection->state == WWH_EJECTION_OUT)
 		return false;
 	if (ejection->state == WWH_EJECTION_TRIAL) {
-		if (ejection->in_a_row > 0 ||
+		if (ejection->consecutive_failures > 0 ||
 		    (ejection->for_slowness && ejection->good_probes > 0 &&
 		     slower_than_peers(minions, count, index,
 				       ejection->run_ms.value,
-				       SLOW_BACK_FACTOR))) {
+				       SLOW_RETURN_FACTOR))) {
 			ejection->in_outage =
 				peers_failed_share(minions, count, index,
 						   now_ms) >=
 				PEERS_FAILED_SHARE;
-			put_out(ejection, now_ms, ejection->for_slowness);
+			eject(ejection, now_ms, ejection->for_slowness);
 			return true;
 		}
-		if (ejection->good_probes >= PROBES_GOOD ||
+		if (ejection->good_probes >= GOOD_PROBES_MIN ||
 		    (ejection->in_outage && ejection->good_probes > 0))
-			bring_back(ejection, now_ms);
+			readmit(ejection, now_ms);
 		return false;
 	}
 	slow = is_slow(minions, count, index);
-	if (!slow && !fails(minions, count, index, now_ms))
+	if (!slow && !is_failing(minions, count, index, now_ms))
 		return false;
-	if ((out_count(minions, count) + 1) * 2 > count)
+	if ((ejected_count(minions, count) + 1) * 2 > count)
 		return false;
 	if (!wwh_shift_bucket_try_acquire(bucket, now_ms))
 		return false;
-	put_out(ejection, now_ms, slow);
+	eject(ejection, now_ms, slow);
 	return true;
 }
 
@@ -130,111 +130,113 @@
 	if (ejection->state != WWH_EJECTION_OUT || now_ms < ejection->until_ms)
 		return;
 	ejection->state = WWH_EJECTION_TRIAL;
-	ejection->in_a_row = 0;
+	ejection->consecutive_failures = 0;
 	ejection->good_probes = 0;
-	/* The probe's own run time is what counts now. */
+	/* Only the run times of probes count from now on. */
 	if (ejection->for_slowness)
 		ejection->run_ms = (wwh_quantile_t){ .coarse = true };
 }
 
-bool wwh_ejection_usable(const wwh_ejection_t *ejection, int32_t running)
+bool wwh_ejection_is_usable(const wwh_ejection_t *ejection, int32_t running)
 {
 	if (ejection->state == WWH_EJECTION_OUT)
 		return false;
-	/* One at a time on trial, and after a failure nobody understood yet. */
-	if (ejection->state == WWH_EJECTION_TRIAL || ejection->in_a_row > 0)
+	/* One request at a time on trial and after a failure not yet resolved. */
+	if (ejection->state == WWH_EJECTION_TRIAL ||
+	    ejection->consecutive_failures > 0)
 		return running == 0;
 	return true;
 }
 
 static void decay(wwh_ejection_t *ejection, int64_t now_ms)
 {
-	double keep = exp2(-(double)(now_ms - ejection->at_ms) / HALF_LIFE_MS);
+	double factor =
+		exp2(-(double)(now_ms - ejection->decayed_ms) / HALF_LIFE_MS);
 
-	ejection->good *= keep;
-	ejection->failed *= keep;
-	ejection->at_ms = now_ms;
+	ejection->recent_good *= factor;
+	ejection->recent_failed *= factor;
+	ejection->decayed_ms = now_ms;
 	if (ejection->state == WWH_EJECTION_IN &&
-	    now_ms - ejection->until_ms > FORGET_MS)
-		ejection->times = 0;
+	    now_ms - ejection->until_ms > EJECTION_COUNT_RESET_MS)
+		ejection->ejection_count = 0;
 }
 
 /*
- * Whether so many answers were slow, one for one more than the others, that
- * the peers' rate of slow answers would hardly ever make it. The median of
- * run times alone would need some 20 answers of a minion that gives three a
- * second.
+ * Whether the surplus of slow answers over others is too large to be chance at
+ * the peers' rate of slow answers. The median of run times alone would need
+ * some 20 answers from a minion that sends three a second.
  */
 static bool is_slow(wwh_ejection_t *const *minions, int32_t count,
 		    int32_t index)
 {
 	wwh_ejection_t *own = minions[index];
-	double shares[MINIONS_MAX];
+	double shares[PEERS_MAX];
 	int32_t found = 0;
-	bool late;
+	bool slow;
 
-	if (!own->fresh)
+	if (!own->has_new_run)
 		return false;
-	own->fresh = false;
-	late = slower_than_peers(minions, count, index, own->last_run_ms,
+	own->has_new_run = false;
+	slow = slower_than_peers(minions, count, index, own->last_run_ms,
 				 SLOW_FACTOR);
-	own->late_share += LATE_WEIGHT * (late - own->late_share);
-	own->late_score =
-		late ? own->late_score + 1 : MAX(own->late_score - 1, 0);
-	if (own->late_score < LATE_SCORE_MIN)
+	own->slow_share += SLOW_SHARE_WEIGHT * (slow - own->slow_share);
+	own->slow_score =
+		slow ? own->slow_score + 1 : MAX(own->slow_score - 1, 0);
+	if (own->slow_score < SLOW_SCORE_MIN)
 		return false;
-	for (int32_t i = 0; i < count && found < MINIONS_MAX; i++) {
+	for (int32_t i = 0; i < count && found < PEERS_MAX; i++) {
 		if (i == index || minions[i]->state != WWH_EJECTION_IN)
 			continue;
-		shares[found] = MAX(minions[i]->late_share, LATE_SHARE_MIN);
+		shares[found] = MAX(minions[i]->slow_share, SLOW_SHARE_MIN);
 		found++;
 	}
-	return found > 0 &&
-	       pow(median_of(shares, found), own->late_score) < CHANCE;
+	return found > 0 && pow(median_of(shares, found), own->slow_score) <
+				    CHANCE_PROBABILITY_MAX;
 }
 
-static bool fails(wwh_ejection_t *const *minions, int32_t count, int32_t index,
-		  int64_t now_ms)
+static bool is_failing(wwh_ejection_t *const *minions, int32_t count,
+		       int32_t index, int64_t now_ms)
 {
 	const wwh_ejection_t *own = minions[index];
-	double total = own->good + own->failed;
+	double total = own->recent_good + own->recent_failed;
 	double share;
 
-	/* After a good answer, old failures are no reason. */
-	if (own->in_a_row == 0)
+	/* After a good answer, earlier failures don't count. */
+	if (own->consecutive_failures == 0)
 		return false;
-	if (own->in_a_row < ROW_BOUND &&
-	    (total < ATTEMPTS_MIN || own->failed < FAILED_SHARE * total))
+	if (own->consecutive_failures < CONSECUTIVE_FAILURES_MIN &&
+	    (total < ATTEMPTS_MIN || own->recent_failed < FAILED_SHARE * total))
 		return false;
 	share = peers_failed_share(minions, count, index, now_ms);
 	if (share >= PEERS_FAILED_SHARE)
 		return false;
-	/* A row of failures that its peers would show by chance is no sign. */
-	return own->failed >= FAILED_SHARE * total ||
-	       pow(share, own->in_a_row) < CHANCE;
+	/* Consecutive failures likely at the peers' failure rate don't count. */
+	return own->recent_failed >= FAILED_SHARE * total ||
+	       pow(share, own->consecutive_failures) < CHANCE_PROBABILITY_MAX;
 }
 
 /*
- * The median of the peers' shares of failed attempts. The sum over all would
- * call a lost zone, four minions of ten, an outage of the service, and keep
- * the last of the four in use.
+ * The median of the peers' shares of failed attempts. With the sum over all
+ * peers, the loss of a zone with four minions of ten would count as an outage
+ * of the service, and the last of the four would stay in use.
  */
 static double peers_failed_share(wwh_ejection_t *const *minions, int32_t count,
 				 int32_t index, int64_t now_ms)
 {
-	double shares[MINIONS_MAX];
+	double shares[PEERS_MAX];
 	int32_t found = 0;
 
-	for (int32_t i = 0; i < count && found < MINIONS_MAX; i++) {
+	for (int32_t i = 0; i < count && found < PEERS_MAX; i++) {
 		wwh_ejection_t *peer = minions[i];
 
 		if (i == index)
 			continue;
 		decay(peer, now_ms);
 		shares[found] = 0;
-		if (peer->failed > 0)
+		if (peer->recent_failed > 0)
 			shares[found] =
-				peer->failed / (peer->good + peer->failed);
+				peer->recent_failed /
+				(peer->recent_good + peer->recent_failed);
 		if (peer->state != WWH_EJECTION_IN)
 			shares[found] = 1;
 		found++;
@@ -243,10 +245,11 @@
 }
 
 /*
- * Whether run_ms is far above the median of the peers' run times; false when
- * too few have answered. What is far above a value is far above each lower
- * one, so counting tells it of the median without sorting, which each answer
- * would have to wait for: this runs under the lock of all requests.
+ * Whether run_ms is far above the median of the peers' run times; false if too
+ * few peers have answered. A run time far above one value is far above each
+ * lower one, so counting the peers that are far below suffices. Sorting for
+ * the median would delay each answer, since this runs under the lock of all
+ * requests.
  */
 static bool slower_than_peers(wwh_ejection_t *const *minions, int32_t count,
 			      int32_t index, double run_ms, double factor)
@@ -256,7 +259,7 @@
 
 	if (run_ms <= SLOW_MIN_MS)
 		return false;
-	for (int32_t i = 0; i < count && found < MINIONS_MAX; i++) {
+	for (int32_t i = 0; i < count && found < PEERS_MAX; i++) {
 		double peer_ms = minions[i]->run_ms.value;
 
 		if (i == index || minions[i]->state != WWH_EJECTION_IN ||
@@ -269,43 +272,44 @@
 	return found >= 2 && below > found / 2;
 }
 
-static int32_t out_count(wwh_ejection_t *const *minions, int32_t count)
+static int32_t ejected_count(wwh_ejection_t *const *minions, int32_t count)
 {
-	int32_t out = 0;
+	int32_t ejected = 0;
 
 	for (int32_t i = 0; i < count; i++)
-		out += minions[i]->state != WWH_EJECTION_IN;
-	return out;
+		ejected += minions[i]->state != WWH_EJECTION_IN;
+	return ejected;
 }
 
-static void put_out(wwh_ejection_t *ejection, int64_t now_ms, bool slow)
+static void eject(wwh_ejection_t *ejection, int64_t now_ms, bool slow)
 {
-	int64_t out_ms = OUT_FIRST_MS;
+	int64_t ejection_ms = EJECTION_FIRST_MS;
 
-	for (int32_t i = 0; i < ejection->times && out_ms < OUT_MAX_MS; i++)
-		out_ms *= 2;
+	for (int32_t i = 0;
+	     i < ejection->ejection_count && ejection_ms < EJECTION_MAX_MS; i++)
+		ejection_ms *= 2;
 	if (ejection->in_outage)
-		out_ms = OUT_IN_OUTAGE_MS;
+		ejection_ms = EJECTION_IN_OUTAGE_MS;
 	else
-		ejection->times++;
+		ejection->ejection_count++;
 	ejection->state = WWH_EJECTION_OUT;
-	ejection->until_ms = now_ms + MIN(out_ms, OUT_MAX_MS);
+	ejection->until_ms = now_ms + MIN(ejection_ms, EJECTION_MAX_MS);
 	ejection->for_slowness = slow;
-	ejection->late_score = 0;
+	ejection->slow_score = 0;
 }
 
-static void bring_back(wwh_ejection_t *ejection, int64_t now_ms)
+static void readmit(wwh_ejection_t *ejection, int64_t now_ms)
 {
 	ejection->state = WWH_EJECTION_IN;
-	/* Out for seconds only, it is still warm: the end of the ramp. */
+	/* Ejected for seconds only, it is still warm: skip most of the ramp. */
 	ejection->returned_ms = now_ms - WWH_SHIFT_RAMP_MS + RETURN_RAMP_MS;
 	if (ejection->in_outage)
 		ejection->returned_ms = WWH_SHIFT_NO_RAMP;
 	ejection->in_outage = false;
 	ejection->until_ms = now_ms;
-	ejection->in_a_row = 0;
-	ejection->good = 0;
-	ejection->failed = 0;
+	ejection->consecutive_failures = 0;
+	ejection->recent_good = 0;
+	ejection->recent_failed = 0;
 	ejection->for_slowness = false;
 }
 
--- a/src/libwaxwinghollow/include/private/dispatch_state.h
+++ b/src/libwaxwinghollow/include/private/dispatch_state.h
@@ -3,12 +3,12 @@
 
 /*
  * NAME
- *	dispatch_state - what the files of the dispatcher share
+ *	dispatch_state - types and functions shared by the dispatcher's files
  *
  * USE
- *	dispatch.c takes the events, dispatch_setup.c the configuration and
- *	the shares, dispatch_run.c starts, ends and retries, dispatch_loan.c
- *	lends slots, dispatch_dump.c shows the state.
+ *	dispatch.c handles events, dispatch_setup.c applies the configuration
+ *	and shares, dispatch_run.c starts, ends and retries requests,
+ *	dispatch_loan.c lends slots, dispatch_dump.c visits the state.
  *
  * ORDER OF CALLS
  *	See dispatch.h.
@@ -31,8 +31,8 @@
 
 typedef struct {
 	char *id;
-	int32_t limit; /* over all entry processes; 0: any */
-	int32_t active; /* here, waiting or running */
+	int32_t limit; /* over all entry processes; 0: unlimited */
+	int32_t active; /* waiting or running in this process */
 	bool configured;
 } wwh_team_state_t;
 
@@ -40,42 +40,42 @@
 	WWH_REQUEST_WAITING = 0,
 	WWH_REQUEST_BACKING_OFF, /* until a retry */
 	WWH_REQUEST_RUNNING,
-	WWH_REQUEST_ENDED_RUNNING /* END was given, the attempt goes on */
+	WWH_REQUEST_ENDED_RUNNING /* END was emitted while the attempt runs */
 } wwh_request_state_t;
 
 typedef struct {
 	uint64_t id;
 	wwh_service_state_t *service;
-	wwh_team_state_t *team; /* NULL: none */
+	wwh_team_state_t *team; /* NULL if the request has no team */
 	bool idempotent;
 	bool may_have_run;
 	wwh_request_state_t state;
 	wwh_waiting_t waiting;
-	wwh_heap_node_t timer; /* give up, or retry */
-	wwh_minion_record_t *minion; /* while it runs */
+	wwh_heap_node_t timer; /* end of the wait or of the back-off */
+	wwh_minion_record_t *minion; /* NULL unless an attempt runs */
 	int32_t attempts;
-	wwh_minion_record_t *tried[WWH_TRIED_MAX]; /* for comparison only */
+	wwh_minion_record_t *tried[WWH_TRIED_MAX]; /* compared only */
 	int32_t tried_count;
-	int32_t retry_after_ms; /* the last that a minion told */
+	int32_t retry_after_ms; /* from the last attempt; 0: none */
 } wwh_request_record_t;
 
 struct wwh_minion_record {
 	char *id;
-	wwh_service_state_t *service; /* NULL: not configured any more */
+	wwh_service_state_t *service; /* NULL if no longer configured */
 	bool own_zone;
 	int32_t slots;
 	int32_t connections;
-	wwh_minion_state_t state; /* by event */
+	wwh_minion_state_t state; /* last reported */
 	bool configured_leaving;
 	bool has_part; /* has had a share above 0 */
-	int32_t seat_slots; /* of the own seats */
+	int32_t seat_slots; /* of this process's seats, loans excluded */
 	int32_t seat_connections;
 	wwh_loan_book_t *loans;
 	wwh_limiter_t limiter;
 	wwh_bearing_t bearing;
 	wwh_ejection_t ejection;
-	int64_t blocked_until_ms; /* its Retry-After */
-	int64_t quiet_since_ms; /* last end, or start of the first */
+	int64_t blocked_until_ms; /* no new work before then */
+	int64_t last_progress_ms; /* last end, or start on an idle minion */
 	int64_t started; /* counters */
 	int64_t failed;
 	int64_t refused;
@@ -88,10 +88,10 @@
 	bool urgent;
 	int32_t deadline_ms;
 	wwh_admission_t *admission;
-	GPtrArray *minions; /* wwh_minion_record_t *, in the order of setup */
+	GPtrArray *minions; /* wwh_minion_record_t *, in configured order */
 	wwh_retry_budget_t budget;
-	wwh_shift_bucket_t ejections;
-	wwh_heap_node_t wake; /* when a minion may have room by time alone */
+	wwh_shift_bucket_t ejection_bucket;
+	wwh_heap_node_t wake; /* time at which a minion may have room again */
 	int32_t running;
 	int32_t active; /* requests that hold a pointer to this */
 	int64_t arrived; /* counters */
@@ -108,28 +108,28 @@
 	wwh_dispatch_share_t share;
 	bool has_share;
 	bool closed;
-	bool set_up; /* configured before */
-	GHashTable *requests; /* &id to wwh_request_record_t; for lookup only */
-	GHashTable *services; /* id to state; for lookup only */
+	bool is_configured; /* wwh_dispatch_configure has succeeded */
+	GHashTable *requests; /* &id to wwh_request_record_t */
+	GHashTable *services; /* id to state; iterate over the lists */
 	GHashTable *minions;
 	GHashTable *teams;
-	GPtrArray *service_list; /* in the order of their first setup; owns */
+	GPtrArray *service_list; /* owned, in the order of first setup */
 	GPtrArray *minion_list;
 	GPtrArray *team_list;
-	wwh_heap_t timers; /* of requests: give up, retry */
+	wwh_heap_t timers; /* of requests */
 	wwh_heap_t wakes; /* of services */
 	GArray *decisions; /* wwh_decision_t */
-	guint taken; /* of decisions */
+	guint decisions_read;
 	int32_t waiting;
 	int32_t running;
 	int64_t waiting_bytes;
-	uint64_t last_number;
+	uint64_t last_tie_breaker;
 };
 
-/* dispatch_run.c: starts what can be started. */
-void wwh_dispatch_pump(wwh_dispatch_t *dispatch, int64_t now_ms,
-		       wwh_service_state_t *service);
-void wwh_dispatch_pump_all(wwh_dispatch_t *dispatch, int64_t now_ms);
+/* dispatch_run.c: starts the waiting requests for which there is room. */
+void wwh_dispatch_start_waiting(wwh_dispatch_t *dispatch, int64_t now_ms,
+				wwh_service_state_t *service);
+void wwh_dispatch_start_all_waiting(wwh_dispatch_t *dispatch, int64_t now_ms);
 bool wwh_dispatch_can_start(wwh_dispatch_t *dispatch, int64_t now_ms,
 			    const wwh_service_state_t *service);
 void wwh_dispatch_enqueue(wwh_dispatch_t *dispatch, int64_t now_ms,
@@ -138,17 +138,17 @@
 				wwh_request_record_t *request,
 				const wwh_dispatch_result_t *result);
 
-/* Gives the END decision; frees the request unless an attempt goes on. */
+/* Emits the END decision. Frees the request unless an attempt runs. */
 void wwh_dispatch_end(wwh_dispatch_t *dispatch, int64_t now_ms,
 		      wwh_request_record_t *request, wwh_error_kind_t kind,
 		      int32_t retry_after_ms);
 void wwh_dispatch_emit_end(wwh_dispatch_t *dispatch, uint64_t request,
 			   wwh_error_kind_t kind, int32_t retry_after_ms);
-void wwh_dispatch_forget(wwh_dispatch_t *dispatch,
-			 wwh_request_record_t *request);
+void wwh_dispatch_remove_request(wwh_dispatch_t *dispatch,
+				 wwh_request_record_t *request);
 void wwh_dispatch_free_request(gpointer data);
 
-/* Retry-After for a refusal of that kind, as its row of error_kind wants. */
+/* Retry-After in ms for an error, by the rule of its row in error_kind. */
 int32_t wwh_dispatch_retry_after(wwh_dispatch_t *dispatch, int64_t now_ms,
 				 wwh_service_state_t *service, bool urgent,
 				 wwh_error_kind_t kind);
@@ -156,14 +156,14 @@
 			    wwh_heap_node_t *node, int64_t at_ms);
 void wwh_dispatch_clear_timer(wwh_heap_t *timers, wwh_heap_node_t *node);
 
-/* dispatch_loan.c: gives back what is recalled and unused. */
-void wwh_dispatch_settle_loans(wwh_minion_record_t *minion);
+/* dispatch_loan.c: returns unused slots that their lender recalls. */
+void wwh_dispatch_return_recalled_slots(wwh_minion_record_t *minion);
 
-/* dispatch_setup.c: after seats, what it bears, or loans changed. */
+/* dispatch_setup.c: call after seats, slots borne or loans have changed. */
 void wwh_dispatch_set_seats(const wwh_dispatch_t *dispatch,
 			    wwh_minion_record_t *minion);
 void wwh_dispatch_apply_share(wwh_minion_record_t *minion);
-void wwh_dispatch_capacity(wwh_service_state_t *service);
+void wwh_dispatch_update_capacity(wwh_service_state_t *service);
 bool wwh_minion_takes_work(const wwh_minion_record_t *minion);
 
 #endif
--- a/src/test_ejection/test_ejection.c
+++ b/src/test_ejection/test_ejection.c
@@ -7,160 +7,167 @@
 
 #include "waxwinghollow/ejection.h"
 
-#define COUNT 8
+#define MINION_COUNT 8
 
 typedef struct {
-	wwh_ejection_t states[COUNT];
-	wwh_ejection_t *minions[COUNT];
+	wwh_ejection_t states[MINION_COUNT];
+	wwh_ejection_t *minions[MINION_COUNT];
 	wwh_shift_bucket_t bucket;
-} rig_t;
+} fixture_t;
 
 /* Eight minions with 20 good answers of 20 ms each. */
-static void set_up(rig_t *rig)
+static void fixture_init(fixture_t *fixture)
 {
-	wwh_shift_bucket_init(&rig->bucket, 0, COUNT * 0.5, 1);
-	for (int32_t i = 0; i < COUNT; i++) {
-		rig->minions[i] = &rig->states[i];
-		wwh_ejection_init(&rig->states[i], WWH_SHIFT_NO_RAMP);
+	wwh_shift_bucket_init(&fixture->bucket, 0, MINION_COUNT * 0.5, 1);
+	for (int32_t i = 0; i < MINION_COUNT; i++) {
+		fixture->minions[i] = &fixture->states[i];
+		wwh_ejection_init(&fixture->states[i], WWH_SHIFT_NO_RAMP);
 	}
-	for (int32_t i = 0; i < 20 * COUNT; i++) {
-		wwh_ejection_observe(rig->minions[i % COUNT], 0, WWH_SIGN_GOOD,
-				     20);
-		wwh_ejection_judge(rig->minions, COUNT, i % COUNT, 0,
-				   &rig->bucket);
+	for (int32_t i = 0; i < 20 * MINION_COUNT; i++) {
+		wwh_ejection_observe(fixture->minions[i % MINION_COUNT], 0,
+				     WWH_HEALTH_SIGNAL_GOOD, 20);
+		wwh_ejection_evaluate(fixture->minions, MINION_COUNT,
+				      i % MINION_COUNT, 0, &fixture->bucket);
 	}
 }
 
-static bool see(rig_t *rig, int64_t now_ms, int32_t minion, wwh_sign_t sign,
-		int32_t run_ms)
+static bool observe(fixture_t *fixture, int64_t now_ms, int32_t minion,
+		    wwh_health_signal_t signal, int32_t run_ms)
 {
-	wwh_ejection_observe(rig->minions[minion], now_ms, sign, run_ms);
-	return wwh_ejection_judge(rig->minions, COUNT, minion, now_ms,
-				  &rig->bucket);
+	wwh_ejection_observe(fixture->minions[minion], now_ms, signal, run_ms);
+	return wwh_ejection_evaluate(fixture->minions, MINION_COUNT, minion,
+				     now_ms, &fixture->bucket);
 }
 
-/* It fails in 1 ms and is free again: without ejection it gets most work. */
-static void a_failing_minion_is_out_after_three_failures(void **unused)
+/* A minion that fails in 1 ms would get most requests without ejection. */
+static void a_minion_is_ejected_after_three_failures(void **unused)
 {
-	rig_t rig;
+	fixture_t fixture;
 
 	(void)unused;
-	set_up(&rig);
-	assert_false(see(&rig, 10, 0, WWH_SIGN_FAILED, 1));
-	assert_false(see(&rig, 11, 0, WWH_SIGN_FAILED, 1));
-	assert_true(see(&rig, 12, 0, WWH_SIGN_FAILED, 1));
-	assert_false(wwh_ejection_usable(rig.minions[0], 0));
+	fixture_init(&fixture);
+	assert_false(observe(&fixture, 10, 0, WWH_HEALTH_SIGNAL_FAILED, 1));
+	assert_false(observe(&fixture, 11, 0, WWH_HEALTH_SIGNAL_FAILED, 1));
+	assert_true(observe(&fixture, 12, 0, WWH_HEALTH_SIGNAL_FAILED, 1));
+	assert_false(wwh_ejection_is_usable(fixture.minions[0], 0));
 }
 
-static void a_silent_minion_is_out_after_two(void **unused)
+static void a_minion_is_ejected_after_two_silent_attempts(void **unused)
 {
-	rig_t rig;
+	fixture_t fixture;
 
 	(void)unused;
-	set_up(&rig);
-	assert_false(see(&rig, 500, 0, WWH_SIGN_SILENT, 500));
-	assert_true(see(&rig, 900, 0, WWH_SIGN_SILENT, 500));
+	fixture_init(&fixture);
+	assert_false(observe(&fixture, 500, 0, WWH_HEALTH_SIGNAL_SILENT, 500));
+	assert_true(observe(&fixture, 900, 0, WWH_HEALTH_SIGNAL_SILENT, 500));
 }
 
 /*
- * A tenth of the requests fail wherever they run. Three failures in a row on
- * one minion happen by chance and are no reason.
+ * A tenth of the requests fail wherever they run. Three consecutive
+ * failures on one minion occur by chance and must not eject it.
  */
-static void failures_that_all_have_eject_nobody(void **unused)
+static void failures_common_to_all_minions_eject_none(void **unused)
 {
 	GRand *random = g_rand_new_with_seed(11);
 	int32_t ejections = 0;
-	rig_t rig;
+	fixture_t fixture;
 
 	(void)unused;
-	set_up(&rig);
+	fixture_init(&fixture);
 	for (int64_t i = 0; i < 20000; i++) {
-		wwh_sign_t sign = g_rand_double(random) < 0.1 ? WWH_SIGN_FAILED
-							      : WWH_SIGN_GOOD;
+		wwh_health_signal_t signal = g_rand_double(random) < 0.1
+						     ? WWH_HEALTH_SIGNAL_FAILED
+						     : WWH_HEALTH_SIGNAL_GOOD;
 
-		ejections += see(&rig, i, (int32_t)(i % COUNT), sign, 20);
+		ejections += observe(&fixture, i, (int32_t)(i % MINION_COUNT),
+				     signal, 20);
 	}
 	assert_in_range(ejections, 0, 2);
 	g_rand_free(random);
 }
 
-/* Whatever fails, at least half of the minions stay in use. */
-static void half_of_the_minions_always_stay(void **unused)
+/* At least half of the minions stay in use even if all fail or slow down. */
+static void at_most_half_of_the_minions_are_ejected(void **unused)
 {
-	rig_t rig;
+	fixture_t fixture;
 	int32_t in = 0;
 
 	(void)unused;
-	set_up(&rig);
+	fixture_init(&fixture);
 	for (int64_t now_ms = 0; now_ms < 20000; now_ms += 10) {
-		for (int32_t i = 0; i < COUNT; i++) {
-			wwh_ejection_advance(rig.minions[i], now_ms);
-			if (wwh_ejection_usable(rig.minions[i], 0))
-				see(&rig, now_ms, i, WWH_SIGN_FAILED, 1);
+		for (int32_t i = 0; i < MINION_COUNT; i++) {
+			wwh_ejection_advance(fixture.minions[i], now_ms);
+			if (wwh_ejection_is_usable(fixture.minions[i], 0))
+				observe(&fixture, now_ms, i,
+					WWH_HEALTH_SIGNAL_FAILED, 1);
 		}
 	}
-	for (int32_t i = 0; i < COUNT; i++)
-		in += rig.states[i].state == WWH_EJECTION_IN;
-	assert_true(in >= COUNT / 2);
-	/* One after another becomes slow, each an outlier to the rest. */
-	set_up(&rig);
-	for (int32_t i = 0; i < COUNT; i++) {
+	for (int32_t i = 0; i < MINION_COUNT; i++)
+		in += fixture.states[i].state == WWH_EJECTION_IN;
+	assert_true(in >= MINION_COUNT / 2);
+	/* One minion after another becomes slow compared with the rest. */
+	fixture_init(&fixture);
+	for (int32_t i = 0; i < MINION_COUNT; i++) {
 		for (int32_t k = 0; k < 20; k++)
-			see(&rig, 10000 * i, i, WWH_SIGN_GOOD, 400);
+			observe(&fixture, 10000 * i, i, WWH_HEALTH_SIGNAL_GOOD,
+				400);
 	}
 	in = 0;
-	for (int32_t i = 0; i < COUNT; i++)
-		in += rig.states[i].state == WWH_EJECTION_IN;
-	assert_int_equal(in, COUNT / 2);
+	for (int32_t i = 0; i < MINION_COUNT; i++)
+		in += fixture.states[i].state == WWH_EJECTION_IN;
+	assert_int_equal(in, MINION_COUNT / 2);
 }
 
 /*
- * The minion is still bad when its time is over. The cooldown would send it a
- * full share; here one probe at a time finds out, and the next time is longer.
+ * The minion still fails when its ejection ends. A cooldown would send it a
+ * full share; here one probe at a time detects it, and the next ejection is
+ * longer.
  */
-static void return_is_by_probes(void **unused)
+static void probes_decide_the_return(void **unused)
 {
-	rig_t rig;
+	fixture_t fixture;
 	int64_t until_ms;
 
 	(void)unused;
-	set_up(&rig);
+	fixture_init(&fixture);
 	for (int32_t i = 0; i < 3; i++)
-		see(&rig, 10, 0, WWH_SIGN_FAILED, 1);
-	until_ms = rig.states[0].until_ms;
+		observe(&fixture, 10, 0, WWH_HEALTH_SIGNAL_FAILED, 1);
+	until_ms = fixture.states[0].until_ms;
 	assert_in_range(until_ms, 1010, 1010);
-	wwh_ejection_advance(rig.minions[0], until_ms);
-	assert_true(wwh_ejection_usable(rig.minions[0], 0));
-	assert_false(wwh_ejection_usable(rig.minions[0], 1));
-	assert_true(see(&rig, until_ms, 0, WWH_SIGN_FAILED, 1));
-	assert_int_equal(rig.states[0].until_ms, until_ms + 2000);
-	until_ms = rig.states[0].until_ms;
-	wwh_ejection_advance(rig.minions[0], until_ms);
-	see(&rig, until_ms, 0, WWH_SIGN_GOOD, 20);
-	assert_int_equal(rig.states[0].state, WWH_EJECTION_TRIAL);
-	see(&rig, until_ms, 0, WWH_SIGN_GOOD, 20);
-	assert_int_equal(rig.states[0].state, WWH_EJECTION_IN);
-	assert_true(wwh_shift_ramp(rig.states[0].returned_ms, until_ms) < 1);
+	wwh_ejection_advance(fixture.minions[0], until_ms);
+	assert_true(wwh_ejection_is_usable(fixture.minions[0], 0));
+	assert_false(wwh_ejection_is_usable(fixture.minions[0], 1));
+	assert_true(
+		observe(&fixture, until_ms, 0, WWH_HEALTH_SIGNAL_FAILED, 1));
+	assert_int_equal(fixture.states[0].until_ms, until_ms + 2000);
+	until_ms = fixture.states[0].until_ms;
+	wwh_ejection_advance(fixture.minions[0], until_ms);
+	observe(&fixture, until_ms, 0, WWH_HEALTH_SIGNAL_GOOD, 20);
+	assert_int_equal(fixture.states[0].state, WWH_EJECTION_TRIAL);
+	observe(&fixture, until_ms, 0, WWH_HEALTH_SIGNAL_GOOD, 20);
+	assert_int_equal(fixture.states[0].state, WWH_EJECTION_IN);
+	assert_true(wwh_shift_ramp(fixture.states[0].returned_ms, until_ms) <
+		    1);
 }
 
-static void a_slow_minion_is_out_and_long_work_is_no_sign(void **unused)
+static void a_slow_minion_is_ejected_but_long_work_ejects_none(void **unused)
 {
 	GRand *random = g_rand_new_with_seed(11);
 	int32_t ejections = 0;
-	rig_t rig;
+	fixture_t fixture;
 	int32_t answers = 0;
 
 	(void)unused;
-	set_up(&rig);
+	fixture_init(&fixture);
 	for (int64_t i = 0; i < 20000; i++) {
 		int32_t run_ms = g_rand_double(random) < 0.1 ? 500 : 20;
 
-		ejections += see(&rig, i, (int32_t)(i % COUNT), WWH_SIGN_GOOD,
-				 run_ms);
+		ejections += observe(&fixture, i, (int32_t)(i % MINION_COUNT),
+				     WWH_HEALTH_SIGNAL_GOOD, run_ms);
 	}
 	assert_in_range(ejections, 0, 1);
-	set_up(&rig);
-	while (!see(&rig, 100, 0, WWH_SIGN_GOOD, 200))
+	fixture_init(&fixture);
+	while (!observe(&fixture, 100, 0, WWH_HEALTH_SIGNAL_GOOD, 200))
 		answers++;
 	assert_in_range(answers, 2, 9);
 	g_rand_free(random);
@@ -169,12 +176,13 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_failing_minion_is_out_after_three_failures),
-		cmocka_unit_test(a_silent_minion_is_out_after_two),
-		cmocka_unit_test(failures_that_all_have_eject_nobody),
-		cmocka_unit_test(half_of_the_minions_always_stay),
-		cmocka_unit_test(return_is_by_probes),
-		cmocka_unit_test(a_slow_minion_is_out_and_long_work_is_no_sign),
+		cmocka_unit_test(a_minion_is_ejected_after_three_failures),
+		cmocka_unit_test(a_minion_is_ejected_after_two_silent_attempts),
+		cmocka_unit_test(failures_common_to_all_minions_eject_none),
+		cmocka_unit_test(at_most_half_of_the_minions_are_ejected),
+		cmocka_unit_test(probes_decide_the_return),
+		cmocka_unit_test(
+			a_slow_minion_is_ejected_but_long_work_ejects_none),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
