--- a/include/waxwinghollow/router.h
+++ b/include/waxwinghollow/router.h
@@ -3,35 +3,36 @@
 
 /*
  * NAME
- *	router - which minion gets a request
+ *	router - selects the minion that gets a request
  *
  * LOAD PATTERN
  *	Minions in several availability zones, some slower than others, long
- *	work among short, eight entry processes that don't see each other's
- *	load.
+ *	requests among short ones, eight entry processes that don't know each
+ *	other's load.
  *
  * WHAT GOES WRONG WITHOUT IT
  *	Round robin fills a slow minion as fast as a quick one. The least
- *	loaded of all is the same minion in every process with the same stale
- *	view: all send there at once. Without regard to zones, two thirds of
- *	the requests pay the way to another zone twice.
+ *	loaded minion of all is the same in every process that has the same
+ *	stale view: all send there at once. Without regard to zones, two thirds
+ *	of the requests cross to another zone and back.
  *
  * HOW IT DECIDES
- *	Of the minions with room that this request has not failed on: two at
- *	random in the own zone, the one with the smaller expected time (work
- *	already there plus this one, times its measured run time) wins. The
- *	same in the other zones. The own zone's one is taken unless it is
- *	expected to take three times as long as the other and 5 ms more: the
- *	way to another zone and back costs about 3 ms, and measured run times
- *	are noisy by a factor of two.
+ *	Candidates are the minions with room on which this request has not
+ *	failed. Of two random ones in the own zone, the one with the smaller
+ *	expected time (its running requests plus this one, times its measured
+ *	run time) is selected; the same is done for the other zones. The minion
+ *	of the own zone is used unless its expected time is more than three
+ *	times that of the other and more than 5 ms longer: the way to another
+ *	zone and back costs about 3 ms, and measured run times are noisy by a
+ *	factor of two.
  *
- *	A minion that has not ended any request for 8 times the service's p90
- *	run time while it has some (at least 500 ms) counts as stalled and is
- *	taken only when no other has room: a connection that went silent shows
- *	so long before its time-out.
+ *	A minion that has requests but has not ended any for 8 times the
+ *	service's p90 run time (at least 500 ms) counts as stalled and is used
+ *	only when no other has room: this detects a connection without traffic
+ *	long before its time-out.
  *
  * ORDER OF CALLS
- *	None: a pure function.
+ *	None: the functions keep no state.
  */
 
 #include <glib.h>
@@ -43,15 +44,18 @@
 	bool own_zone;
 	bool avoid; /* this request failed there, or it is stalled */
 	int32_t running;
-	double run_ms; /* measured; 0: unknown */
+	double run_ms; /* measured run time; 0: unknown */
 } wwh_router_minion_t;
 
-/* The index of the minion to use; -1: none has room. */
+/* Returns the index of the minion to use, or -1 if none has room. */
 int32_t wwh_router_pick(const wwh_router_minion_t *minions, int32_t count,
 			GRand *random);
 
-/* now_ms against the last end, or the start of the first that runs. */
-bool wwh_router_stalled(int64_t now_ms, int32_t running, int64_t quiet_since_ms,
-			int32_t p90_ms);
+/*
+ * quiet_since_ms is the time at which a request last ended on the minion, or at
+ * which the first of the running ones started, whichever is later.
+ */
+bool wwh_router_is_stalled(int64_t now_ms, int32_t running,
+			   int64_t quiet_since_ms, int32_t p90_ms);
 
 #endif
--- a/src/libwaxwinghollow/admission.c
+++ b/src/libwaxwinghollow/admission.c
@@ -8,37 +8,37 @@
 
 #define WAIT_MARGIN 1.5
 #define BURST_DEADLINES 1.0
-#define STANDING_PART 0.2
+#define STANDING_QUEUE_RATIO 0.2
 #define COST_ROWS 256 /* callers that share a row share an estimate */
 #define COST_WEIGHT 0.2
 #define MEAN_WEIGHT 0.05
 #define RATE_SLACK 1.2
-#define FIRST_RUN_MS 50.0 /* until the first answer */
+#define FIRST_RUN_MS 50.0 /* assumed until the first answer */
 #define RETRY_AFTER_MAX_MS 60000
 #define CLASS_COUNT 2
-#define SWEEP_SIZE 64
+#define SWEEP_MIN_COUNT 64
 
-/* A class, a team of a class or a caller of a team. */
+/* The queue of a class, of a team of a class or of a caller of a team. */
 struct wwh_flow {
 	wwh_heap_node_t node; /* in the parent's heap while something waits */
 	wwh_flow_t *parent;
 	wwh_heap_t children;
-	GHashTable *by_key; /* children, the idle ones too; for lookup only */
-	GQueue requests; /* of a caller: wwh_waiting_t */
+	GHashTable *by_key; /* all children, also idle ones; for lookup */
+	GQueue requests; /* wwh_waiting_t; used by callers only */
 	uint64_t key;
-	uint32_t sweep_size; /* of by_key at which idle children are freed */
+	uint32_t sweep_threshold; /* count at which spent children are freed */
 	int32_t waiting;
 	int64_t bytes;
-	double served; /* virtual time: the start tag served last */
-	double finish; /* own finish tag in the parent's virtual time */
+	double virtual_time; /* start tag of the child that started last */
+	double finish_tag; /* in the parent's virtual time */
 };
 
 typedef struct {
 	wwh_flow_t root;
 	wwh_rate_t drain;
-	int64_t standing_ms; /* since when something waits all the time */
-	double promised; /* refused requests told to return */
-	int64_t promised_ms;
+	int64_t standing_ms; /* since when the queue has not been empty */
+	double expected_returns; /* refused requests that will be sent again */
+	int64_t expected_returns_ms; /* time of its last update */
 } class_t;
 
 struct wwh_admission {
@@ -46,8 +46,8 @@
 	class_t classes[CLASS_COUNT]; /* urgent first */
 	int32_t waiting;
 	int64_t bytes;
-	int32_t urgent_starts; /* in a row while bulk waited */
-	uint64_t last_number;
+	int32_t urgent_starts; /* in succession while bulk waited */
+	uint64_t last_tie_breaker;
 	double capacity;
 	wwh_quantile_t median;
 	wwh_quantile_t p90;
@@ -62,17 +62,17 @@
 };
 
 static class_t *class_of(const wwh_admission_t *admission, bool urgent);
-static class_t *class_in_turn(const wwh_admission_t *admission);
-static double prior_per_ms(const wwh_admission_t *admission);
+static class_t *next_class(const wwh_admission_t *admission);
+static double capacity_per_ms(const wwh_admission_t *admission);
 static double class_rate(const wwh_admission_t *admission,
 			 const class_t *class);
-static double run_need_ms(double run_ms, int64_t remaining_ms);
+static double reserved_run_ms(double run_ms, int64_t remaining_ms);
 static double expected_ahead(const class_t *class,
 			     const wwh_waiting_t *waiting);
-static double queue_part(const class_t *class, int64_t now_ms,
-			 int64_t remaining_ms);
-static bool over_bound(const wwh_admission_t *admission,
-		       const wwh_waiting_t *waiting);
+static double admitted_wait_ratio(const class_t *class, int64_t now_ms,
+				  int64_t remaining_ms);
+static bool exceeds_bounds(const wwh_admission_t *admission,
+			   const wwh_waiting_t *waiting);
 static void insert(wwh_admission_t *admission, int64_t now_ms,
 		   wwh_waiting_t *waiting, bool first);
 static void detach(wwh_admission_t *admission, int64_t now_ms,
@@ -80,13 +80,14 @@
 static wwh_flow_t *find_child(const wwh_flow_t *flow, uint64_t key);
 static wwh_flow_t *get_child(wwh_admission_t *admission, wwh_flow_t *flow,
 			     uint64_t key, bool leaf);
-static void sweep(wwh_flow_t *flow);
+static void free_spent_children(wwh_flow_t *flow);
 static gboolean is_spent(gpointer key, gpointer value, gpointer client_data);
 static void activate(wwh_flow_t *flow);
 static void charge(wwh_flow_t *flow, double cost);
-static void release_idle(wwh_flow_t *root);
+static void reset_class(wwh_flow_t *root);
 static void delete_flow(gpointer data);
-static double drain_promised(class_t *class, int64_t now_ms, double rate);
+static double drain_expected_returns(class_t *class, int64_t now_ms,
+				     double rate);
 
 void wwh_admission_options_defaults(wwh_admission_options_t *options)
 {
@@ -119,7 +120,7 @@
 	g_free(admission);
 }
 
-void wwh_admission_capacity(wwh_admission_t *admission, double slots)
+void wwh_admission_set_capacity(wwh_admission_t *admission, double slots)
 {
 	admission->capacity = slots > 0 ? slots : 0;
 }
@@ -133,31 +134,31 @@
 	int64_t remaining_ms = waiting->deadline_ms - now_ms;
 	double need_ms, wait_ms, bound_ms;
 
-	if (over_bound(admission, waiting))
+	if (exceeds_bounds(admission, waiting))
 		return WWH_ADMISSION_QUEUE_FULL;
 	if (remaining_ms <= 0)
 		return WWH_ADMISSION_WAIT_TOO_LONG;
 	if (!can_start || admission->waiting > 0) {
 		wwh_rate_advance(&class->drain, now_ms,
 				 class->root.waiting > 0);
-		need_ms = run_need_ms(admission->p90.value, remaining_ms);
+		need_ms = reserved_run_ms(admission->p90.value, remaining_ms);
 		wait_ms = (expected_ahead(class, waiting) + 1) /
 			  class_rate(admission, class);
 		bound_ms = ((double)remaining_ms - need_ms) / WAIT_MARGIN;
-		bound_ms *= queue_part(class, now_ms, remaining_ms);
+		bound_ms *= admitted_wait_ratio(class, now_ms, remaining_ms);
 		if (wait_ms > bound_ms)
 			return WWH_ADMISSION_WAIT_TOO_LONG;
 	}
 	waiting->arrived_ms = now_ms;
 	waiting->waits = !can_start || admission->waiting > 0;
-	need_ms = run_need_ms(admission->median.value, remaining_ms);
-	waiting->give_up_ms = waiting->deadline_ms - (int64_t)need_ms;
+	need_ms = reserved_run_ms(admission->median.value, remaining_ms);
+	waiting->latest_start_ms = waiting->deadline_ms - (int64_t)need_ms;
 	insert(admission, now_ms, waiting, false);
-	return WWH_ADMISSION_IN;
+	return WWH_ADMISSION_ADMITTED;
 }
 
-void wwh_admission_return(wwh_admission_t *admission, int64_t now_ms,
-			  wwh_waiting_t *waiting)
+void wwh_admission_requeue(wwh_admission_t *admission, int64_t now_ms,
+			   wwh_waiting_t *waiting)
 {
 	waiting->waits = true;
 	insert(admission, now_ms, waiting, true);
@@ -169,22 +170,22 @@
 
 	if (admission->waiting == 0)
 		return NULL;
-	flow = &class_in_turn(admission)->root;
+	flow = &next_class(admission)->root;
 	while (flow->by_key != NULL)
 		flow = wwh_heap_first(&flow->children)->owner;
 	return g_queue_peek_head(&flow->requests);
 }
 
-void wwh_admission_take(wwh_admission_t *admission, int64_t now_ms,
-			wwh_waiting_t *waiting)
+void wwh_admission_start(wwh_admission_t *admission, int64_t now_ms,
+			 wwh_waiting_t *waiting)
 {
 	class_t *class = class_of(admission, waiting->urgent);
 	wwh_flow_t *caller = waiting->flow;
-	double cost = wwh_admission_caller_ms(admission, waiting->caller);
+	double cost = wwh_admission_caller_run_ms(admission, waiting->caller);
 
 	assert(caller != NULL);
 	wwh_rate_advance(&class->drain, now_ms, true);
-	/* A start without a wait says nothing about how fast waits end. */
+	/* A start without a wait is no sample of the drain rate. */
 	if (waiting->waits)
 		wwh_rate_event(&class->drain);
 	if (class_of(admission, false)->root.waiting == 0 || !waiting->urgent)
@@ -202,8 +203,8 @@
 	detach(admission, now_ms, waiting);
 }
 
-void wwh_admission_ran(wwh_admission_t *admission, uint64_t caller,
-		       int32_t run_ms)
+void wwh_admission_record_run(wwh_admission_t *admission, uint64_t caller,
+			      int32_t run_ms)
 {
 	double *cost = &admission->cost_ms[caller % COST_ROWS];
 
@@ -226,9 +227,10 @@
 
 	wwh_rate_advance(&class->drain, now_ms, class->root.waiting > 0);
 	rate = class_rate(admission, class);
-	wait_ms = (class->root.waiting + drain_promised(class, now_ms, rate)) /
+	wait_ms = (class->root.waiting +
+		   drain_expected_returns(class, now_ms, rate)) /
 		  rate;
-	class->promised += 1;
+	class->expected_returns += 1;
 	if (wait_ms < floor_ms)
 		return floor_ms;
 	return wait_ms > RETRY_AFTER_MAX_MS ? RETRY_AFTER_MAX_MS
@@ -245,7 +247,7 @@
 	return admission->bytes;
 }
 
-int32_t wwh_admission_callers(const wwh_admission_t *admission)
+int32_t wwh_admission_waiting_callers(const wwh_admission_t *admission)
 {
 	int32_t callers = 0;
 
@@ -271,8 +273,8 @@
 	return (int32_t)ceil(admission->p90.value);
 }
 
-int32_t wwh_admission_caller_ms(const wwh_admission_t *admission,
-				uint64_t caller)
+int32_t wwh_admission_caller_run_ms(const wwh_admission_t *admission,
+				    uint64_t caller)
 {
 	double cost = admission->cost_ms[caller % COST_ROWS];
 
@@ -291,7 +293,7 @@
 	return (class_t *)&admission->classes[urgent ? 0 : 1];
 }
 
-static class_t *class_in_turn(const wwh_admission_t *admission)
+static class_t *next_class(const wwh_admission_t *admission)
 {
 	class_t *urgent = class_of(admission, true);
 	class_t *bulk = class_of(admission, false);
@@ -305,7 +307,7 @@
 	return urgent;
 }
 
-static double prior_per_ms(const wwh_admission_t *admission)
+static double capacity_per_ms(const wwh_admission_t *admission)
 {
 	double run_ms =
 		admission->mean_ms > 0 ? admission->mean_ms : FIRST_RUN_MS;
@@ -315,29 +317,29 @@
 }
 
 /*
- * Attempts that fail at once empty the queue quickly without an answer; after
- * an outage their rate would let in much more than can be served. Slots over
- * run time (Little's law) bounds it.
+ * Attempts that fail at once drain the queue quickly without an answer; after
+ * an outage their rate would admit many more requests than can be served. The
+ * rate is therefore bounded by slots over run time (Little's law).
  */
 static double class_rate(const wwh_admission_t *admission, const class_t *class)
 {
-	double bound = prior_per_ms(admission);
+	double bound = capacity_per_ms(admission);
 
 	return fmin(wwh_rate_per_ms(&class->drain, bound), RATE_SLACK * bound);
 }
 
 /*
- * The time to keep for running. At most half of what remains: work that runs
- * longer than usual would otherwise never be let in.
+ * The part of the remaining time that is reserved for the run. It is at most
+ * half: requests that run longer than usual would otherwise never be admitted.
  */
-static double run_need_ms(double run_ms, int64_t remaining_ms)
+static double reserved_run_ms(double run_ms, int64_t remaining_ms)
 {
 	double half = (double)remaining_ms / 2;
 
 	return run_ms < half ? run_ms : half;
 }
 
-/* Requests of the class that will start earlier than a new one would. */
+/* The number of requests of the class that will start before a new one. */
 static double expected_ahead(const class_t *class, const wwh_waiting_t *waiting)
 {
 	const wwh_flow_t *team = find_child(&class->root, waiting->team);
@@ -361,13 +363,12 @@
 }
 
 /*
- * The part of the possible wait that is let in. All of it in a burst; when
- * the queue has not been empty for longer than a deadline, more waiting
- * brings no more answers, only later ones, and estimates that are wrong turn
- * into late refusals.
+ * The part of the possible wait that is admitted: all of it in a burst. Once
+ * the queue has not been empty for longer than a deadline, longer waits lead to
+ * later answers, not to more of them, and wrong estimates to late refusals.
  */
-static double queue_part(const class_t *class, int64_t now_ms,
-			 int64_t remaining_ms)
+static double admitted_wait_ratio(const class_t *class, int64_t now_ms,
+				  int64_t remaining_ms)
 {
 	double standing;
 
@@ -377,12 +378,12 @@
 	if (standing <= BURST_DEADLINES)
 		return 1;
 	if (standing >= BURST_DEADLINES + 1)
-		return STANDING_PART;
-	return 1 - (1 - STANDING_PART) * (standing - BURST_DEADLINES);
+		return STANDING_QUEUE_RATIO;
+	return 1 - (1 - STANDING_QUEUE_RATIO) * (standing - BURST_DEADLINES);
 }
 
-static bool over_bound(const wwh_admission_t *admission,
-		       const wwh_waiting_t *waiting)
+static bool exceeds_bounds(const wwh_admission_t *admission,
+			   const wwh_waiting_t *waiting)
 {
 	const class_t *class = class_of(admission, waiting->urgent);
 	int32_t free_count = admission->options.count_max - admission->waiting;
@@ -447,7 +448,7 @@
 	admission->bytes -= waiting->bytes;
 	wwh_rate_advance(&class->drain, now_ms, class->root.waiting > 0);
 	if (class->root.waiting == 0)
-		release_idle(&class->root);
+		reset_class(&class->root);
 }
 
 static wwh_flow_t *find_child(const wwh_flow_t *flow, uint64_t key)
@@ -462,13 +463,13 @@
 
 	if (child != NULL)
 		return child;
-	sweep(flow);
+	free_spent_children(flow);
 	child = g_new0(wwh_flow_t, 1);
 	child->key = key;
 	child->parent = flow;
-	child->finish = flow->served;
+	child->finish_tag = flow->virtual_time;
 	child->node.owner = child;
-	child->node.tie_breaker = ++admission->last_number;
+	child->node.tie_breaker = ++admission->last_tie_breaker;
 	if (!leaf)
 		child->by_key = g_hash_table_new_full(
 			g_int64_hash, g_int64_equal, NULL, delete_flow);
@@ -477,15 +478,16 @@
 }
 
 /*
- * Idle children that are owed nothing are freed, else a class that is never
- * empty would keep a record of every caller it ever saw.
+ * Frees idle children whose finish tag has passed; otherwise a class that is
+ * never empty would store every caller that ever sent a request.
  */
-static void sweep(wwh_flow_t *flow)
+static void free_spent_children(wwh_flow_t *flow)
 {
-	if (g_hash_table_size(flow->by_key) < MAX(flow->sweep_size, SWEEP_SIZE))
+	if (g_hash_table_size(flow->by_key) <
+	    MAX(flow->sweep_threshold, SWEEP_MIN_COUNT))
 		return;
 	g_hash_table_foreach_remove(flow->by_key, is_spent, flow);
-	flow->sweep_size = 2 * g_hash_table_size(flow->by_key);
+	flow->sweep_threshold = 2 * g_hash_table_size(flow->by_key);
 }
 
 static gboolean is_spent(gpointer key, gpointer value, gpointer client_data)
@@ -494,33 +496,33 @@
 	const wwh_flow_t *parent = client_data;
 
 	(void)key;
-	return child->waiting == 0 && child->finish <= parent->served;
+	return child->waiting == 0 && child->finish_tag <= parent->virtual_time;
 }
 
-/* Into its parent's order; one that was idle gets no credit for that time. */
+/* Inserts flow into its parent's heap. Idle time earns no credit. */
 static void activate(wwh_flow_t *flow)
 {
 	assert(flow->parent != NULL);
 	if (flow->node.position != 0)
 		return;
-	flow->node.key = MAX(flow->finish, flow->parent->served);
+	flow->node.key = MAX(flow->finish_tag, flow->parent->virtual_time);
 	wwh_heap_insert(&flow->parent->children, &flow->node);
 }
 
 static void charge(wwh_flow_t *flow, double cost)
 {
 	assert(flow->parent != NULL);
-	flow->parent->served = flow->node.key;
-	flow->finish = flow->node.key + cost;
-	flow->node.key = flow->finish;
+	flow->parent->virtual_time = flow->node.key;
+	flow->finish_tag = flow->node.key + cost;
+	flow->node.key = flow->finish_tag;
 	wwh_heap_update(&flow->parent->children, &flow->node);
 }
 
-/* With nothing waiting, nobody is owed anything: the class starts anew. */
-static void release_idle(wwh_flow_t *root)
+/* Without waiting requests there is no order to preserve: resets the class. */
+static void reset_class(wwh_flow_t *root)
 {
 	g_hash_table_remove_all(root->by_key);
-	root->served = 0;
+	root->virtual_time = 0;
 }
 
 static void delete_flow(gpointer data)
@@ -533,13 +535,14 @@
 	g_free(flow);
 }
 
-static double drain_promised(class_t *class, int64_t now_ms, double rate)
+static double drain_expected_returns(class_t *class, int64_t now_ms,
+				     double rate)
 {
-	double passed = (double)(now_ms - class->promised_ms);
+	double passed = (double)(now_ms - class->expected_returns_ms);
 
-	class->promised -= passed * rate;
-	if (class->promised < 0)
-		class->promised = 0;
-	class->promised_ms = now_ms;
-	return class->promised;
+	class->expected_returns -= passed * rate;
+	if (class->expected_returns < 0)
+		class->expected_returns = 0;
+	class->expected_returns_ms = now_ms;
+	return class->expected_returns;
 }
--- a/src/libwaxwinghollow/dispatch.c
+++ b/src/libwaxwinghollow/dispatch.c
@@ -103,7 +103,7 @@
 	verdict = wwh_admission_offer(
 		service->admission, now_ms, &record->waiting,
 		wwh_dispatch_can_start(dispatch, now_ms, service));
-	if (verdict == WWH_ADMISSION_IN) {
+	if (verdict == WWH_ADMISSION_ADMITTED) {
 		let_in(dispatch, now_ms, record);
 		return;
 	}
@@ -123,8 +123,8 @@
 		return;
 	request->service->cancelled++;
 	if (request->state != WWH_REQUEST_RUNNING)
-		kind = wwh_retry_truthful(WWH_ERROR_CALLER_GONE_NOT_RUN,
-					  request->may_have_run);
+		kind = wwh_retry_reported_kind(WWH_ERROR_CALLER_GONE_NOT_RUN,
+					       request->may_have_run);
 	wwh_dispatch_end(dispatch, now_ms, request, kind, 0);
 }
 
@@ -328,7 +328,7 @@
 	dispatch->waiting_bytes += record->waiting.bytes;
 	record->state = WWH_REQUEST_WAITING;
 	wwh_dispatch_set_timer(dispatch, &dispatch->timers, &record->timer,
-			       record->waiting.give_up_ms);
+			       record->waiting.latest_start_ms);
 	wwh_dispatch_pump(dispatch, now_ms, service);
 }
 
@@ -348,10 +348,11 @@
 
 		if (request->minion != NULL)
 			continue;
-		wwh_dispatch_end(dispatch, now_ms, request,
-				 wwh_retry_truthful(WWH_ERROR_SHUTTING_DOWN,
-						    request->may_have_run),
-				 SHUTDOWN_RETRY_MS);
+		wwh_dispatch_end(
+			dispatch, now_ms, request,
+			wwh_retry_reported_kind(WWH_ERROR_SHUTTING_DOWN,
+						request->may_have_run),
+			SHUTDOWN_RETRY_MS);
 	}
 	g_ptr_array_free(requests, TRUE);
 }
@@ -383,7 +384,7 @@
 		kind = WWH_ERROR_NO_SUCH_SERVICE;
 	else if (now_ms < request->waiting.deadline_ms)
 		kind = WWH_ERROR_WAIT_TOO_LONG;
-	kind = wwh_retry_truthful(kind, request->may_have_run);
+	kind = wwh_retry_reported_kind(kind, request->may_have_run);
 	wwh_dispatch_end(dispatch, now_ms, request, kind,
 			 wwh_dispatch_retry_after(dispatch, now_ms, service,
 						  request->waiting.urgent,
--- a/src/libwaxwinghollow/dispatch_dump.c
+++ b/src/libwaxwinghollow/dispatch_dump.c
@@ -57,7 +57,7 @@
 
 	show(&own, "waiting", wwh_admission_waiting(admission));
 	show(&own, "waiting_bytes", wwh_admission_waiting_bytes(admission));
-	show(&own, "waiting_callers", wwh_admission_callers(admission));
+	show(&own, "waiting_callers", wwh_admission_waiting_callers(admission));
 	show(&own, "running", service->running);
 	show(&own, "arrived", service->arrived);
 	show(&own, "answered", service->answered);
--- a/src/libwaxwinghollow/dispatch_loan.c
+++ b/src/libwaxwinghollow/dispatch_loan.c
@@ -23,7 +23,7 @@
 
 		return_idle(minion, peer);
 		lend_idle(minion, peer);
-		if (wwh_bearing_advance(&minion->bearing, now_ms))
+		if (wwh_slot_limit_advance(&minion->bearing, now_ms))
 			wwh_dispatch_set_seats(dispatch, minion);
 		loan.wanted = wanted_slots(minion, now_ms);
 		loan.bears = minion->bearing.bears;
@@ -46,8 +46,8 @@
 	if (minion == NULL)
 		return;
 	gained = wwh_loan_hear(minion->loans, peer, loan->totals);
-	if (wwh_bearing_hear(&minion->bearing, now_ms, loan->bears_version,
-			     loan->bears))
+	if (wwh_slot_limit_handle_update(&minion->bearing, now_ms,
+					 loan->bears_version, loan->bears))
 		wwh_dispatch_set_seats(dispatch, minion);
 	wwh_loan_want(minion->loans, peer, loan->wanted);
 	wwh_dispatch_apply_share(minion);
--- a/src/libwaxwinghollow/dispatch_run.c
+++ b/src/libwaxwinghollow/dispatch_run.c
@@ -90,13 +90,13 @@
 	int64_t need_ms = wwh_admission_median_ms(admission);
 
 	request->state = WWH_REQUEST_WAITING;
-	request->waiting.give_up_ms =
+	request->waiting.latest_start_ms =
 		request->waiting.deadline_ms - MIN(need_ms, remaining_ms / 2);
-	wwh_admission_return(admission, now_ms, &request->waiting);
+	wwh_admission_requeue(admission, now_ms, &request->waiting);
 	dispatch->waiting++;
 	dispatch->waiting_bytes += request->waiting.bytes;
 	wwh_dispatch_set_timer(dispatch, &dispatch->timers, &request->timer,
-			       request->waiting.give_up_ms);
+			       request->waiting.latest_start_ms);
 }
 
 void wwh_dispatch_attempt_ended(wwh_dispatch_t *dispatch, int64_t now_ms,
@@ -127,7 +127,7 @@
 				    dispatch->options.random);
 	request->may_have_run = decision.may_have_run;
 	request->retry_after_ms = result->retry_after_ms;
-	if (decision.again && !dispatch->closed && service->configured) {
+	if (decision.should_retry && !dispatch->closed && service->configured) {
 		service->retries++;
 		back_off(dispatch, now_ms, request, decision.delay_ms);
 		return;
@@ -232,8 +232,8 @@
 		routed[i].run_ms = minion->ejection.run_ms.value;
 		routed[i].avoid =
 			was_tried(request, minion) ||
-			wwh_router_stalled(now_ms, minion->limiter.running,
-					   minion->quiet_since_ms, p90_ms);
+			wwh_router_is_stalled(now_ms, minion->limiter.running,
+					      minion->quiet_since_ms, p90_ms);
 	}
 	index = wwh_router_pick(routed, count, dispatch->options.random);
 	return index < 0 ? NULL : g_ptr_array_index(service->minions, index);
@@ -305,7 +305,7 @@
 	wwh_decision_t decision = { .type = WWH_DECISION_START };
 
 	if (request->attempts == 0)
-		wwh_retry_first_attempt(&service->budget);
+		wwh_retry_credit_first_attempt(&service->budget);
 	request->attempts++;
 	request->minion = minion;
 	request->state = WWH_REQUEST_RUNNING;
@@ -342,7 +342,7 @@
 		(int64_t)TIMEOUT_RUNS * wwh_admission_p90_ms(admission);
 	int64_t caller_ms =
 		(int64_t)TIMEOUT_CALLER_RUNS *
-		wwh_admission_caller_ms(admission, request->waiting.caller);
+		wwh_admission_caller_run_ms(admission, request->waiting.caller);
 	int64_t least_ms = MAX(MAX(runs_ms, caller_ms), remaining_ms / 2);
 
 	if (request->idempotent &&
@@ -422,8 +422,9 @@
 			     result->latency_ms);
 	if (result->outcome == WWH_OUTCOME_ANSWERED) {
 		service->answered++;
-		wwh_admission_ran(service->admission, request->waiting.caller,
-				  result->latency_ms);
+		wwh_admission_record_run(service->admission,
+					 request->waiting.caller,
+					 result->latency_ms);
 	}
 	minion->failed += sign == WWH_SIGN_FAILED || sign == WWH_SIGN_SILENT;
 	minion->refused += result->outcome == WWH_OUTCOME_REFUSED;
@@ -502,11 +503,11 @@
 			  wwh_outcome_t outcome)
 {
 	if (outcome == WWH_OUTCOME_REFUSED)
-		return wwh_bearing_refused(&minion->bearing, now_ms,
-					   minion->limiter.run_ms);
+		return wwh_slot_limit_record_refusal(&minion->bearing, now_ms,
+						     minion->limiter.run_ms);
 	if (outcome == WWH_OUTCOME_ANSWERED)
-		wwh_bearing_answered(&minion->bearing);
-	return wwh_bearing_advance(&minion->bearing, now_ms);
+		wwh_slot_limit_record_answer(&minion->bearing);
+	return wwh_slot_limit_advance(&minion->bearing, now_ms);
 }
 
 static bool other_usable(const wwh_request_record_t *request,
@@ -549,7 +550,7 @@
 	dispatch->waiting--;
 	dispatch->waiting_bytes -= request->waiting.bytes;
 	if (starts)
-		wwh_admission_take(admission, now_ms, &request->waiting);
+		wwh_admission_start(admission, now_ms, &request->waiting);
 	else
 		wwh_admission_remove(admission, now_ms, &request->waiting);
 }
--- a/src/libwaxwinghollow/dispatch_setup.c
+++ b/src/libwaxwinghollow/dispatch_setup.c
@@ -167,7 +167,7 @@
 		    minion->ejection.state == WWH_EJECTION_IN)
 			slots += minion->limiter.share;
 	}
-	wwh_admission_capacity(service->admission, slots);
+	wwh_admission_set_capacity(service->admission, slots);
 }
 
 bool wwh_minion_takes_work(const wwh_minion_record_t *minion)
@@ -231,7 +231,7 @@
 		minion->own_zone = g_strcmp0(from->zone, dispatch->zone) == 0;
 		/* Declared anew, it is believed anew. */
 		if (minion->slots != from->slots)
-			wwh_bearing_init(&minion->bearing, from->slots);
+			wwh_slot_limit_init(&minion->bearing, from->slots);
 		minion->slots = from->slots;
 		minion->connections = from->connections;
 		minion->configured_leaving = from->leaving;
@@ -321,10 +321,11 @@
 	while (waiting != NULL) {
 		wwh_request_record_t *request = waiting->owner;
 
-		wwh_dispatch_end(dispatch, now_ms, request,
-				 wwh_retry_truthful(WWH_ERROR_NO_SUCH_SERVICE,
-						    request->may_have_run),
-				 0);
+		wwh_dispatch_end(
+			dispatch, now_ms, request,
+			wwh_retry_reported_kind(WWH_ERROR_NO_SUCH_SERVICE,
+						request->may_have_run),
+			0);
 		waiting = wwh_admission_peek(service->admission);
 	}
 }
--- a/src/libwaxwinghollow/entry_exchange.c
+++ b/src/libwaxwinghollow/entry_exchange.c
@@ -84,8 +84,8 @@
 				.bears_version = (uint32_t)item->bears_version,
 			};
 
-			wwh_request_table_loan_hear(peers->entry->requests,
-						    message.process, &loan);
+			wwh_request_table_handle_loan(peers->entry->requests,
+						      message.process, &loan);
 		}
 		/* it may have departed, and been forgotten, meanwhile */
 		if (!wwh_seats_is_member(peers->entry->seats, message.process))
@@ -114,9 +114,9 @@
 			continue;
 		wwh_loan_message_init(&message);
 		message.process = wwh_seat_process(peers->entry->author);
-		wwh_request_table_loans_tell(peers->entry->requests,
-					     target->process, add_loan,
-					     &message);
+		wwh_request_table_report_loans(peers->entry->requests,
+					       target->process, add_loan,
+					       &message);
 		if (message.items->len > 0) {
 			bytes = wwh_loan_message_encode(&message);
 			wwh_peers_send(peers, target->address, WWH_FRAME_LOAN,
--- a/src/libwaxwinghollow/entry_peers.c
+++ b/src/libwaxwinghollow/entry_peers.c
@@ -193,8 +193,8 @@
 	}
 	g_mutex_unlock(&peers->lock);
 	if (leaving)
-		wwh_request_table_minion_state(peers->entry->requests, minion,
-					       WWH_MINION_LEAVING);
+		wwh_request_table_set_minion_state(peers->entry->requests,
+						   minion, WWH_MINION_LEAVING);
 }
 
 void wwh_entry_peers_ask_votes(wwh_entry_peers_t *peers)
@@ -241,7 +241,7 @@
 
 void wwh_entry_peers_forget(wwh_entry_peers_t *peers, uint64_t process)
 {
-	wwh_request_table_loans_forget(peers->entry->requests, process);
+	wwh_request_table_forget_loans(peers->entry->requests, process);
 }
 
 int32_t wwh_entry_peers_rank(wwh_entry_peers_t *peers, int32_t *count)
@@ -414,8 +414,8 @@
 			continue;
 		g_hash_table_insert(peers->minion_states, g_strdup(id),
 				    GINT_TO_POINTER(state));
-		wwh_request_table_minion_state(peers->entry->requests, id,
-					       state);
+		wwh_request_table_set_minion_state(peers->entry->requests, id,
+						   state);
 		g_message("minion %s: %s", id, wwh_minion_state_names[state]);
 	}
 	g_mutex_unlock(&peers->lock);
--- a/src/libwaxwinghollow/entry_seats.c
+++ b/src/libwaxwinghollow/entry_seats.c
@@ -152,7 +152,8 @@
 {
 	g_mutex_lock(&seats->lock);
 	wwh_counter_add(seats->votes, 1);
-	wwh_seat_lease_member(&seats->lease, &seats->table, seats->mask, vote);
+	wwh_seat_lease_renew_by_vote(&seats->lease, &seats->table, seats->mask,
+				     vote);
 	g_mutex_unlock(&seats->lock);
 }
 
@@ -237,7 +238,7 @@
 	int32_t index = index_of(&seats->table, seats->process);
 
 	if (index >= 0 && !seats->table.members[index].evicted && sent_ms > 0)
-		wwh_seat_lease_log(&seats->lease, sent_ms);
+		wwh_seat_lease_renew_by_log(&seats->lease, sent_ms);
 }
 
 static bool plan(wwh_seats_t *seats, int64_t now_ms, bool giving,
--- a/src/libwaxwinghollow/include/private/dispatch_state.h
+++ b/src/libwaxwinghollow/include/private/dispatch_state.h
@@ -72,7 +72,7 @@
 	int32_t seat_connections;
 	wwh_loan_book_t *loans;
 	wwh_limiter_t limiter;
-	wwh_bearing_t bearing;
+	wwh_slot_limit_t bearing;
 	wwh_ejection_t ejection;
 	int64_t blocked_until_ms; /* its Retry-After */
 	int64_t quiet_since_ms; /* last end, or start of the first */
--- a/src/libwaxwinghollow/include/private/request_table.h
+++ b/src/libwaxwinghollow/include/private/request_table.h
@@ -2,9 +2,9 @@
 #define WAXWINGHOLLOW_PRIVATE_REQUEST_TABLE_H
 
 /*
- * The dispatcher of one process behind one lock, and the threads of requests
- * that wait for its decisions. A thread of its own gives the dispatcher its
- * ticks, so that a deadline passes also when nothing else happens.
+ * The dispatcher of one process, protected by one lock, and the requests whose
+ * threads wait for its decisions. A separate thread calls wwh_dispatch_tick, so
+ * that a deadline is also enforced when nothing else happens.
  */
 
 #include <stdbool.h>
@@ -26,60 +26,61 @@
 void wwh_request_table_set_share(wwh_request_table_t *table,
 				 const wwh_dispatch_share_t *share);
 bool wwh_request_table_share_settled(wwh_request_table_t *table);
-void wwh_request_table_minion_state(wwh_request_table_t *table,
-				    const char *minion,
-				    wwh_minion_state_t state);
-void wwh_request_table_loans_tell(wwh_request_table_t *table, uint64_t peer,
-				  wwh_dispatch_loan_visit_t visit,
-				  void *client_data);
-void wwh_request_table_loan_hear(wwh_request_table_t *table, uint64_t peer,
-				 const wwh_dispatch_loan_t *loan);
-void wwh_request_table_loans_forget(wwh_request_table_t *table, uint64_t peer);
+void wwh_request_table_set_minion_state(wwh_request_table_t *table,
+					const char *minion,
+					wwh_minion_state_t state);
+void wwh_request_table_report_loans(wwh_request_table_t *table, uint64_t peer,
+				    wwh_dispatch_loan_visit_t visit,
+				    void *client_data);
+void wwh_request_table_handle_loan(wwh_request_table_t *table, uint64_t peer,
+				   const wwh_dispatch_loan_t *loan);
+void wwh_request_table_forget_loans(wwh_request_table_t *table, uint64_t peer);
 void wwh_request_table_close(wwh_request_table_t *table);
 int32_t wwh_request_table_waiting(wwh_request_table_t *table);
 int32_t wwh_request_table_running(wwh_request_table_t *table);
-/* Requests that are with a minion now. */
+/* Number of requests that the minion processes now. */
 int32_t wwh_request_table_minion_running(wwh_request_table_t *table,
 					 const char *minion);
 void wwh_request_table_dump(wwh_request_table_t *table,
 			    wwh_counter_visit_t visit, void *client_data);
 
-/* request->id is given by the table. */
+/* The table assigns request->id. */
 wwh_request_t *wwh_request_begin(wwh_request_table_t *table,
 				 const wwh_dispatch_request_t *request);
 uint64_t wwh_request_id(const wwh_request_t *request);
 
 /*
- * Waits for the next decision. When the caller goes away meanwhile, the
- * request is cancelled and false comes back; it then has no more decisions.
+ * Waits for the next decision. Returns false if the request has ended. If the
+ * caller disconnects meanwhile, the request is cancelled and the result is
+ * false.
  */
-bool wwh_request_next(wwh_request_t *request, int caller_fd,
-		      wwh_decision_t *decision);
+bool wwh_request_wait_decision(wwh_request_t *request, int caller_fd,
+			       wwh_decision_t *decision);
 void wwh_request_finished(wwh_request_t *request,
 			  const wwh_dispatch_result_t *result);
 
-/* Whether the request was refused as it arrived. */
+/* Whether the request was refused on arrival: its next decision is END. */
 bool wwh_request_refused(wwh_request_t *request);
 
 /*
- * Cancels what has not ended, and frees the request. True when its intent was
- * accepted.
+ * Cancels the request unless it has ended, and frees it. Returns true if its
+ * intent was accepted.
  */
 bool wwh_request_end(wwh_request_t *request);
 
 /*
- * The verdict on the intent of request id was read back. False when the
- * request is over: then it was never sent.
+ * Stores the verdict on the intent of request id, as read back from the log.
+ * Returns false if the request is over: then it was never sent.
  */
 bool wwh_request_table_intent_settled(wwh_request_table_t *table, uint64_t id,
 				      wwh_intent_verdict_t verdict);
 
-/* The intent of request id is surely not on the log. */
+/* Records that the intent of request id is certainly not on the log. */
 void wwh_request_table_intent_failed(wwh_request_table_t *table, uint64_t id);
 
 /*
- * False when there is no verdict by until_ms, the intent could not be
- * recorded, or the caller has gone.
+ * Waits for the verdict on the intent. Returns false if there is none by
+ * until_ms, the intent could not be recorded, or the caller has disconnected.
  */
 bool wwh_request_wait_intent(wwh_request_t *request, int caller_fd,
 			     int64_t until_ms, wwh_intent_verdict_t *verdict);
--- a/src/libwaxwinghollow/limiter.c
+++ b/src/libwaxwinghollow/limiter.c
@@ -7,16 +7,16 @@
 #define RUN_WEIGHT 0.1
 #define RUN_MIN_MS 5.0
 #define PAUSE_MAX_MS 2000.0
-#define CUT_PART 8
+#define CUT_DIVISOR 8
 #define CUT_GAP_MS 100
-#define CUT_GAP_RUNS 3 /* what was started before has ended by then */
+#define CUT_GAP_RUNS 3 /* requests started before have ended by then */
 #define REFUSAL_SCORE 4
 #define CUT_SCORE 8
 #define RAISE_FIRST_MS 1000
 #define RAISE_MAX_MS 16000
 
-static void note_ceiling(wwh_bearing_t *bearing);
-static void set_bears(wwh_bearing_t *bearing, int64_t now_ms, int32_t bears);
+static void update_ceiling(wwh_slot_limit_t *limit);
+static void set_bears(wwh_slot_limit_t *limit, int64_t now_ms, int32_t bears);
 
 int32_t wwh_limiter_part(const char *minion, int32_t total, int32_t seat_count,
 			 uint64_t seats)
@@ -81,81 +81,84 @@
 	limiter->next_start_ms = now_ms + (int64_t)pause;
 }
 
-void wwh_bearing_init(wwh_bearing_t *bearing, int32_t declared)
+void wwh_slot_limit_init(wwh_slot_limit_t *limit, int32_t declared)
 {
-	*bearing = (wwh_bearing_t){ .declared = declared,
-				    .bears = declared,
-				    .wait_ms = RAISE_FIRST_MS };
+	*limit = (wwh_slot_limit_t){ .declared = declared,
+				     .bears = declared,
+				     .wait_ms = RAISE_FIRST_MS };
 }
 
-void wwh_bearing_answered(wwh_bearing_t *bearing)
+void wwh_slot_limit_record_answer(wwh_slot_limit_t *limit)
 {
-	if (bearing->score > 0)
-		bearing->score--;
+	if (limit->score > 0)
+		limit->score--;
 }
 
-bool wwh_bearing_refused(wwh_bearing_t *bearing, int64_t now_ms, double run_ms)
+bool wwh_slot_limit_record_refusal(wwh_slot_limit_t *limit, int64_t now_ms,
+				   double run_ms)
 {
 	int64_t gap_ms = CUT_GAP_MS + (int64_t)(CUT_GAP_RUNS * run_ms);
-	int32_t less = bearing->bears / CUT_PART;
+	int32_t less = limit->bears / CUT_DIVISOR;
 
-	if (now_ms - bearing->changed_ms < gap_ms || bearing->bears <= 1)
+	if (now_ms - limit->changed_ms < gap_ms || limit->bears <= 1)
 		return false;
-	bearing->score += REFUSAL_SCORE;
-	if (!bearing->raised && bearing->score < CUT_SCORE)
+	limit->score += REFUSAL_SCORE;
+	if (!limit->raised && limit->score < CUT_SCORE)
 		return false;
-	if (bearing->raised)
-		note_ceiling(bearing);
-	set_bears(bearing, now_ms, bearing->bears - (less > 1 ? less : 1));
-	bearing->version++;
+	if (limit->raised)
+		update_ceiling(limit);
+	set_bears(limit, now_ms, limit->bears - (less > 1 ? less : 1));
+	limit->version++;
 	return true;
 }
 
-bool wwh_bearing_advance(wwh_bearing_t *bearing, int64_t now_ms)
+bool wwh_slot_limit_advance(wwh_slot_limit_t *limit, int64_t now_ms)
 {
-	bool at_ceiling = bearing->bears + 1 >= bearing->ceiling;
-	int64_t wait_ms = at_ceiling ? bearing->wait_ms : RAISE_FIRST_MS;
+	bool at_ceiling = limit->bears + 1 >= limit->ceiling;
+	int64_t wait_ms = at_ceiling ? limit->wait_ms : RAISE_FIRST_MS;
 
-	if (bearing->bears >= bearing->declared ||
-	    now_ms - bearing->changed_ms < wait_ms)
+	if (limit->bears >= limit->declared ||
+	    now_ms - limit->changed_ms < wait_ms)
 		return false;
-	if (bearing->raised && bearing->bears >= bearing->ceiling &&
-	    bearing->wait_ms > RAISE_FIRST_MS)
-		bearing->wait_ms /= 2;
-	set_bears(bearing, now_ms, bearing->bears + 1);
-	bearing->version++;
+	if (limit->raised && limit->bears >= limit->ceiling &&
+	    limit->wait_ms > RAISE_FIRST_MS)
+		limit->wait_ms /= 2;
+	set_bears(limit, now_ms, limit->bears + 1);
+	limit->version++;
 	return true;
 }
 
-bool wwh_bearing_hear(wwh_bearing_t *bearing, int64_t now_ms, uint32_t version,
-		      int32_t bears)
+bool wwh_slot_limit_handle_update(wwh_slot_limit_t *limit, int64_t now_ms,
+				  uint32_t version, int32_t bears)
 {
-	if (bears < 1 || bears > bearing->declared)
+	if (bears < 1 || bears > limit->declared)
 		return false;
-	if (version < bearing->version ||
-	    (version == bearing->version && bears >= bearing->bears))
+	if (version < limit->version ||
+	    (version == limit->version && bears >= limit->bears))
 		return false;
-	/* Another process has tried one more and was refused. */
-	if (bearing->raised && bears < bearing->bears)
-		note_ceiling(bearing);
-	set_bears(bearing, now_ms, bears);
-	bearing->version = version;
+	/* Another process was refused at the raised limit. */
+	if (limit->raised && bears < limit->bears)
+		update_ceiling(limit);
+	set_bears(limit, now_ms, bears);
+	limit->version = version;
 	return true;
 }
 
-/* One more was tried and refused: the next try is later. */
-static void note_ceiling(wwh_bearing_t *bearing)
+/*
+ * Sets the ceiling to the limit that was refused. The wait doubles, unless the
+ * limit was above the previous ceiling.
+ */
+static void update_ceiling(wwh_slot_limit_t *limit)
 {
-	if (bearing->bears <= bearing->ceiling &&
-	    bearing->wait_ms < RAISE_MAX_MS)
-		bearing->wait_ms *= 2;
-	bearing->ceiling = bearing->bears;
+	if (limit->bears <= limit->ceiling && limit->wait_ms < RAISE_MAX_MS)
+		limit->wait_ms *= 2;
+	limit->ceiling = limit->bears;
 }
 
-static void set_bears(wwh_bearing_t *bearing, int64_t now_ms, int32_t bears)
+static void set_bears(wwh_slot_limit_t *limit, int64_t now_ms, int32_t bears)
 {
-	bearing->raised = bears > bearing->bears;
-	bearing->bears = bears;
-	bearing->changed_ms = now_ms;
-	bearing->score = 0;
+	limit->raised = bears > limit->bears;
+	limit->bears = bears;
+	limit->changed_ms = now_ms;
+	limit->score = 0;
 }
--- a/src/libwaxwinghollow/outcomes.c
+++ b/src/libwaxwinghollow/outcomes.c
@@ -12,7 +12,7 @@
 	char *id;
 	run_t runs[WWH_OUTCOMES_KEPT];
 	int32_t count;
-	int32_t next; /* place that the next run overwrites */
+	int32_t next; /* index that the next run overwrites */
 } worker_t;
 
 typedef struct {
@@ -25,21 +25,22 @@
 struct wwh_outcomes {
 	GHashTable *workers; /* id to worker_t */
 	GHashTable *tasks; /* id to task_t */
-	GPtrArray *order; /* of worker_t, as first seen */
+	GPtrArray *order; /* of worker_t, in the order of first runs */
 };
 
 typedef struct {
 	int32_t runs;
 	int32_t failed;
-} share_t;
+} failure_rate_t;
 
 static void task_free(gpointer data);
 static void worker_free(gpointer data);
-static worker_t *worker_of(wwh_outcomes_t *outcomes, const char *id);
-static task_t *task_of(wwh_outcomes_t *outcomes, const char *id);
-static void note_failure(task_t *task, const char *worker_id);
-static share_t share_of(const wwh_outcomes_t *outcomes, const worker_t *worker);
-static bool is_repeat(const worker_t *worker, int32_t at);
+static worker_t *get_worker(wwh_outcomes_t *outcomes, const char *id);
+static task_t *get_task(wwh_outcomes_t *outcomes, const char *id);
+static void record_failure(task_t *task, const char *worker_id);
+static failure_rate_t failure_rate_of(const wwh_outcomes_t *outcomes,
+				      const worker_t *worker);
+static bool has_newer_run(const worker_t *worker, int32_t at);
 
 wwh_outcomes_t *wwh_outcomes_new(void)
 {
@@ -65,8 +66,8 @@
 void wwh_outcomes_record(wwh_outcomes_t *outcomes, const char *task_id,
 			 const char *worker_id, bool ended_well)
 {
-	worker_t *worker = worker_of(outcomes, worker_id);
-	task_t *task = task_of(outcomes, task_id);
+	worker_t *worker = get_worker(outcomes, worker_id);
+	task_t *task = get_task(outcomes, task_id);
 	run_t *run = &worker->runs[worker->next];
 
 	g_free(run->task_id);
@@ -77,7 +78,7 @@
 	if (ended_well)
 		task->ended_well_once = true;
 	else
-		note_failure(task, worker_id);
+		record_failure(task, worker_id);
 }
 
 void wwh_outcomes_forget_worker(wwh_outcomes_t *outcomes, const char *worker_id)
@@ -123,25 +124,25 @@
 {
 	const worker_t *worker =
 		g_hash_table_lookup(outcomes->workers, worker_id);
-	share_t others = { 0 };
-	share_t own;
+	failure_rate_t others = { 0 };
+	failure_rate_t own;
 
 	if (!worker)
 		return false;
-	own = share_of(outcomes, worker);
+	own = failure_rate_of(outcomes, worker);
 	if (own.runs < WWH_WORKER_BAD_RUNS || own.failed * 2 < own.runs)
 		return false;
 	for (guint i = 0; i < outcomes->order->len; i++) {
 		const worker_t *other = g_ptr_array_index(outcomes->order, i);
-		share_t share;
+		failure_rate_t rate;
 
 		if (other == worker)
 			continue;
-		share = share_of(outcomes, other);
-		others.runs += share.runs;
-		others.failed += share.failed;
+		rate = failure_rate_of(outcomes, other);
+		others.runs += rate.runs;
+		others.failed += rate.failed;
 	}
-	/* Without others there is nothing to compare with. */
+	/* Without runs on other workers there is no comparison. */
 	if (others.runs < WWH_WORKER_BAD_RUNS)
 		return false;
 	return (int64_t)own.failed * others.runs >=
@@ -168,7 +169,7 @@
 	g_free(worker);
 }
 
-static worker_t *worker_of(wwh_outcomes_t *outcomes, const char *id)
+static worker_t *get_worker(wwh_outcomes_t *outcomes, const char *id)
 {
 	worker_t *worker = g_hash_table_lookup(outcomes->workers, id);
 
@@ -181,7 +182,7 @@
 	return worker;
 }
 
-static task_t *task_of(wwh_outcomes_t *outcomes, const char *id)
+static task_t *get_task(wwh_outcomes_t *outcomes, const char *id)
 {
 	task_t *task = g_hash_table_lookup(outcomes->tasks, id);
 
@@ -193,7 +194,7 @@
 	return task;
 }
 
-static void note_failure(task_t *task, const char *worker_id)
+static void record_failure(task_t *task, const char *worker_id)
 {
 	for (int32_t i = 0; i < task->failed_on_count; i++) {
 		if (strcmp(task->failed_on[i], worker_id) == 0)
@@ -203,36 +204,37 @@
 		task->failed_on[task->failed_on_count++] = g_strdup(worker_id);
 }
 
-/* Each task counts once, by its last run here; bad tasks don't count. */
-static share_t share_of(const wwh_outcomes_t *outcomes, const worker_t *worker)
+/* Counts each task once, by its last run on worker, and no bad tasks. */
+static failure_rate_t failure_rate_of(const wwh_outcomes_t *outcomes,
+				      const worker_t *worker)
 {
-	share_t share = { 0 };
+	failure_rate_t rate = { 0 };
 
 	for (int32_t i = 0; i < worker->count; i++) {
 		const run_t *run = &worker->runs[i];
 
-		if (is_repeat(worker, i) ||
+		if (has_newer_run(worker, i) ||
 		    wwh_outcomes_task_is_bad(outcomes, run->task_id))
 			continue;
-		share.runs++;
+		rate.runs++;
 		if (!run->ended_well)
-			share.failed++;
+			rate.failed++;
 	}
-	return share;
+	return rate;
 }
 
-/* Whether a younger run of the same task is kept. */
-static bool is_repeat(const worker_t *worker, int32_t at)
+/* Whether a newer run of the same task is stored. */
+static bool has_newer_run(const worker_t *worker, int32_t at)
 {
 	int32_t age = (worker->next - 1 - at + 2 * WWH_OUTCOMES_KEPT) %
 		      WWH_OUTCOMES_KEPT;
 
-	for (int32_t younger = 0; younger < age; younger++) {
-		int32_t place =
-			(worker->next - 1 - younger + 2 * WWH_OUTCOMES_KEPT) %
+	for (int32_t newer = 0; newer < age; newer++) {
+		int32_t index =
+			(worker->next - 1 - newer + 2 * WWH_OUTCOMES_KEPT) %
 			WWH_OUTCOMES_KEPT;
 
-		if (strcmp(worker->runs[place].task_id,
+		if (strcmp(worker->runs[index].task_id,
 			   worker->runs[at].task_id) == 0)
 			return true;
 	}
--- a/src/libwaxwinghollow/request_table.c
+++ b/src/libwaxwinghollow/request_table.c
@@ -4,20 +4,20 @@
 
 #include "private/entry_internal.h"
 
-/* How often a waiting thread looks at its caller's connection. */
+/* Interval at which a waiting thread checks its caller's connection. */
 #define CALLER_CHECK_MS 50
 #define MILLISECOND_US 1000
 
-/* The longest sleep of the tick thread, so that it sees its end. */
-#define TICK_LIMIT_MS 100
+/* The longest sleep of the tick thread, after which it checks stopping. */
+#define TICK_SLEEP_MAX_MS 100
 
 struct wwh_request {
 	wwh_request_table_t *table;
 	uint64_t id;
 	GCond changed;
-	bool waits; /* a thread waits for changed */
+	bool is_waiting; /* for changed */
 	GQueue decisions; /* of wwh_decision_t *, oldest first */
-	bool ended; /* END was taken or the request was cancelled */
+	bool ended; /* END was read or the request was cancelled */
 	bool intent_settled;
 	bool intent_failed;
 	wwh_intent_verdict_t intent_verdict;
@@ -29,18 +29,19 @@
 	wwh_dispatch_t *dispatch;
 	GRand *random;
 	GHashTable *requests; /* uint64_t * to wwh_request_t * */
-	GHashTable *running; /* minion id to the requests that are with it */
+	GHashTable *
+		running; /* minion id to the number of requests that it processes */
 	uint64_t last_id;
 	bool stopping;
 	GThread *ticker;
 };
 
 static gpointer tick_main(gpointer data);
-static void hand_out(wwh_request_table_t *table);
+static void deliver_decisions(wwh_request_table_t *table);
 static void count_running(wwh_request_table_t *table, const char *minion,
 			  int32_t change);
-static void wake(wwh_request_t *request);
-static void wait_until(wwh_request_t *request, int64_t until_ms);
+static void signal_request(wwh_request_t *request);
+static void wait_for_change(wwh_request_t *request, int64_t until_ms);
 static void cancel(wwh_request_t *request);
 
 wwh_request_table_t *wwh_request_table_new(const char *zone)
@@ -132,7 +133,7 @@
 	}
 	g_mutex_lock(&table->lock);
 	wwh_dispatch_configure(table->dispatch, wwh_now_ms(), &setup);
-	hand_out(table);
+	deliver_decisions(table);
 	g_mutex_unlock(&table->lock);
 	g_hash_table_destroy(indexes);
 	g_free(services);
@@ -145,7 +146,7 @@
 {
 	g_mutex_lock(&table->lock);
 	wwh_dispatch_set_share(table->dispatch, wwh_now_ms(), share);
-	hand_out(table);
+	deliver_decisions(table);
 	g_mutex_unlock(&table->lock);
 }
 
@@ -159,19 +160,19 @@
 	return settled;
 }
 
-void wwh_request_table_minion_state(wwh_request_table_t *table,
-				    const char *minion,
-				    wwh_minion_state_t state)
+void wwh_request_table_set_minion_state(wwh_request_table_t *table,
+					const char *minion,
+					wwh_minion_state_t state)
 {
 	g_mutex_lock(&table->lock);
 	wwh_dispatch_minion_state(table->dispatch, wwh_now_ms(), minion, state);
-	hand_out(table);
+	deliver_decisions(table);
 	g_mutex_unlock(&table->lock);
 }
 
-void wwh_request_table_loans_tell(wwh_request_table_t *table, uint64_t peer,
-				  wwh_dispatch_loan_visit_t visit,
-				  void *client_data)
+void wwh_request_table_report_loans(wwh_request_table_t *table, uint64_t peer,
+				    wwh_dispatch_loan_visit_t visit,
+				    void *client_data)
 {
 	g_mutex_lock(&table->lock);
 	wwh_dispatch_loans_tell(table->dispatch, wwh_now_ms(), peer, visit,
@@ -179,20 +180,20 @@
 	g_mutex_unlock(&table->lock);
 }
 
-void wwh_request_table_loan_hear(wwh_request_table_t *table, uint64_t peer,
-				 const wwh_dispatch_loan_t *loan)
+void wwh_request_table_handle_loan(wwh_request_table_t *table, uint64_t peer,
+				   const wwh_dispatch_loan_t *loan)
 {
 	g_mutex_lock(&table->lock);
 	wwh_dispatch_loan_hear(table->dispatch, wwh_now_ms(), peer, loan);
-	hand_out(table);
+	deliver_decisions(table);
 	g_mutex_unlock(&table->lock);
 }
 
-void wwh_request_table_loans_forget(wwh_request_table_t *table, uint64_t peer)
+void wwh_request_table_forget_loans(wwh_request_table_t *table, uint64_t peer)
 {
 	g_mutex_lock(&table->lock);
 	wwh_dispatch_loans_forget(table->dispatch, wwh_now_ms(), peer);
-	hand_out(table);
+	deliver_decisions(table);
 	g_mutex_unlock(&table->lock);
 }
 
@@ -200,7 +201,7 @@
 {
 	g_mutex_lock(&table->lock);
 	wwh_dispatch_close(table->dispatch, wwh_now_ms());
-	hand_out(table);
+	deliver_decisions(table);
 	g_mutex_unlock(&table->lock);
 }
 
@@ -257,7 +258,7 @@
 	arrival.id = waiter->id;
 	g_hash_table_insert(table->requests, &waiter->id, waiter);
 	wwh_dispatch_arrive(table->dispatch, wwh_now_ms(), &arrival);
-	hand_out(table);
+	deliver_decisions(table);
 	g_mutex_unlock(&table->lock);
 	return waiter;
 }
@@ -267,8 +268,8 @@
 	return request->id;
 }
 
-bool wwh_request_next(wwh_request_t *request, int caller_fd,
-		      wwh_decision_t *decision)
+bool wwh_request_wait_decision(wwh_request_t *request, int caller_fd,
+			       wwh_decision_t *decision)
 {
 	wwh_request_table_t *table = request->table;
 	wwh_decision_t *next;
@@ -276,7 +277,7 @@
 	g_mutex_lock(&table->lock);
 	while ((next = g_queue_pop_head(&request->decisions)) == NULL &&
 	       !request->ended) {
-		wait_until(request, wwh_now_ms() + CALLER_CHECK_MS);
+		wait_for_change(request, wwh_now_ms() + CALLER_CHECK_MS);
 		if (g_queue_is_empty(&request->decisions) &&
 		    wwh_caller_gone(caller_fd))
 			cancel(request);
@@ -298,7 +299,7 @@
 	g_mutex_lock(&table->lock);
 	count_running(table, result->minion, -1);
 	wwh_dispatch_finished(table->dispatch, wwh_now_ms(), result);
-	hand_out(table);
+	deliver_decisions(table);
 	g_mutex_unlock(&table->lock);
 }
 
@@ -342,13 +343,13 @@
 	request = g_hash_table_lookup(table->requests, &id);
 	/*
 	 * A batch that the log holds twice is read back twice, the second time
-	 * as repeated. Were that taken for the verdict, the result of a request
-	 * that ran would not be recorded and its key stay in progress.
+	 * as repeated. If that became the verdict, the result of a request that
+	 * ran would not be recorded and its key would stay in progress.
 	 */
 	if (request != NULL && !request->intent_settled) {
 		request->intent_settled = true;
 		request->intent_verdict = verdict;
-		wake(request);
+		signal_request(request);
 	}
 	g_mutex_unlock(&table->lock);
 	return request != NULL;
@@ -362,7 +363,7 @@
 	request = g_hash_table_lookup(table->requests, &id);
 	if (request != NULL) {
 		request->intent_failed = true;
-		wake(request);
+		signal_request(request);
 	}
 	g_mutex_unlock(&table->lock);
 }
@@ -376,8 +377,8 @@
 	g_mutex_lock(&table->lock);
 	while (!request->intent_settled && !request->intent_failed &&
 	       wwh_now_ms() < until_ms && !wwh_caller_gone(caller_fd))
-		wait_until(request,
-			   MIN(until_ms, wwh_now_ms() + CALLER_CHECK_MS));
+		wait_for_change(request,
+				MIN(until_ms, wwh_now_ms() + CALLER_CHECK_MS));
 	settled = request->intent_settled;
 	*verdict = request->intent_verdict;
 	g_mutex_unlock(&table->lock);
@@ -385,8 +386,8 @@
 }
 
 /*
- * A caller that closes only its sending side counts as gone too: the two
- * can't be told apart, and callers of HTTP have no reason for the former.
+ * A caller that closes only its sending side counts as disconnected too: the
+ * two can't be distinguished, and HTTP callers have no reason to do so.
  */
 bool wwh_caller_gone(int fd)
 {
@@ -408,10 +409,10 @@
 
 		if (due_ms <= now_ms) {
 			wwh_dispatch_tick(table->dispatch, now_ms);
-			hand_out(table);
+			deliver_decisions(table);
 			due_ms = wwh_dispatch_next_deadline_ms(table->dispatch);
 		}
-		due_ms = MIN(due_ms, now_ms + TICK_LIMIT_MS);
+		due_ms = MIN(due_ms, now_ms + TICK_SLEEP_MAX_MS);
 		due_ms = MAX(due_ms, now_ms + 1);
 		g_cond_wait_until(&table->tick_due, &table->lock,
 				  due_ms * MILLISECOND_US);
@@ -420,7 +421,7 @@
 	return NULL;
 }
 
-static void hand_out(wwh_request_table_t *table)
+static void deliver_decisions(wwh_request_table_t *table)
 {
 	wwh_decision_t decision;
 
@@ -434,7 +435,7 @@
 			count_running(table, decision.minion, 1);
 		g_queue_push_tail(&request->decisions,
 				  g_memdup2(&decision, sizeof(decision)));
-		wake(request);
+		signal_request(request);
 	}
 }
 
@@ -450,27 +451,27 @@
 }
 
 /*
- * g_cond_signal is a system call even when nobody waits, and all requests
- * would wait for it: the lock is held. Mostly nobody does, because a decision
- * follows at once and the request's own thread is the one that hands it out.
+ * g_cond_signal is a system call even when no thread waits, and all requests
+ * would be delayed by it, since the lock is held. Usually no thread waits: a
+ * decision follows at once, and the request's own thread delivers it.
  */
-static void wake(wwh_request_t *request)
+static void signal_request(wwh_request_t *request)
 {
-	if (request->waits)
+	if (request->is_waiting)
 		g_cond_signal(&request->changed);
 }
 
-static void wait_until(wwh_request_t *request, int64_t until_ms)
+static void wait_for_change(wwh_request_t *request, int64_t until_ms)
 {
-	request->waits = true;
+	request->is_waiting = true;
 	g_cond_wait_until(&request->changed, &request->table->lock,
 			  until_ms * MILLISECOND_US);
-	request->waits = false;
+	request->is_waiting = false;
 }
 
 /*
- * A START that nobody has taken yet is reported as not sent; otherwise its
- * slot would stay taken for good.
+ * A START that has not been read yet is reported as aborted; otherwise its slot
+ * would never be released.
  */
 static void cancel(wwh_request_t *request)
 {
@@ -478,7 +479,7 @@
 	wwh_decision_t *decision;
 
 	wwh_dispatch_cancel(table->dispatch, wwh_now_ms(), request->id);
-	hand_out(table);
+	deliver_decisions(table);
 	request->ended = true;
 	while ((decision = g_queue_pop_head(&request->decisions)) != NULL) {
 		if (decision->type == WWH_DECISION_START) {
@@ -494,5 +495,5 @@
 		}
 		g_free(decision);
 	}
-	hand_out(table);
+	deliver_decisions(table);
 }
--- a/src/libwaxwinghollow/seat.c
+++ b/src/libwaxwinghollow/seat.c
@@ -8,7 +8,7 @@
 	"join", "leave", "claim", "release", "evict", "ack", "free", "gone",
 };
 
-static int32_t index_of(const wwh_seat_table_t *table, uint64_t process);
+static int32_t member_index(const wwh_seat_table_t *table, uint64_t process);
 static bool join(wwh_seat_table_t *table, uint64_t process);
 static bool leave(wwh_seat_table_t *table, int32_t index);
 static bool claim(wwh_seat_table_t *table, const wwh_seat_record_t *record);
@@ -18,10 +18,10 @@
 			uint64_t subject);
 static bool free_seats(wwh_seat_table_t *table, uint64_t subject);
 static void remove_member(wwh_seat_table_t *table, int32_t index);
-static int32_t seats_of(const wwh_seat_table_t *table, uint64_t process);
+static int32_t count_seats(const wwh_seat_table_t *table, uint64_t process);
 static int32_t fewest_seats(const wwh_seat_table_t *table);
-static void keep_vote(wwh_seat_lease_t *lease, const wwh_seat_table_t *table,
-		      const wwh_seat_vote_t *vote);
+static void store_vote(wwh_seat_lease_t *lease, const wwh_seat_table_t *table,
+		       const wwh_seat_vote_t *vote);
 static bool may_vote(const wwh_seat_table_t *table, uint64_t member);
 static int newest_first(const void *a, const void *b);
 
@@ -35,7 +35,7 @@
 bool wwh_seat_table_apply(wwh_seat_table_t *table,
 			  const wwh_seat_record_t *record)
 {
-	int32_t index = index_of(table, record->process);
+	int32_t index = member_index(table, record->process);
 
 	if (record->process == 0)
 		return false;
@@ -68,7 +68,7 @@
 
 uint64_t wwh_seat_held(const wwh_seat_table_t *table, uint64_t process)
 {
-	int32_t index = index_of(table, process);
+	int32_t index = member_index(table, process);
 	uint64_t seats = 0;
 
 	if (index < 0 || table->members[index].evicted)
@@ -88,7 +88,7 @@
 	for (int32_t i = 0; i < before->member_count; i++) {
 		uint64_t process = before->members[i].process;
 
-		if (index_of(after, process) < 0)
+		if (member_index(after, process) < 0)
 			departed[count++] = process;
 	}
 	return count;
@@ -96,7 +96,7 @@
 
 bool wwh_seat_all_acked(const wwh_seat_table_t *table, uint64_t subject)
 {
-	int32_t index = index_of(table, subject);
+	int32_t index = member_index(table, subject);
 
 	if (index < 0 || !table->members[index].evicted)
 		return false;
@@ -112,8 +112,8 @@
 bool wwh_seat_plan(const wwh_seat_table_t *table, uint64_t process,
 		   wwh_seat_record_t *record)
 {
-	int32_t index = index_of(table, process);
-	int32_t own = seats_of(table, process);
+	int32_t index = member_index(table, process);
+	int32_t own = count_seats(table, process);
 	int32_t fewest = fewest_seats(table);
 	int32_t last = -1, vacant = -1;
 
@@ -126,7 +126,10 @@
 			vacant = i;
 	}
 	*record = (wwh_seat_record_t){ .process = process };
-	/* The one with the fewest claims; with several, the log decides. */
+	/*
+	 * A member with the fewest seats claims; of several, the one whose
+	 * record is first on the log gets the seat.
+	 */
 	if (vacant >= 0 && own == fewest) {
 		record->type = WWH_SEAT_CLAIM;
 		record->seat = vacant;
@@ -140,31 +143,32 @@
 	return false;
 }
 
-void wwh_seat_lease_log(wwh_seat_lease_t *lease, int64_t sent_ms)
+void wwh_seat_lease_renew_by_log(wwh_seat_lease_t *lease, int64_t sent_ms)
 {
 	if (sent_ms + WWH_SEAT_LEASE_MS > lease->until_ms)
 		lease->until_ms = sent_ms + WWH_SEAT_LEASE_MS;
 }
 
-void wwh_seat_lease_member(wwh_seat_lease_t *lease,
-			   const wwh_seat_table_t *table, uint64_t own_seats,
-			   const wwh_seat_vote_t *vote)
+void wwh_seat_lease_renew_by_vote(wwh_seat_lease_t *lease,
+				  const wwh_seat_table_t *table,
+				  uint64_t own_seats,
+				  const wwh_seat_vote_t *vote)
 {
 	uint64_t seats = own_seats;
 
-	keep_vote(lease, table, vote);
+	store_vote(lease, table, vote);
 	qsort(lease->votes, (size_t)lease->vote_count, sizeof(*lease->votes),
 	      newest_first);
 	for (int32_t i = 0; i < lease->vote_count; i++) {
 		seats |= lease->votes[i].seats;
 		if (__builtin_popcountll(seats) * 2 <= table->seat_count)
 			continue;
-		wwh_seat_lease_log(lease, lease->votes[i].sent_ms);
+		wwh_seat_lease_renew_by_log(lease, lease->votes[i].sent_ms);
 		return;
 	}
 }
 
-static int32_t index_of(const wwh_seat_table_t *table, uint64_t process)
+static int32_t member_index(const wwh_seat_table_t *table, uint64_t process)
 {
 	for (int32_t i = 0; i < table->member_count; i++) {
 		if (table->members[i].process == process)
@@ -175,12 +179,12 @@
 
 static bool join(wwh_seat_table_t *table, uint64_t process)
 {
-	if (index_of(table, process) >= 0 ||
+	if (member_index(table, process) >= 0 ||
 	    table->member_count == WWH_SEAT_MEMBERS_MAX)
 		return false;
 	table->members[table->member_count] =
 		(wwh_seat_member_t){ .process = process };
-	/* It never renewed the lease of one evicted before it came. */
+	/* It never renewed a lease of members evicted before it joined. */
 	for (int32_t i = 0; i < table->member_count; i++)
 		table->members[i].acked |= 1ULL << table->member_count;
 	table->member_count++;
@@ -189,7 +193,7 @@
 
 static bool leave(wwh_seat_table_t *table, int32_t index)
 {
-	if (seats_of(table, table->members[index].process) > 0)
+	if (count_seats(table, table->members[index].process) > 0)
 		return false;
 	remove_member(table, index);
 	return true;
@@ -214,13 +218,13 @@
 }
 
 /*
- * Were the holders of a majority under eviction, they could renew each other's
- * leases without having read of it, and their seats would be held twice. One
- * alone has nobody to renew its lease.
+ * If the holders of a majority were evicted at the same time, they could renew
+ * each other's leases before they read of it, and their seats would be used
+ * twice. A single evicted member has no other that renews its lease.
  */
 static bool evict(wwh_seat_table_t *table, uint64_t subject)
 {
-	int32_t index = index_of(table, subject);
+	int32_t index = member_index(table, subject);
 	int32_t evicted = 0, seats = 0;
 
 	if (index < 0 || table->members[index].evicted)
@@ -229,9 +233,9 @@
 		if (!table->members[i].evicted)
 			continue;
 		evicted++;
-		seats += seats_of(table, table->members[i].process);
+		seats += count_seats(table, table->members[i].process);
 	}
-	seats += seats_of(table, subject);
+	seats += count_seats(table, subject);
 	if (evicted > 0 && seats * 2 >= table->seat_count)
 		return false;
 	table->members[index].evicted = true;
@@ -242,17 +246,17 @@
 static bool acknowledge(wwh_seat_table_t *table, int32_t index,
 			uint64_t subject)
 {
-	int32_t about = index_of(table, subject);
+	int32_t subject_index = member_index(table, subject);
 
-	if (about < 0 || !table->members[about].evicted)
+	if (subject_index < 0 || !table->members[subject_index].evicted)
 		return false;
-	table->members[about].acked |= 1ULL << index;
+	table->members[subject_index].acked |= 1ULL << index;
 	return true;
 }
 
 static bool free_seats(wwh_seat_table_t *table, uint64_t subject)
 {
-	int32_t index = index_of(table, subject);
+	int32_t index = member_index(table, subject);
 
 	if (index < 0)
 		return false;
@@ -279,7 +283,7 @@
 	}
 }
 
-static int32_t seats_of(const wwh_seat_table_t *table, uint64_t process)
+static int32_t count_seats(const wwh_seat_table_t *table, uint64_t process)
 {
 	int32_t count = 0;
 
@@ -293,7 +297,7 @@
 	int32_t fewest = WWH_SEAT_MAX;
 
 	for (int32_t i = 0; i < table->member_count; i++) {
-		int32_t held = seats_of(table, table->members[i].process);
+		int32_t held = count_seats(table, table->members[i].process);
 
 		if (!table->members[i].evicted && held < fewest)
 			fewest = held;
@@ -301,11 +305,11 @@
 	return fewest;
 }
 
-/* The newest vote of each member; those evicted have none. */
-static void keep_vote(wwh_seat_lease_t *lease, const wwh_seat_table_t *table,
-		      const wwh_seat_vote_t *vote)
+/* Stores the newest vote of each member; evicted members have none. */
+static void store_vote(wwh_seat_lease_t *lease, const wwh_seat_table_t *table,
+		       const wwh_seat_vote_t *vote)
 {
-	int32_t kept = 0;
+	int32_t count = 0;
 	bool newer = true;
 
 	for (int32_t i = 0; i < lease->vote_count; i++) {
@@ -318,17 +322,17 @@
 				continue;
 			newer = false;
 		}
-		lease->votes[kept++] = *old;
+		lease->votes[count++] = *old;
 	}
 	if (newer && may_vote(table, vote->member) &&
-	    kept < WWH_SEAT_MEMBERS_MAX)
-		lease->votes[kept++] = *vote;
-	lease->vote_count = kept;
+	    count < WWH_SEAT_MEMBERS_MAX)
+		lease->votes[count++] = *vote;
+	lease->vote_count = count;
 }
 
 static bool may_vote(const wwh_seat_table_t *table, uint64_t member)
 {
-	int32_t index = index_of(table, member);
+	int32_t index = member_index(table, member);
 
 	return index >= 0 && !table->members[index].evicted;
 }
--- a/src/test_limiter/test_limiter.c
+++ b/src/test_limiter/test_limiter.c
@@ -29,7 +29,7 @@
 	}
 }
 
-/* What is learned may only shrink a part, or the sum would not be safe. */
+/* A lower slot limit must not enlarge any part, or the sum could be exceeded. */
 static void fewer_slots_never_make_a_larger_part(void **unused)
 {
 	(void)unused;
@@ -59,85 +59,86 @@
 }
 
 /*
- * A minion declares 8 slots and refuses everything above 2. The number finds
- * 2, and tries 3 ever more rarely; it comes back when the minion bears all.
+ * A minion declares 8 slots and refuses more than 2 requests. The limit
+ * converges to 2 and tries 3 less and less often; it returns to 8 when the
+ * minion stops refusing.
  */
-static void the_number_finds_what_the_minion_bears(void **unused)
+static void the_limit_converges_to_the_usable_slots(void **unused)
 {
-	wwh_bearing_t bearing;
+	wwh_slot_limit_t limit;
 	int32_t tries = 0;
 	int64_t now_ms = 0;
 
 	(void)unused;
-	wwh_bearing_init(&bearing, 8);
+	wwh_slot_limit_init(&limit, 8);
 	for (; now_ms < 200000; now_ms += 10) {
-		wwh_bearing_advance(&bearing, now_ms);
-		if (bearing.bears <= 2)
+		wwh_slot_limit_advance(&limit, now_ms);
+		if (limit.bears <= 2)
 			continue;
-		if (wwh_bearing_refused(&bearing, now_ms, 40))
+		if (wwh_slot_limit_record_refusal(&limit, now_ms, 40))
 			tries += now_ms > 100000;
 	}
-	assert_int_equal(bearing.bears, 2);
+	assert_int_equal(limit.bears, 2);
 	assert_in_range(tries, 3, 10);
 	for (; now_ms < 300000; now_ms += 10)
-		wwh_bearing_advance(&bearing, now_ms);
-	assert_int_equal(bearing.bears, 8);
+		wwh_slot_limit_advance(&limit, now_ms);
+	assert_int_equal(limit.bears, 8);
 }
 
 static void one_burst_of_refusals_counts_once(void **unused)
 {
-	wwh_bearing_t bearing;
+	wwh_slot_limit_t limit;
 
 	(void)unused;
-	wwh_bearing_init(&bearing, 8);
+	wwh_slot_limit_init(&limit, 8);
 	for (int32_t i = 0; i < 8; i++)
-		wwh_bearing_refused(&bearing, 1000 + i, 40);
-	assert_int_equal(bearing.bears, 7);
+		wwh_slot_limit_record_refusal(&limit, 1000 + i, 40);
+	assert_int_equal(limit.bears, 7);
 }
 
-/* One in twenty is refused, as when a request was given up elsewhere. */
+/* One in twenty is refused, as after a request abandoned at its deadline. */
 static void single_refusals_change_nothing(void **unused)
 {
-	wwh_bearing_t bearing;
+	wwh_slot_limit_t limit;
 
 	(void)unused;
-	wwh_bearing_init(&bearing, 8);
+	wwh_slot_limit_init(&limit, 8);
 	for (int32_t i = 1; i < 2000; i++) {
 		if (i % 20 == 0)
-			wwh_bearing_refused(&bearing, 100 * i, 40);
+			wwh_slot_limit_record_refusal(&limit, 100 * i, 40);
 		else
-			wwh_bearing_answered(&bearing);
+			wwh_slot_limit_record_answer(&limit);
 	}
-	assert_int_equal(bearing.bears, 8);
+	assert_int_equal(limit.bears, 8);
 }
 
-static void refuse_twice(wwh_bearing_t *bearing, int64_t now_ms)
+static void refuse_twice(wwh_slot_limit_t *limit, int64_t now_ms)
 {
-	wwh_bearing_refused(bearing, now_ms, 0);
-	wwh_bearing_refused(bearing, now_ms, 0);
+	wwh_slot_limit_record_refusal(limit, now_ms, 0);
+	wwh_slot_limit_record_refusal(limit, now_ms, 0);
 }
 
-/* Two processes tell each other; late and repeated messages do no harm. */
-static void processes_agree_on_the_number(void **unused)
+/* Two processes exchange limits; late and repeated updates have no effect. */
+static void processes_agree_on_the_limit(void **unused)
 {
-	wwh_bearing_t a, b;
+	wwh_slot_limit_t a, b;
 
 	(void)unused;
-	wwh_bearing_init(&a, 8);
-	wwh_bearing_init(&b, 8);
+	wwh_slot_limit_init(&a, 8);
+	wwh_slot_limit_init(&b, 8);
 	refuse_twice(&a, 1000);
 	refuse_twice(&a, 1200);
-	assert_true(wwh_bearing_hear(&b, 2001, a.version, a.bears));
+	assert_true(wwh_slot_limit_handle_update(&b, 2001, a.version, a.bears));
 	assert_int_equal(b.bears, 6);
-	assert_false(wwh_bearing_hear(&a, 2002, 0, 8));
-	assert_false(wwh_bearing_hear(&b, 2003, 1, 7));
+	assert_false(wwh_slot_limit_handle_update(&a, 2002, 0, 8));
+	assert_false(wwh_slot_limit_handle_update(&b, 2003, 1, 7));
 	refuse_twice(&b, 3000);
-	assert_true(wwh_bearing_hear(&a, 3001, b.version, b.bears));
+	assert_true(wwh_slot_limit_handle_update(&a, 3001, b.version, b.bears));
 	assert_int_equal(a.bears, 5);
-	assert_false(wwh_bearing_hear(&a, 3002, 100, 9));
+	assert_false(wwh_slot_limit_handle_update(&a, 3002, 100, 9));
 }
 
-/* With one slot, the slow start is a pause: half the limit, half the use. */
+/* With one slot, the slow start pauses: at factor 0.5 for one run time. */
 static void a_limit_below_one_is_a_pause(void **unused)
 {
 	wwh_limiter_t limiter = { 0 };
@@ -150,7 +151,7 @@
 	assert_true(wwh_limiter_has_room(&limiter, 310, 0.5));
 }
 
-/* A seat is taken away while its slots are in use: nothing new starts. */
+/* The share shrinks while its slots are in use: no new request starts. */
 static void a_smaller_share_starts_nothing_new(void **unused)
 {
 	wwh_limiter_t limiter = { 0 };
@@ -172,10 +173,10 @@
 		cmocka_unit_test(parts_sum_up_to_the_slots),
 		cmocka_unit_test(fewer_slots_never_make_a_larger_part),
 		cmocka_unit_test(three_slots_fall_to_different_seats),
-		cmocka_unit_test(the_number_finds_what_the_minion_bears),
+		cmocka_unit_test(the_limit_converges_to_the_usable_slots),
 		cmocka_unit_test(one_burst_of_refusals_counts_once),
 		cmocka_unit_test(single_refusals_change_nothing),
-		cmocka_unit_test(processes_agree_on_the_number),
+		cmocka_unit_test(processes_agree_on_the_limit),
 		cmocka_unit_test(a_limit_below_one_is_a_pause),
 		cmocka_unit_test(a_smaller_share_starts_nothing_new),
 	};
--- a/src/test_request_table/test_request_table.c
+++ b/src/test_request_table/test_request_table.c
@@ -38,7 +38,7 @@
 	print_error("%s:%d: %s\n", file, line, text);
 }
 
-/* A table with one minion, all of whose slots are this process's. */
+/* A table with one minion; this process owns all of its slots. */
 static int set_up(void **state)
 {
 	wwh_request_table_t *table = wwh_request_table_new("a");
@@ -69,13 +69,13 @@
 	return 0;
 }
 
-static wwh_request_t *begin(wwh_request_table_t *table, int64_t limit_ms)
+static wwh_request_t *begin(wwh_request_table_t *table, int64_t timeout_ms)
 {
 	wwh_dispatch_request_t arrival = {
 		.service = "s",
 		.team = "t",
 		.caller = 1,
-		.deadline_ms = wwh_now_ms() + limit_ms,
+		.deadline_ms = wwh_now_ms() + timeout_ms,
 	};
 
 	return wwh_request_begin(table, &arrival);
@@ -93,27 +93,30 @@
 	wwh_request_finished(request, &result);
 }
 
-/* Fills all slots; those that hold them are written to held. */
-static void fill(wwh_request_table_t *table, wwh_request_t *held[SLOTS],
-		 wwh_decision_t starts[SLOTS])
+/* Occupies all slots; the requests are written to running. */
+static void occupy_slots(wwh_request_table_t *table,
+			 wwh_request_t *running[SLOTS],
+			 wwh_decision_t starts[SLOTS])
 {
 	for (int i = 0; i < SLOTS; i++) {
-		held[i] = begin(table, LONG_MS);
-		assert_true(wwh_request_next(held[i], -1, &starts[i]));
+		running[i] = begin(table, LONG_MS);
+		assert_true(
+			wwh_request_wait_decision(running[i], -1, &starts[i]));
 		assert_int_equal(starts[i].type, WWH_DECISION_START);
 	}
 }
 
-static void empty(wwh_request_t *held[SLOTS], wwh_decision_t starts[SLOTS])
+static void finish_all(wwh_request_t *running[SLOTS],
+		       wwh_decision_t starts[SLOTS])
 {
 	wwh_decision_t end;
 
 	for (int i = 0; i < SLOTS; i++) {
-		finish(held[i], &starts[i]);
-		assert_true(wwh_request_next(held[i], -1, &end));
+		finish(running[i], &starts[i]);
+		assert_true(wwh_request_wait_decision(running[i], -1, &end));
 		assert_int_equal(end.type, WWH_DECISION_END);
-		assert_false(wwh_request_next(held[i], -1, &end));
-		(void)wwh_request_end(held[i]);
+		assert_false(wwh_request_wait_decision(running[i], -1, &end));
+		(void)wwh_request_end(running[i]);
 	}
 }
 
@@ -130,55 +133,55 @@
 	wwh_request_t *request = begin(table, LONG_MS);
 	wwh_decision_t decision;
 
-	assert_true(wwh_request_next(request, -1, &decision));
+	assert_true(wwh_request_wait_decision(request, -1, &decision));
 	assert_int_equal(decision.type, WWH_DECISION_START);
 	assert_string_equal(decision.minion, "m1");
 	assert_int_equal(wwh_request_table_minion_running(table, "m1"), 1);
 	finish(request, &decision);
 	assert_int_equal(wwh_request_table_minion_running(table, "m1"), 0);
-	assert_true(wwh_request_next(request, -1, &decision));
+	assert_true(wwh_request_wait_decision(request, -1, &decision));
 	assert_int_equal(decision.type, WWH_DECISION_END);
 	assert_int_equal(decision.kind, WWH_ERROR_NONE);
-	assert_false(wwh_request_next(request, -1, &decision));
+	assert_false(wwh_request_wait_decision(request, -1, &decision));
 	assert_false(wwh_request_end(request));
 	assert_idle(table);
 }
 
 /*
- * A caller hangs up while its request waits behind others. It is taken out of
- * the queue, so no slot is ever spent on it.
+ * A caller disconnects while its request waits behind others. The request is
+ * removed from the queue, so it never uses a slot.
  */
-static void a_caller_that_goes_while_waiting_takes_no_slot(void **state)
+static void a_caller_that_disconnects_while_waiting_uses_no_slot(void **state)
 {
 	wwh_request_table_t *table = *state;
-	wwh_request_t *held[SLOTS];
+	wwh_request_t *running[SLOTS];
 	wwh_decision_t starts[SLOTS];
 	wwh_decision_t decision;
 	wwh_request_t *request;
-	int ends[2];
+	int sockets[2];
 
-	fill(table, held, starts);
-	assert_int_equal(socketpair(AF_UNIX, SOCK_STREAM, 0, ends), 0);
+	occupy_slots(table, running, starts);
+	assert_int_equal(socketpair(AF_UNIX, SOCK_STREAM, 0, sockets), 0);
 	request = begin(table, LONG_MS);
 	assert_int_equal(wwh_request_table_waiting(table), 1);
-	close(ends[1]);
-	assert_false(wwh_request_next(request, ends[0], &decision));
+	close(sockets[1]);
+	assert_false(wwh_request_wait_decision(request, sockets[0], &decision));
 	assert_int_equal(wwh_request_table_waiting(table), 0);
 	assert_false(wwh_request_end(request));
-	close(ends[0]);
-	empty(held, starts);
+	close(sockets[0]);
+	finish_all(running, starts);
 	assert_idle(table);
 }
 
 /*
- * A request is given up after its START was decided and before its thread took
- * it, as when its intent can't be recorded. The slot comes free again; were it
- * kept, the minion would lose one slot for each such request until restart.
+ * A request ends after its START was decided and before its thread read it, as
+ * when its intent can't be recorded. The slot is released; otherwise the minion
+ * would lose one slot for each such request until restart.
  */
-static void a_start_that_nobody_took_frees_its_slot(void **state)
+static void an_unread_start_frees_its_slot(void **state)
 {
 	wwh_request_table_t *table = *state;
-	wwh_request_t *held[SLOTS];
+	wwh_request_t *running[SLOTS];
 	wwh_decision_t starts[SLOTS];
 
 	for (int i = 0; i < 10 * SLOTS; i++) {
@@ -190,34 +193,34 @@
 		assert_false(wwh_request_end(request));
 		assert_idle(table);
 	}
-	fill(table, held, starts);
-	empty(held, starts);
+	occupy_slots(table, running, starts);
+	finish_all(running, starts);
 	assert_idle(table);
 }
 
-/* The thread of ticks ends what nobody else would wake. */
+/* The tick thread ends a request when no other event occurs. */
 static void a_deadline_passes_while_nothing_else_happens(void **state)
 {
 	wwh_request_table_t *table = *state;
-	wwh_request_t *held[SLOTS];
+	wwh_request_t *running[SLOTS];
 	wwh_decision_t starts[SLOTS];
 	wwh_decision_t decision;
 	wwh_request_t *request;
 
-	fill(table, held, starts);
+	occupy_slots(table, running, starts);
 	request = begin(table, 30);
-	assert_true(wwh_request_next(request, -1, &decision));
+	assert_true(wwh_request_wait_decision(request, -1, &decision));
 	assert_int_equal(decision.type, WWH_DECISION_END);
 	assert_int_equal(wwh_answer_for(decision.kind)->run, WWH_RUN_NOT_RUN);
 	assert_false(wwh_request_end(request));
-	empty(held, starts);
+	finish_all(running, starts);
 	assert_idle(table);
 }
 
 /*
- * The log holds a batch of intents twice, as after an answer that was lost,
- * and the second reading says "repeated". The request stays the owner of its
- * key: its result is recorded, and the key doesn't stay in progress.
+ * The log holds a batch of intents twice, as after a lost answer, and the
+ * second copy gets the verdict "repeated". The request still owns its key: its
+ * result is recorded, and the key doesn't stay in progress.
  */
 static void an_intent_read_back_twice_keeps_its_first_verdict(void **state)
 {
@@ -250,30 +253,30 @@
 	assert_idle(table);
 }
 
-/* What waits is refused; what runs goes on to its end. */
+/* Waiting requests are refused; running requests continue to their end. */
 static void a_closed_table_ends_what_waits(void **state)
 {
 	wwh_request_table_t *table = *state;
-	wwh_request_t *held[SLOTS];
+	wwh_request_t *running[SLOTS];
 	wwh_decision_t starts[SLOTS];
 	wwh_decision_t decision;
 	wwh_request_t *request;
 
-	fill(table, held, starts);
+	occupy_slots(table, running, starts);
 	request = begin(table, LONG_MS);
 	wwh_request_table_close(table);
-	assert_true(wwh_request_next(request, -1, &decision));
+	assert_true(wwh_request_wait_decision(request, -1, &decision));
 	assert_int_equal(decision.type, WWH_DECISION_END);
 	assert_int_equal(decision.kind, WWH_ERROR_SHUTTING_DOWN);
 	assert_false(wwh_request_end(request));
 	request = begin(table, LONG_MS);
 	assert_true(wwh_request_refused(request));
 	assert_false(wwh_request_end(request));
-	empty(held, starts);
+	finish_all(running, starts);
 	assert_idle(table);
 }
 
-/* Some run, some are given up with their START in hand or not taken. */
+/* Every fifth request is ended before its first decision is read. */
 static gpointer run_some(gpointer data)
 {
 	wwh_request_table_t *table = data;
@@ -287,7 +290,7 @@
 			(void)wwh_request_end(request);
 			continue;
 		}
-		while (wwh_request_next(request, -1, &decision)) {
+		while (wwh_request_wait_decision(request, -1, &decision)) {
 			if (decision.type == WWH_DECISION_START)
 				finish(request, &decision);
 			else
@@ -318,8 +321,9 @@
 {
 	const struct CMUnitTest tests[] = {
 		TABLE_TEST(a_request_starts_and_ends_exactly_once),
-		TABLE_TEST(a_caller_that_goes_while_waiting_takes_no_slot),
-		TABLE_TEST(a_start_that_nobody_took_frees_its_slot),
+		TABLE_TEST(
+			a_caller_that_disconnects_while_waiting_uses_no_slot),
+		TABLE_TEST(an_unread_start_frees_its_slot),
 		TABLE_TEST(a_deadline_passes_while_nothing_else_happens),
 		TABLE_TEST(an_intent_read_back_twice_keeps_its_first_verdict),
 		TABLE_TEST(an_intent_that_failed_is_not_waited_for),
--- a/src/test_router/test_router.c
+++ b/src/test_router/test_router.c
@@ -8,7 +8,7 @@
 
 #define COUNT 6
 
-/* Minions 0 to 2 in the own zone, 3 to 5 elsewhere, all alike. */
+/* Minions 0 to 2 are in the own zone, 3 to 5 in others; all are alike. */
 static void set_up(wwh_router_minion_t *minions)
 {
 	for (int32_t i = 0; i < COUNT; i++)
@@ -54,11 +54,11 @@
 }
 
 /*
- * Eight processes have the same stale view: minion 0 is idle, the others have
- * two requests each. All take the idle one if they take the least loaded; by
- * two random choices about two thirds do.
+ * Eight processes have the same stale view: minion 0 is idle, the others of the
+ * zone have two requests each. If each selected the least loaded, all would use
+ * the idle one; with two random choices about two thirds do.
  */
-static void an_idle_minion_does_not_draw_all_processes(void **unused)
+static void an_idle_minion_does_not_attract_all_processes(void **unused)
 {
 	wwh_router_minion_t minions[COUNT];
 	int32_t picked[COUNT] = { 0 };
@@ -70,7 +70,7 @@
 	assert_in_range(picked[0], 1800, 2200);
 }
 
-static void a_much_slower_own_zone_is_passed_over(void **unused)
+static void a_much_slower_own_zone_is_not_used(void **unused)
 {
 	wwh_router_minion_t minions[COUNT];
 	int32_t picked[COUNT] = { 0 };
@@ -105,10 +105,10 @@
 static void a_minion_without_ends_counts_as_stalled(void **unused)
 {
 	(void)unused;
-	assert_false(wwh_router_stalled(2000, 1, 1600, 20));
-	assert_true(wwh_router_stalled(2000, 1, 1400, 20));
-	assert_false(wwh_router_stalled(2000, 1, 1400, 200));
-	assert_false(wwh_router_stalled(2000, 0, 0, 20));
+	assert_false(wwh_router_is_stalled(2000, 1, 1600, 20));
+	assert_true(wwh_router_is_stalled(2000, 1, 1400, 20));
+	assert_false(wwh_router_is_stalled(2000, 1, 1400, 200));
+	assert_false(wwh_router_is_stalled(2000, 0, 0, 20));
 }
 
 int main(void)
@@ -116,8 +116,8 @@
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(the_own_zone_is_used_evenly_while_it_has_room),
 		cmocka_unit_test(another_zone_is_used_when_the_own_is_full),
-		cmocka_unit_test(an_idle_minion_does_not_draw_all_processes),
-		cmocka_unit_test(a_much_slower_own_zone_is_passed_over),
+		cmocka_unit_test(an_idle_minion_does_not_attract_all_processes),
+		cmocka_unit_test(a_much_slower_own_zone_is_not_used),
 		cmocka_unit_test(an_avoided_minion_is_the_last_choice),
 		cmocka_unit_test(a_minion_without_ends_counts_as_stalled),
 	};
