--- a/src/libwaxwinghollow/dispatch.c
+++ b/src/libwaxwinghollow/dispatch.c
@@ -128,8 +128,8 @@
 	wwh_dispatch_end(dispatch, now_ms, request, kind, 0);
 }
 
-void wwh_dispatch_finished(wwh_dispatch_t *dispatch, int64_t now_ms,
-			   const wwh_dispatch_result_t *result)
+void wwh_dispatch_finish_attempt(wwh_dispatch_t *dispatch, int64_t now_ms,
+				 const wwh_dispatch_result_t *result)
 {
 	wwh_request_record_t *request =
 		g_hash_table_lookup(dispatch->requests, &result->request);
@@ -139,7 +139,7 @@
 	assert(g_str_equal(request->minion->id, result->minion));
 	service = request->service;
 	wwh_dispatch_attempt_ended(dispatch, now_ms, request, result);
-	wwh_dispatch_pump(dispatch, now_ms, service);
+	wwh_dispatch_start_waiting(dispatch, now_ms, service);
 }
 
 void wwh_dispatch_tick(wwh_dispatch_t *dispatch, int64_t now_ms)
@@ -154,7 +154,7 @@
 	node = wwh_heap_first(&dispatch->wakes);
 	while (node != NULL && node->key <= (double)now_ms) {
 		wwh_heap_remove(&dispatch->wakes, node);
-		wwh_dispatch_pump(dispatch, now_ms, node->owner);
+		wwh_dispatch_start_waiting(dispatch, now_ms, node->owner);
 		node = wwh_heap_first(&dispatch->wakes);
 	}
 }
@@ -329,7 +329,7 @@
 	record->state = WWH_REQUEST_WAITING;
 	wwh_dispatch_set_timer(dispatch, &dispatch->timers, &record->timer,
 			       record->waiting.latest_start_ms);
-	wwh_dispatch_pump(dispatch, now_ms, service);
+	wwh_dispatch_start_waiting(dispatch, now_ms, service);
 }
 
 /* In the order of their ids, not in that of the table. */
@@ -374,7 +374,7 @@
 	if (request->state == WWH_REQUEST_BACKING_OFF && !dispatch->closed &&
 	    service->configured) {
 		wwh_dispatch_enqueue(dispatch, now_ms, request);
-		wwh_dispatch_pump(dispatch, now_ms, service);
+		wwh_dispatch_start_waiting(dispatch, now_ms, service);
 		return;
 	}
 	kind = WWH_ERROR_DEADLINE_NOT_RUN;
--- a/src/libwaxwinghollow/dispatch_dump.c
+++ b/src/libwaxwinghollow/dispatch_dump.c
@@ -22,7 +22,7 @@
 	show(&dump, "running", dispatch->running);
 	show(&dump, "seat_count", dispatch->share.seat_count);
 	show(&dump, "seats_held", __builtin_popcountll(dispatch->share.seats));
-	show(&dump, "seats_settled", wwh_dispatch_share_settled(dispatch));
+	show(&dump, "seats_settled", wwh_dispatch_is_within_share(dispatch));
 	for (guint i = 0; i < dispatch->service_list->len; i++)
 		show_service(&dump,
 			     g_ptr_array_index(dispatch->service_list, i));
--- a/src/libwaxwinghollow/dispatch_setup.c
+++ b/src/libwaxwinghollow/dispatch_setup.c
@@ -69,11 +69,11 @@
 					MAX(service->minions->len / 2, 1));
 		if (!service->configured)
 			end_unconfigured(dispatch, now_ms, service);
-		wwh_dispatch_capacity(service);
+		wwh_dispatch_update_capacity(service);
 	}
 	release_unused(dispatch);
 	dispatch->set_up = true;
-	wwh_dispatch_pump_all(dispatch, now_ms);
+	wwh_dispatch_start_all_waiting(dispatch, now_ms);
 	return WWH_STATUS_OK;
 }
 
@@ -92,19 +92,19 @@
 	/* a lease is renewed ten times a second, whatever the minions' number */
 	if (same) {
 		if (lapsed)
-			wwh_dispatch_pump_all(dispatch, now_ms);
+			wwh_dispatch_start_all_waiting(dispatch, now_ms);
 		return;
 	}
 	for (guint i = 0; i < dispatch->minion_list->len; i++)
 		wwh_dispatch_set_seats(
 			dispatch, g_ptr_array_index(dispatch->minion_list, i));
 	for (guint i = 0; i < dispatch->service_list->len; i++)
-		wwh_dispatch_capacity(
+		wwh_dispatch_update_capacity(
 			g_ptr_array_index(dispatch->service_list, i));
-	wwh_dispatch_pump_all(dispatch, now_ms);
+	wwh_dispatch_start_all_waiting(dispatch, now_ms);
 }
 
-bool wwh_dispatch_share_settled(const wwh_dispatch_t *dispatch)
+bool wwh_dispatch_is_within_share(const wwh_dispatch_t *dispatch)
 {
 	for (guint i = 0; i < dispatch->minion_list->len; i++) {
 		const wwh_minion_record_t *minion =
@@ -119,8 +119,8 @@
 	return true;
 }
 
-void wwh_dispatch_minion_state(wwh_dispatch_t *dispatch, int64_t now_ms,
-			       const char *minion, wwh_minion_state_t state)
+void wwh_dispatch_set_minion_state(wwh_dispatch_t *dispatch, int64_t now_ms,
+				   const char *minion, wwh_minion_state_t state)
 {
 	wwh_minion_record_t *record =
 		g_hash_table_lookup(dispatch->minions, minion);
@@ -139,8 +139,8 @@
 	}
 	if (record->service == NULL)
 		return;
-	wwh_dispatch_capacity(record->service);
-	wwh_dispatch_pump(dispatch, now_ms, record->service);
+	wwh_dispatch_update_capacity(record->service);
+	wwh_dispatch_start_waiting(dispatch, now_ms, record->service);
 }
 
 void wwh_dispatch_apply_share(wwh_minion_record_t *minion)
@@ -155,7 +155,7 @@
 		wwh_limiter_set_share(&minion->limiter, share);
 }
 
-void wwh_dispatch_capacity(wwh_service_state_t *service)
+void wwh_dispatch_update_capacity(wwh_service_state_t *service)
 {
 	double slots = 0;
 
--- a/src/libwaxwinghollow/entry_caller.c
+++ b/src/libwaxwinghollow/entry_caller.c
@@ -409,7 +409,8 @@
  */
 static wwh_error_kind_t final_kind(call_t *call, wwh_error_kind_t kind)
 {
-	uint32_t not_run = wwh_chart_tag(call->entry->request_chart, "not-run");
+	uint32_t not_run =
+		wwh_chart_tag_mask(call->entry->request_chart, "not-run");
 
 	if (kind == WWH_ERROR_NONE && !call->answered && !call->replayed)
 		kind = WWH_ERROR_ANSWER_LOST;
--- a/src/libwaxwinghollow/entry_peers.c
+++ b/src/libwaxwinghollow/entry_peers.c
@@ -58,7 +58,7 @@
 	options.region = settings->region;
 	options.seeds = (const char *const *)settings->peers;
 	options.round_ms = settings->heartbeat_ms;
-	options.suspect_ms = settings->suspect_after_ms;
+	options.suspicion_timeout_ms = settings->suspect_after_ms;
 	options.leaving = peers->leaving;
 	peers->membership =
 		wwh_membership_new(&options, peers->random, send_gossip, peers);
@@ -301,8 +301,8 @@
 		g_mutex_unlock(&peers->lock);
 		update_minions(peers, now_ms);
 		wwh_peers_relay_config(peers, now_ms);
-		wwh_peers_tell_loans(peers, now_ms);
-		wwh_peers_tell_drains(peers, now_ms);
+		wwh_peers_send_loans(peers, now_ms);
+		wwh_peers_send_drains(peers, now_ms);
 		g_usleep(TICK_MS * MILLISECOND_US);
 	}
 	return NULL;
@@ -323,16 +323,16 @@
 		g_mutex_unlock(&peers->lock);
 		break;
 	case WWH_FRAME_SEAT_ASK:
-		wwh_peers_answer_vote(peers, from, payload, size);
+		wwh_peers_handle_vote_request(peers, from, payload, size);
 		break;
 	case WWH_FRAME_SEAT_ANSWER:
-		wwh_peers_take_vote(peers, payload, size);
+		wwh_peers_handle_vote(peers, payload, size);
 		break;
 	case WWH_FRAME_LOAN:
-		wwh_peers_hear_loans(peers, payload, size);
+		wwh_peers_handle_loans(peers, payload, size);
 		break;
 	case WWH_FRAME_DRAIN:
-		wwh_peers_hear_drains(peers, payload, size);
+		wwh_peers_handle_drains(peers, payload, size);
 		break;
 	case WWH_FRAME_CONFIG:
 		g_mutex_lock(&peers->relay_lock);
@@ -448,7 +448,7 @@
 
 static uint64_t process_of(const wwh_member_t *member)
 {
-	char *author = wwh_entry_author_of(member->id, member->incarnation);
+	char *author = wwh_entry_author_name(member->id, member->incarnation);
 	uint64_t process = wwh_seat_process(author);
 
 	g_free(author);
--- a/src/libwaxwinghollow/entry_seats.c
+++ b/src/libwaxwinghollow/entry_seats.c
@@ -424,7 +424,7 @@
 static void submit(wwh_seats_t *seats, const wwh_seat_record_t *record)
 {
 	wwh_entry_t *entry = seats->entry;
-	wwh_submitted_t submitted;
+	wwh_submit_result_t submitted;
 	wwh_record_t whole;
 
 	wwh_record_init(&whole, WWH_RECORD_SEAT, entry->author);
--- a/src/libwaxwinghollow/request_table.c
+++ b/src/libwaxwinghollow/request_table.c
@@ -155,7 +155,7 @@
 	bool settled;
 
 	g_mutex_lock(&table->lock);
-	settled = wwh_dispatch_share_settled(table->dispatch);
+	settled = wwh_dispatch_is_within_share(table->dispatch);
 	g_mutex_unlock(&table->lock);
 	return settled;
 }
@@ -165,7 +165,8 @@
 					wwh_minion_state_t state)
 {
 	g_mutex_lock(&table->lock);
-	wwh_dispatch_minion_state(table->dispatch, wwh_now_ms(), minion, state);
+	wwh_dispatch_set_minion_state(table->dispatch, wwh_now_ms(), minion,
+				      state);
 	deliver_decisions(table);
 	g_mutex_unlock(&table->lock);
 }
@@ -175,8 +176,8 @@
 				    void *client_data)
 {
 	g_mutex_lock(&table->lock);
-	wwh_dispatch_loans_tell(table->dispatch, wwh_now_ms(), peer, visit,
-				client_data);
+	wwh_dispatch_loans_visit_updates(table->dispatch, wwh_now_ms(), peer,
+					 visit, client_data);
 	g_mutex_unlock(&table->lock);
 }
 
@@ -184,7 +185,8 @@
 				   const wwh_dispatch_loan_t *loan)
 {
 	g_mutex_lock(&table->lock);
-	wwh_dispatch_loan_hear(table->dispatch, wwh_now_ms(), peer, loan);
+	wwh_dispatch_loans_apply_update(table->dispatch, wwh_now_ms(), peer,
+					loan);
 	deliver_decisions(table);
 	g_mutex_unlock(&table->lock);
 }
@@ -192,7 +194,7 @@
 void wwh_request_table_forget_loans(wwh_request_table_t *table, uint64_t peer)
 {
 	g_mutex_lock(&table->lock);
-	wwh_dispatch_loans_forget(table->dispatch, wwh_now_ms(), peer);
+	wwh_dispatch_loans_remove_peer(table->dispatch, wwh_now_ms(), peer);
 	deliver_decisions(table);
 	g_mutex_unlock(&table->lock);
 }
@@ -298,7 +300,7 @@
 
 	g_mutex_lock(&table->lock);
 	count_running(table, result->minion, -1);
-	wwh_dispatch_finished(table->dispatch, wwh_now_ms(), result);
+	wwh_dispatch_finish_attempt(table->dispatch, wwh_now_ms(), result);
 	deliver_decisions(table);
 	g_mutex_unlock(&table->lock);
 }
@@ -490,8 +492,8 @@
 			};
 
 			count_running(table, result.minion, -1);
-			wwh_dispatch_finished(table->dispatch, wwh_now_ms(),
-					      &result);
+			wwh_dispatch_finish_attempt(table->dispatch,
+						    wwh_now_ms(), &result);
 		}
 		g_free(decision);
 	}
