--- a/src/libwaxwinghollow/dispatch_dump.c
+++ b/src/libwaxwinghollow/dispatch_dump.c
@@ -62,7 +62,8 @@
 	visit_value(&own, "waiting", wwh_admission_waiting(admission));
 	visit_value(&own, "waiting_bytes",
 		    wwh_admission_waiting_bytes(admission));
-	visit_value(&own, "waiting_callers", wwh_admission_callers(admission));
+	visit_value(&own, "waiting_callers",
+		    wwh_admission_waiting_callers(admission));
 	visit_value(&own, "running", service->running);
 	visit_value(&own, "arrived", service->arrived);
 	visit_value(&own, "answered", service->answered);
--- a/src/libwaxwinghollow/dispatch_loan.c
+++ b/src/libwaxwinghollow/dispatch_loan.c
@@ -24,7 +24,7 @@
 
 		return_unused_slots(minion, peer);
 		lend_unused_slots(minion, peer);
-		if (wwh_bearing_advance(&minion->bearing, now_ms))
+		if (wwh_slot_limit_advance(&minion->bearing, now_ms))
 			wwh_dispatch_set_seats(dispatch, minion);
 		loan.wanted = wanted_slots(minion, now_ms);
 		loan.bears = minion->bearing.bears;
@@ -48,8 +48,8 @@
 	if (minion == NULL)
 		return;
 	gained = wwh_loan_apply_totals(minion->loans, peer, loan->totals);
-	if (wwh_bearing_hear(&minion->bearing, now_ms, loan->bears_version,
-			     loan->bears))
+	if (wwh_slot_limit_handle_update(&minion->bearing, now_ms,
+					 loan->bears_version, loan->bears))
 		wwh_dispatch_set_seats(dispatch, minion);
 	wwh_loan_set_wanted_by(minion->loans, peer, loan->wanted);
 	wwh_dispatch_apply_share(minion);
