--- a/src/libwaxwinghollow/entry_exchange.c
+++ b/src/libwaxwinghollow/entry_exchange.c
@@ -37,18 +37,18 @@
 void wwh_peers_answer_vote(wwh_entry_peers_t *peers, const char *from,
 			   const uint8_t *payload, size_t size)
 {
-	wwh_seat_answer_t answer = {
+	wwh_vote_answer_t answer = {
 		.process = wwh_seat_process(peers->entry->author),
 	};
-	wwh_seat_ask_t ask;
+	wwh_vote_request_t ask;
 	GBytes *bytes;
 
-	if (!wwh_seat_ask_decode(payload, size, &ask) ||
+	if (!wwh_vote_request_decode(payload, size, &ask) ||
 	    !wwh_seats_may_vote(peers->entry->seats, ask.process,
 				&answer.seats))
 		return;
 	answer.sent_ms = ask.sent_ms;
-	bytes = wwh_seat_answer_encode(&answer);
+	bytes = wwh_vote_answer_encode(&answer);
 	wwh_peers_send(peers, from, WWH_FRAME_SEAT_ANSWER, bytes);
 	g_bytes_unref(bytes);
 }
@@ -56,15 +56,15 @@
 void wwh_peers_take_vote(wwh_entry_peers_t *peers, const uint8_t *payload,
 			 size_t size)
 {
-	wwh_seat_answer_t answer;
+	wwh_vote_answer_t answer;
 	wwh_seat_vote_t vote;
 
-	if (!wwh_seat_answer_decode(payload, size, &answer))
+	if (!wwh_vote_answer_decode(payload, size, &answer))
 		return;
 	vote.member = answer.process;
 	vote.seats = answer.seats;
 	vote.sent_ms = answer.sent_ms;
-	wwh_seats_take_vote(peers->entry->seats, &vote);
+	wwh_seats_handle_vote(peers->entry->seats, &vote);
 }
 
 void wwh_peers_hear_loans(wwh_entry_peers_t *peers, const uint8_t *payload,
@@ -89,7 +89,7 @@
 		}
 		/* it may have departed, and been forgotten, meanwhile */
 		if (!wwh_seats_is_member(peers->entry->seats, message.process))
-			wwh_entry_peers_forget(peers, message.process);
+			wwh_entry_peers_forget_loans(peers, message.process);
 	}
 	wwh_loan_message_clear(&message);
 }
@@ -134,7 +134,7 @@
 	wwh_drain_message_t message;
 
 	if (wwh_drain_message_decode(payload, size, &message))
-		wwh_entry_fleet_hear(peers->entry->fleet, &message);
+		wwh_entry_fleet_handle_drains(peers->entry->fleet, &message);
 	wwh_drain_message_clear(&message);
 }
 
@@ -148,7 +148,7 @@
 		return;
 	peers->next_drain_ms = now_ms + DRAIN_PERIOD_MS;
 	wwh_drain_message_init(&message);
-	wwh_entry_fleet_tell(peers->entry->fleet, &message);
+	wwh_entry_fleet_report_drains(peers->entry->fleet, &message);
 	if (message.items->len > 0) {
 		targets = wwh_peers_alive(peers);
 		bytes = wwh_drain_message_encode(&message);
--- a/src/libwaxwinghollow/entry_fleet.c
+++ b/src/libwaxwinghollow/entry_fleet.c
@@ -17,42 +17,42 @@
 #define ACTION_THREADS 8
 
 /*
- * A tick takes time with the size of the fleet, 16 ms at the target. So long
- * a pause after it keeps conducting below 0.5% of a core at every size, and
- * urgent work still starts within its 7.2 s.
+ * The duration of a conductor tick grows with the fleet; it is 16 ms at the
+ * target size. A pause of this many times the tick keeps the conductor below
+ * 0.5% of a core at every size, and urgent work still starts within its 7.2 s.
  */
 #define TICK_PAUSE_RATIO 200
 #define TASK_PERIOD_MS 1000
 
-/* A process that was silent on a worker for longer counts as unknown. */
+/* A process whose last report on a worker is older counts as unknown. */
 #define DRAIN_STALE_MS 3000
 
-/* What one process told last of a worker that is out. */
+/* The last report of one process on a worker that is out. */
 typedef struct {
 	int64_t grant;
 	int32_t running;
-	int64_t heard_ms;
-} drain_t;
+	int64_t received_ms;
+} drain_report_t;
 
-/* A worker that is out, and under which grant. */
+/* A worker that is out, and the offset of its grant or move. */
 typedef struct {
 	char *worker;
 	int64_t grant;
-} out_t;
+} out_worker_t;
 
 struct wwh_entry_fleet {
 	wwh_entry_t *entry;
-	GMutex lock; /* all below but results */
+	GMutex lock; /* protects all below but results */
 	wwh_observations_t *observations;
 	wwh_conductor_t *conductor;
 	wwh_entry_shards_t *shards;
-	GHashTable *out; /* worker to out_t */
-	GHashTable *drains; /* "process worker" to drain_t */
+	GHashTable *out_workers; /* worker to out_worker_t */
+	GHashTable *drain_reports; /* "process worker" to drain_report_t */
 	bool stopping;
 	int64_t next_tasks_ms;
 	int64_t next_tick_ms;
 	GAsyncQueue *results; /* of wwh_action_result_t */
-	GThreadPool *actors;
+	GThreadPool *action_pool;
 	GThread *thread;
 	wwh_counter_t *actions[WWH_ACTION_KIND_COUNT];
 	wwh_counter_t *tick_us;
@@ -60,18 +60,19 @@
 
 static gpointer fleet_main(gpointer data);
 static void read_tasks(wwh_entry_fleet_t *fleet);
-static void take_task(const wwh_task_report_t *report, void *client_data);
-static void update_out(wwh_entry_fleet_t *fleet);
-static bool note_out(const wwh_worker_view_t *worker, void *client_data);
+static void observe_task(const wwh_task_report_t *report, void *client_data);
+static void update_out_workers(wwh_entry_fleet_t *fleet);
+static bool add_out_worker(const wwh_worker_view_t *worker, void *client_data);
 static void observe_requests(wwh_entry_fleet_t *fleet, int64_t now_ms);
-static int32_t requests_on(wwh_entry_fleet_t *fleet, const out_t *out,
-			   int64_t now_ms);
-static int32_t own_requests(wwh_entry_fleet_t *fleet,
-			    const wwh_config_t *config, const char *worker);
-static void conduct(wwh_entry_fleet_t *fleet);
-static void act(gpointer data, gpointer user_data);
-static void count_callers(wwh_entry_fleet_t *fleet);
-static void free_out(gpointer data);
+static int32_t count_requests(wwh_entry_fleet_t *fleet, const out_worker_t *out,
+			      int64_t now_ms);
+static int32_t count_own_requests(wwh_entry_fleet_t *fleet,
+				  const wwh_config_t *config,
+				  const char *worker);
+static void run_conductor(wwh_entry_fleet_t *fleet);
+static void perform_action(gpointer data, gpointer user_data);
+static void report_caller_counts(wwh_entry_fleet_t *fleet);
+static void out_worker_free(gpointer data);
 
 wwh_entry_fleet_t *wwh_entry_fleet_new(wwh_entry_t *entry)
 {
@@ -92,13 +93,13 @@
 	conductor.rehearsal_ms = entry->settings->rehearsal_hold_ms;
 	fleet->conductor = wwh_conductor_new(&conductor);
 	fleet->shards = wwh_entry_shards_new(entry);
-	fleet->out =
-		g_hash_table_new_full(g_str_hash, g_str_equal, NULL, free_out);
-	fleet->drains =
+	fleet->out_workers = g_hash_table_new_full(g_str_hash, g_str_equal,
+						   NULL, out_worker_free);
+	fleet->drain_reports =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	fleet->results = g_async_queue_new_full(g_free);
-	fleet->actors =
-		g_thread_pool_new(act, fleet, ACTION_THREADS, FALSE, NULL);
+	fleet->action_pool = g_thread_pool_new(perform_action, fleet,
+					       ACTION_THREADS, FALSE, NULL);
 	for (int32_t i = 0; i < WWH_ACTION_KIND_COUNT; i++) {
 		char *name =
 			g_strdup_printf("fleet.%s", wwh_action_kind_names[i]);
@@ -124,8 +125,8 @@
 	g_mutex_unlock(&fleet->lock);
 	g_thread_join(fleet->thread);
 	fleet->thread = NULL;
-	g_thread_pool_free(fleet->actors, FALSE, TRUE);
-	fleet->actors = NULL;
+	g_thread_pool_free(fleet->action_pool, FALSE, TRUE);
+	fleet->action_pool = NULL;
 	wwh_entry_shards_round(fleet->shards, true);
 }
 
@@ -134,47 +135,48 @@
 	if (fleet == NULL)
 		return;
 	wwh_entry_fleet_finish(fleet);
-	if (fleet->actors != NULL)
-		g_thread_pool_free(fleet->actors, FALSE, TRUE);
+	if (fleet->action_pool != NULL)
+		g_thread_pool_free(fleet->action_pool, FALSE, TRUE);
 	g_async_queue_unref(fleet->results);
 	wwh_conductor_delete(fleet->conductor);
 	wwh_observations_delete(fleet->observations);
 	wwh_entry_shards_delete(fleet->shards);
-	g_hash_table_destroy(fleet->out);
-	g_hash_table_destroy(fleet->drains);
+	g_hash_table_destroy(fleet->out_workers);
+	g_hash_table_destroy(fleet->drain_reports);
 	g_mutex_clear(&fleet->lock);
 	g_free(fleet);
 }
 
-void wwh_entry_fleet_host(wwh_entry_fleet_t *fleet, const wwh_host_t *host)
+void wwh_entry_fleet_observe_host(wwh_entry_fleet_t *fleet,
+				  const wwh_host_t *host)
 {
 	g_mutex_lock(&fleet->lock);
 	wwh_observations_host(fleet->observations, host);
 	g_mutex_unlock(&fleet->lock);
 }
 
-bool wwh_entry_fleet_worker_out(wwh_entry_fleet_t *fleet, const char *worker)
+bool wwh_entry_fleet_is_worker_out(wwh_entry_fleet_t *fleet, const char *worker)
 {
 	bool out;
 
 	g_mutex_lock(&fleet->lock);
-	out = g_hash_table_contains(fleet->out, worker);
+	out = g_hash_table_contains(fleet->out_workers, worker);
 	g_mutex_unlock(&fleet->lock);
 	return out;
 }
 
-void wwh_entry_fleet_hear(wwh_entry_fleet_t *fleet,
-			  const wwh_drain_message_t *message)
+void wwh_entry_fleet_handle_drains(wwh_entry_fleet_t *fleet,
+				   const wwh_drain_message_t *message)
 {
 	g_mutex_lock(&fleet->lock);
 	for (guint i = 0; i < message->items->len; i++) {
 		const wwh_drain_item_t *item = message->items->pdata[i];
-		drain_t *drain = g_new0(drain_t, 1);
+		drain_report_t *drain = g_new0(drain_report_t, 1);
 
 		drain->grant = item->grant;
 		drain->running = item->running;
-		drain->heard_ms = wwh_now_ms();
-		g_hash_table_insert(fleet->drains,
+		drain->received_ms = wwh_now_ms();
+		g_hash_table_insert(fleet->drain_reports,
 				    g_strdup_printf("%" G_GUINT64_FORMAT " %s",
 						    message->process,
 						    item->worker),
@@ -183,8 +185,8 @@
 	g_mutex_unlock(&fleet->lock);
 }
 
-void wwh_entry_fleet_tell(wwh_entry_fleet_t *fleet,
-			  wwh_drain_message_t *message)
+void wwh_entry_fleet_report_drains(wwh_entry_fleet_t *fleet,
+				   wwh_drain_message_t *message)
 {
 	wwh_config_t *config = wwh_entry_config(fleet->entry);
 	GHashTableIter iter;
@@ -194,14 +196,14 @@
 		return;
 	message->process = wwh_seat_process(fleet->entry->author);
 	g_mutex_lock(&fleet->lock);
-	g_hash_table_iter_init(&iter, fleet->out);
+	g_hash_table_iter_init(&iter, fleet->out_workers);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		const out_t *out = value;
+		const out_worker_t *out = value;
 		wwh_drain_item_t *item = g_new0(wwh_drain_item_t, 1);
 
 		item->worker = g_strdup(out->worker);
 		item->grant = out->grant;
-		item->running = own_requests(fleet, config, out->worker);
+		item->running = count_own_requests(fleet, config, out->worker);
 		g_ptr_array_add(message->items, item);
 	}
 	g_mutex_unlock(&fleet->lock);
@@ -294,11 +296,11 @@
 	while (!stopping) {
 		if (wwh_entry_log_caught_up(fleet->entry->log)) {
 			wwh_entry_shards_round(fleet->shards, false);
-			update_out(fleet);
+			update_out_workers(fleet);
 			if (wwh_entry_shards_held(fleet->shards) > 0 &&
 			    wwh_now_ms() >= fleet->next_tick_ms) {
 				read_tasks(fleet);
-				conduct(fleet);
+				run_conductor(fleet);
 			}
 		}
 		g_usleep(ROUND_MS * MILLISECOND_US);
@@ -323,10 +325,10 @@
 	fleet->next_tasks_ms = now_ms + TASK_PERIOD_MS;
 	(void)entry->platform.task_reports(entry->platform.context,
 					   entry->settings->platform_timeout_ms,
-					   take_task, fleet);
+					   observe_task, fleet);
 }
 
-static void take_task(const wwh_task_report_t *report, void *client_data)
+static void observe_task(const wwh_task_report_t *report, void *client_data)
 {
 	wwh_entry_fleet_t *fleet = client_data;
 
@@ -335,7 +337,7 @@
 	g_mutex_unlock(&fleet->lock);
 }
 
-static void update_out(wwh_entry_fleet_t *fleet)
+static void update_out_workers(wwh_entry_fleet_t *fleet)
 {
 	wwh_entry_t *entry = fleet->entry;
 	guint before;
@@ -343,26 +345,26 @@
 
 	g_mutex_lock(&entry->state_lock);
 	g_mutex_lock(&fleet->lock);
-	before = g_hash_table_size(fleet->out);
-	g_hash_table_remove_all(fleet->out);
-	wwh_state_each_grant(entry->state, note_out, fleet);
-	after = g_hash_table_size(fleet->out);
+	before = g_hash_table_size(fleet->out_workers);
+	g_hash_table_remove_all(fleet->out_workers);
+	wwh_state_each_grant(entry->state, add_out_worker, fleet);
+	after = g_hash_table_size(fleet->out_workers);
 	if (after == 0)
-		g_hash_table_remove_all(fleet->drains);
+		g_hash_table_remove_all(fleet->drain_reports);
 	g_mutex_unlock(&fleet->lock);
 	g_mutex_unlock(&entry->state_lock);
 	if (before > 0 || after > 0)
 		wwh_entry_peers_workers_changed(entry->peers);
 }
 
-static bool note_out(const wwh_worker_view_t *worker, void *client_data)
+static bool add_out_worker(const wwh_worker_view_t *worker, void *client_data)
 {
 	wwh_entry_fleet_t *fleet = client_data;
-	out_t *out = g_new0(out_t, 1);
+	out_worker_t *out = g_new0(out_worker_t, 1);
 
 	out->worker = g_strdup(worker->id);
 	out->grant = worker->grant >= 0 ? worker->grant : worker->move;
-	g_hash_table_insert(fleet->out, out->worker, out);
+	g_hash_table_insert(fleet->out_workers, out->worker, out);
 	return true;
 }
 
@@ -371,41 +373,42 @@
 	GHashTableIter iter;
 	gpointer value;
 
-	g_hash_table_iter_init(&iter, fleet->out);
+	g_hash_table_iter_init(&iter, fleet->out_workers);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
-		const out_t *out = value;
+		const out_worker_t *out = value;
 
 		wwh_observations_requests(fleet->observations, out->worker,
-					  requests_on(fleet, out, now_ms));
+					  count_requests(fleet, out, now_ms));
 	}
 }
 
 /*
- * Every member that may send has to say, after it read this very grant, that
- * it has nothing in progress there. One that is silent counts as having one:
- * a paused process may wake up with a request on the worker, and a reboot
- * would cut it off.
+ * The requests in progress on a worker, summed over all members that may send.
+ * Only reports that were made after the member read this grant count. A member
+ * without a recent one counts as one request: a paused process may resume with
+ * a request on the worker, and a reboot would abort it.
  */
-static int32_t requests_on(wwh_entry_fleet_t *fleet, const out_t *out,
-			   int64_t now_ms)
+static int32_t count_requests(wwh_entry_fleet_t *fleet, const out_worker_t *out,
+			      int64_t now_ms)
 {
 	const wwh_seat_table_t *seats = wwh_state_seats(fleet->entry->state);
 	uint64_t own = wwh_seat_process(fleet->entry->author);
-	int32_t sum = own_requests(fleet, fleet->entry->config, out->worker);
+	int32_t sum =
+		count_own_requests(fleet, fleet->entry->config, out->worker);
 
 	for (int32_t i = 0; i < seats->member_count; i++) {
 		uint64_t process = seats->members[i].process;
-		const drain_t *drain;
+		const drain_report_t *drain;
 		char *key;
 
 		if (process == own)
 			continue;
 		key = g_strdup_printf("%" G_GUINT64_FORMAT " %s", process,
 				      out->worker);
-		drain = g_hash_table_lookup(fleet->drains, key);
+		drain = g_hash_table_lookup(fleet->drain_reports, key);
 		g_free(key);
 		if (drain == NULL || drain->grant != out->grant ||
-		    now_ms - drain->heard_ms > DRAIN_STALE_MS)
+		    now_ms - drain->received_ms > DRAIN_STALE_MS)
 			sum++;
 		else
 			sum += drain->running;
@@ -413,8 +416,9 @@
 	return sum;
 }
 
-static int32_t own_requests(wwh_entry_fleet_t *fleet,
-			    const wwh_config_t *config, const char *worker)
+static int32_t count_own_requests(wwh_entry_fleet_t *fleet,
+				  const wwh_config_t *config,
+				  const char *worker)
 {
 	int32_t sum = 0;
 
@@ -428,7 +432,7 @@
 	return sum;
 }
 
-static void conduct(wwh_entry_fleet_t *fleet)
+static void run_conductor(wwh_entry_fleet_t *fleet)
 {
 	wwh_entry_t *entry = fleet->entry;
 	int64_t began_us = g_get_monotonic_time();
@@ -448,7 +452,7 @@
 		wwh_conductor_result(fleet->conductor, result, now_ms);
 		g_free(result);
 	}
-	count_callers(fleet);
+	report_caller_counts(fleet);
 	wwh_conductor_set_utc(fleet->conductor,
 			      g_get_real_time() / MILLISECOND_US - now_ms);
 	wwh_conductor_tick(fleet->conductor, now_ms, view);
@@ -459,7 +463,7 @@
 			wwh_action_clear(&action);
 			continue;
 		}
-		g_thread_pool_push(fleet->actors,
+		g_thread_pool_push(fleet->action_pool,
 				   g_memdup2(&action, sizeof(action)), NULL);
 	}
 	g_mutex_unlock(&fleet->lock);
@@ -470,8 +474,8 @@
 		now_ms + spent_us * TICK_PAUSE_RATIO / MILLISECOND_US;
 }
 
-/* On one of the actors' threads; may block. */
-static void act(gpointer data, gpointer user_data)
+/* Runs on a thread of action_pool; may block. */
+static void perform_action(gpointer data, gpointer user_data)
 {
 	wwh_entry_fleet_t *fleet = user_data;
 	wwh_entry_t *entry = fleet->entry;
@@ -496,8 +500,11 @@
 	g_async_queue_push(fleet->results, result);
 }
 
-/* What callers of this process got; the others tell it by their own reports. */
-static void count_callers(wwh_entry_fleet_t *fleet)
+/*
+ * Passes the outcomes of this process's callers to the conductor. Other
+ * processes count their own callers.
+ */
+static void report_caller_counts(wwh_entry_fleet_t *fleet)
 {
 	wwh_entry_t *entry = fleet->entry;
 	wwh_caller_counts_t counts = { 0 };
@@ -520,9 +527,9 @@
 	wwh_conductor_callers(fleet->conductor, &counts);
 }
 
-static void free_out(gpointer data)
+static void out_worker_free(gpointer data)
 {
-	out_t *out = data;
+	out_worker_t *out = data;
 
 	g_free(out->worker);
 	g_free(out);
--- a/src/libwaxwinghollow/entry_peers.c
+++ b/src/libwaxwinghollow/entry_peers.c
@@ -14,21 +14,22 @@
 #define MILLISECOND_US 1000
 
 /*
- * How often minions' states are worked out anew from what is known; at once
- * when a minion of this process said that it leaves, or a worker went out.
+ * Period at which the states of minions are determined anew. They are also
+ * determined at once when a minion's answer to this process reports that it
+ * leaves, and when workers are out or came back.
  */
 #define LEAVING_PERIOD_MS 1000
 
-static void keep_unlisted(wwh_entry_peers_t *peers);
+static void retain_unlisted(wwh_entry_peers_t *peers);
 static gpointer peers_main(gpointer data);
-static void on_frame(const char *from_id, const char *from,
+static void on_frame(const char *from_id, const char *from_address,
 		     wwh_frame_kind_t kind, const uint8_t *payload, size_t size,
 		     void *client_data);
 static void send_gossip(const char *address, const uint8_t *payload,
 			size_t size, void *client_data);
 static void update_summary(wwh_entry_peers_t *peers, int64_t now_ms);
 static void update_minions(wwh_entry_peers_t *peers, int64_t now_ms);
-static uint64_t process_of(const wwh_member_t *member);
+static uint64_t member_process(const wwh_member_t *member);
 
 static void free_target(gpointer data);
 
@@ -44,11 +45,11 @@
 	peers->leaving = wwh_leaving_new();
 	peers->minion_states =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	peers->gone =
+	peers->gone_minions =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	peers->gone_next =
+	peers->next_gone_minions =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-	peers->listed_next =
+	peers->next_listed_minions =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	wwh_membership_options_defaults(&options);
 	options.id = settings->process_id;
@@ -116,9 +117,9 @@
 	g_mutex_clear(&peers->relay_lock);
 	wwh_leaving_delete(peers->leaving);
 	g_hash_table_destroy(peers->minion_states);
-	g_hash_table_destroy(peers->gone);
-	g_hash_table_destroy(peers->gone_next);
-	g_hash_table_destroy(peers->listed_next);
+	g_hash_table_destroy(peers->gone_minions);
+	g_hash_table_destroy(peers->next_gone_minions);
+	g_hash_table_destroy(peers->next_listed_minions);
 	g_rand_free(peers->random);
 	g_mutex_clear(&peers->lock);
 	g_free(peers);
@@ -128,8 +129,8 @@
 {
 	g_mutex_lock(&peers->lock);
 	wwh_membership_list_begin(peers->membership);
-	g_hash_table_remove_all(peers->gone_next);
-	g_hash_table_remove_all(peers->listed_next);
+	g_hash_table_remove_all(peers->next_gone_minions);
+	g_hash_table_remove_all(peers->next_listed_minions);
 	g_mutex_unlock(&peers->lock);
 }
 
@@ -140,43 +141,46 @@
 	g_mutex_lock(&peers->lock);
 	wwh_membership_list_host(peers->membership, host, now_ms);
 	if (host->kind == WWH_HOST_MINION) {
-		g_hash_table_add(peers->listed_next, g_strdup(host->id));
+		g_hash_table_add(peers->next_listed_minions,
+				 g_strdup(host->id));
 		wwh_leaving_set_listed(peers->leaving, host->id,
 				       host->state != WWH_HOST_LIVE, now_ms);
 		if (host->state == WWH_HOST_GONE)
-			g_hash_table_add(peers->gone_next, g_strdup(host->id));
+			g_hash_table_add(peers->next_gone_minions,
+					 g_strdup(host->id));
 	}
 	g_mutex_unlock(&peers->lock);
 }
 
 /*
- * Only a list that was read to its end is taken up. While one is read, or
- * when reading it fails, minions that are gone would else get work.
+ * A list takes effect only after it was read to its end. Otherwise minions that
+ * are gone would get requests while a list is read, or when reading it fails.
  */
-void wwh_entry_peers_list_end(wwh_entry_peers_t *peers, bool whole)
+void wwh_entry_peers_list_end(wwh_entry_peers_t *peers, bool complete)
 {
-	GHashTable *last;
+	GHashTable *previous;
 
 	g_mutex_lock(&peers->lock);
-	if (!whole)
-		keep_unlisted(peers);
-	last = peers->gone;
-	peers->gone = peers->gone_next;
-	peers->gone_next = last;
-	wwh_membership_list_end(peers->membership, whole, wwh_now_ms());
+	if (!complete)
+		retain_unlisted(peers);
+	previous = peers->gone_minions;
+	peers->gone_minions = peers->next_gone_minions;
+	peers->next_gone_minions = previous;
+	wwh_membership_list_end(peers->membership, complete, wwh_now_ms());
 	g_mutex_unlock(&peers->lock);
 }
 
-/* A minion that was gone and isn't in the rows that can be read still is. */
-static void keep_unlisted(wwh_entry_peers_t *peers)
+/* Gone minions that are not among the readable rows remain gone. */
+static void retain_unlisted(wwh_entry_peers_t *peers)
 {
 	GHashTableIter iterator;
 	gpointer id;
 
-	g_hash_table_iter_init(&iterator, peers->gone);
+	g_hash_table_iter_init(&iterator, peers->gone_minions);
 	while (g_hash_table_iter_next(&iterator, &id, NULL)) {
-		if (!g_hash_table_contains(peers->listed_next, id))
-			g_hash_table_add(peers->gone_next, g_strdup(id));
+		if (!g_hash_table_contains(peers->next_listed_minions, id))
+			g_hash_table_add(peers->next_gone_minions,
+					 g_strdup(id));
 	}
 }
 
@@ -197,13 +201,13 @@
 					       WWH_MINION_LEAVING);
 }
 
-void wwh_entry_peers_ask_votes(wwh_entry_peers_t *peers)
+void wwh_entry_peers_request_votes(wwh_entry_peers_t *peers)
 {
-	wwh_seat_ask_t ask = {
+	wwh_vote_request_t ask = {
 		.process = wwh_seat_process(peers->entry->author),
 		.sent_ms = wwh_now_ms(),
 	};
-	GBytes *bytes = wwh_seat_ask_encode(&ask);
+	GBytes *bytes = wwh_vote_request_encode(&ask);
 	GPtrArray *targets = wwh_peers_alive(peers);
 
 	for (guint i = 0; i < targets->len; i++) {
@@ -232,14 +236,14 @@
 		wwh_member_t member;
 
 		wwh_membership_at(peers->membership, i, &member);
-		if (process_of(&member) == process)
+		if (member_process(&member) == process)
 			dead = member.status == WWH_MEMBER_DEAD;
 	}
 	g_mutex_unlock(&peers->lock);
 	return dead;
 }
 
-void wwh_entry_peers_forget(wwh_entry_peers_t *peers, uint64_t process)
+void wwh_entry_peers_forget_loans(wwh_entry_peers_t *peers, uint64_t process)
 {
 	wwh_request_table_loans_forget(peers->entry->requests, process);
 }
@@ -308,7 +312,7 @@
 	return NULL;
 }
 
-static void on_frame(const char *from_id, const char *from,
+static void on_frame(const char *from_id, const char *from_address,
 		     wwh_frame_kind_t kind, const uint8_t *payload, size_t size,
 		     void *client_data)
 {
@@ -318,12 +322,12 @@
 	switch (kind) {
 	case WWH_FRAME_GOSSIP:
 		g_mutex_lock(&peers->lock);
-		(void)wwh_membership_receive(peers->membership, from, payload,
-					     size, wwh_now_ms());
+		(void)wwh_membership_receive(peers->membership, from_address,
+					     payload, size, wwh_now_ms());
 		g_mutex_unlock(&peers->lock);
 		break;
 	case WWH_FRAME_SEAT_ASK:
-		wwh_peers_answer_vote(peers, from, payload, size);
+		wwh_peers_answer_vote(peers, from_address, payload, size);
 		break;
 	case WWH_FRAME_SEAT_ANSWER:
 		wwh_peers_take_vote(peers, payload, size);
@@ -336,8 +340,8 @@
 		break;
 	case WWH_FRAME_CONFIG:
 		g_mutex_lock(&peers->relay_lock);
-		(void)wwh_config_relay_receive(peers->relay, from, payload,
-					       size, wwh_now_ms());
+		(void)wwh_config_relay_receive(peers->relay, from_address,
+					       payload, size, wwh_now_ms());
 		g_mutex_unlock(&peers->relay_lock);
 		break;
 	default:
@@ -355,7 +359,7 @@
 				    payload, size);
 }
 
-/* What isn't sent is made up for by the next message of its kind. */
+/* Errors are ignored: the next message of the kind makes up for a lost one. */
 void wwh_peers_send(wwh_entry_peers_t *peers, const char *address,
 		    wwh_frame_kind_t kind, GBytes *bytes)
 {
@@ -384,7 +388,7 @@
 	g_mutex_unlock(&peers->lock);
 }
 
-/* Tells the dispatcher of each minion whose state has changed. */
+/* Passes changed states of minions to the request table. */
 static void update_minions(wwh_entry_peers_t *peers, int64_t now_ms)
 {
 	wwh_config_t *config;
@@ -401,16 +405,17 @@
 		const wwh_minion_t *minion = wwh_config_minion_at(config, i);
 		const char *id = minion->id;
 		wwh_minion_state_t state = WWH_MINION_LIVE;
-		gpointer told = g_hash_table_lookup(peers->minion_states, id);
+		gpointer last_state =
+			g_hash_table_lookup(peers->minion_states, id);
 
-		if (g_hash_table_contains(peers->gone, id))
+		if (g_hash_table_contains(peers->gone_minions, id))
 			state = WWH_MINION_GONE;
 		else if (wwh_leaving_contains(peers->leaving, id, now_ms) ||
-			 wwh_entry_fleet_worker_out(peers->entry->fleet,
-						    minion->worker))
+			 wwh_entry_fleet_is_worker_out(peers->entry->fleet,
+						       minion->worker))
 			state = WWH_MINION_LEAVING;
 		leaving += state != WWH_MINION_LIVE;
-		if (GPOINTER_TO_INT(told) == (int)state)
+		if (GPOINTER_TO_INT(last_state) == (int)state)
 			continue;
 		g_hash_table_insert(peers->minion_states, g_strdup(id),
 				    GINT_TO_POINTER(state));
@@ -438,7 +443,7 @@
 		    strcmp(member.region, region) != 0)
 			continue;
 		target = g_new0(wwh_peer_target_t, 1);
-		target->process = process_of(&member);
+		target->process = member_process(&member);
 		target->address = g_strdup(member.address);
 		g_ptr_array_add(targets, target);
 	}
@@ -446,7 +451,7 @@
 	return targets;
 }
 
-static uint64_t process_of(const wwh_member_t *member)
+static uint64_t member_process(const wwh_member_t *member)
 {
 	char *author = wwh_entry_author_of(member->id, member->incarnation);
 	uint64_t process = wwh_seat_process(author);
--- a/src/libwaxwinghollow/entry_seats.c
+++ b/src/libwaxwinghollow/entry_seats.c
@@ -6,57 +6,58 @@
 #include "private/entry_peers.h"
 #include "private/request_table.h"
 
-/* Votes are asked for once the lease has less than this left. */
-#define VOTE_BELOW_MS 2500
+/* Votes are requested when less than this remains of the lease. */
+#define VOTE_LEASE_BELOW_MS 2500
 #define VOTE_PERIOD_MS 500
 
-/* An act that had no effect is not repeated at once. */
-#define ACT_PAUSE_MS 300
+/* Delay before the next record, unless the last one was accepted. */
+#define RECORD_PAUSE_MS 300
 
 struct wwh_seats {
 	wwh_entry_t *entry;
 	uint64_t process;
-	GMutex lock; /* all below */
-	wwh_seat_table_t table; /* a copy of the state's */
+	GMutex lock; /* protects all below */
+	wwh_seat_table_t table; /* copy of the one in entry->state */
 	wwh_seat_lease_t lease;
-	uint64_t mask; /* in the share */
-	uint64_t releasing; /* taken out of the share, not given back yet */
+	uint64_t mask; /* seats in the dispatcher's share */
+	uint64_t releasing; /* held, but removed from the share */
 	bool left;
 	int64_t next_vote_ms;
-	int64_t next_act_ms;
-	GHashTable *gone; /* set of hosts that the list calls gone */
-	GHashTable *acked_ms; /* process to when its last ACK was seen */
+	int64_t next_record_ms;
+	/* set of hosts that the platform lists as gone */
+	GHashTable *gone_hosts;
+	/* evicted process to when its last ACK was read */
+	GHashTable *all_acked_ms;
 	wwh_counter_t *held;
 	wwh_counter_t *records;
 	wwh_counter_t *votes;
 	wwh_counter_t *lapsed;
 };
 
-/* Collects what the authors on the log tell about members. */
+/* Result of the search for a member that has ended, among the log's authors. */
 typedef struct {
 	wwh_seats_t *seats;
-	uint64_t gone; /* a member that surely runs no more, or 0 */
+	uint64_t gone; /* a member that has certainly ended, or 0 */
 	char *gone_author;
-} authors_t;
+} gone_search_t;
 
 static void copy_table(wwh_seats_t *seats);
 static void set_share(wwh_seats_t *seats, int64_t now_ms);
 static void renew_lease(wwh_seats_t *seats, int64_t sent_ms);
-static bool plan(wwh_seats_t *seats, int64_t now_ms, bool giving,
-		 wwh_seat_record_t *record);
-static bool plan_giving(wwh_seats_t *seats, wwh_seat_record_t *record);
+static bool plan_record(wwh_seats_t *seats, int64_t now_ms, bool release_all,
+			wwh_seat_record_t *record);
+static bool plan_release_all(wwh_seats_t *seats, wwh_seat_record_t *record);
 static bool plan_others(wwh_seats_t *seats, int64_t now_ms,
 			wwh_seat_record_t *record);
 static bool plan_eviction(wwh_seats_t *seats, int64_t now_ms,
 			  const wwh_seat_member_t *member, int32_t own_index,
 			  wwh_seat_record_t *record);
 static bool plan_gone(wwh_seats_t *seats, wwh_seat_record_t *record);
-static bool look_at_author(const char *author, int64_t offset,
-			   void *client_data);
-static int64_t acked_since(wwh_seats_t *seats, uint64_t process,
-			   int64_t now_ms);
-static bool author_gone(wwh_seats_t *seats, const char *author);
-static int32_t index_of(const wwh_seat_table_t *table, uint64_t process);
+static bool check_author(const char *author, int64_t offset, void *client_data);
+static int64_t all_acked_since_ms(wwh_seats_t *seats, uint64_t process,
+				  int64_t now_ms);
+static bool is_author_gone(wwh_seats_t *seats, const char *author);
+static int32_t member_index(const wwh_seat_table_t *table, uint64_t process);
 static void submit(wwh_seats_t *seats, const wwh_seat_record_t *record);
 
 wwh_seats_t *wwh_seats_new(wwh_entry_t *entry)
@@ -67,9 +68,9 @@
 	seats->process = wwh_seat_process(entry->author);
 	g_mutex_init(&seats->lock);
 	wwh_seat_table_init(&seats->table, WWH_STATE_SEATS);
-	seats->acked_ms = g_hash_table_new_full(g_int64_hash, g_int64_equal,
-						g_free, g_free);
-	seats->gone =
+	seats->all_acked_ms = g_hash_table_new_full(g_int64_hash, g_int64_equal,
+						    g_free, g_free);
+	seats->gone_hosts =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
 	seats->held = wwh_counters_get(entry->counters, "seats.held");
 	seats->records = wwh_counters_get(entry->counters, "seats.records");
@@ -82,57 +83,57 @@
 {
 	if (seats == NULL)
 		return;
-	g_hash_table_destroy(seats->gone);
-	g_hash_table_destroy(seats->acked_ms);
+	g_hash_table_destroy(seats->gone_hosts);
+	g_hash_table_destroy(seats->all_acked_ms);
 	g_mutex_clear(&seats->lock);
 	g_free(seats);
 }
 
-void wwh_seats_round(wwh_seats_t *seats, bool giving)
+void wwh_seats_round(wwh_seats_t *seats, bool release_all)
 {
 	int64_t now_ms = wwh_now_ms();
 	/*
-	 * The read first, the table after it: a table that is older than the
-	 * read might miss the eviction that the read brought, and the lease
-	 * would be renewed by it.
+	 * The time of the read is taken before the table is copied: a table
+	 * that is older than the read might lack an eviction that the read
+	 * returned, and the lease would be renewed in spite of it.
 	 */
 	int64_t sent_ms = wwh_entry_log_read_sent_ms(seats->entry->log);
 	wwh_seat_record_t record;
-	bool act;
-	bool ask = false;
+	bool has_record;
+	bool needs_votes = false;
 
 	copy_table(seats);
 	g_mutex_lock(&seats->lock);
 	renew_lease(seats, sent_ms);
-	act = now_ms >= seats->next_act_ms &&
-	      plan(seats, now_ms, giving, &record);
-	if (act)
-		seats->next_act_ms = now_ms + ACT_PAUSE_MS;
+	has_record = now_ms >= seats->next_record_ms &&
+		     plan_record(seats, now_ms, release_all, &record);
+	if (has_record)
+		seats->next_record_ms = now_ms + RECORD_PAUSE_MS;
 	set_share(seats, now_ms);
-	if (seats->lease.until_ms - now_ms < VOTE_BELOW_MS &&
+	if (seats->lease.until_ms - now_ms < VOTE_LEASE_BELOW_MS &&
 	    now_ms >= seats->next_vote_ms) {
 		seats->next_vote_ms = now_ms + VOTE_PERIOD_MS;
-		ask = true;
+		needs_votes = true;
 	}
 	g_mutex_unlock(&seats->lock);
-	if (ask)
-		wwh_entry_peers_ask_votes(seats->entry->peers);
-	if (act)
+	if (needs_votes)
+		wwh_entry_peers_request_votes(seats->entry->peers);
+	if (has_record)
 		submit(seats, &record);
 }
 
-bool wwh_seats_given_back(wwh_seats_t *seats)
+bool wwh_seats_has_left(wwh_seats_t *seats)
 {
 	bool result;
 
 	copy_table(seats);
 	g_mutex_lock(&seats->lock);
-	result = index_of(&seats->table, seats->process) < 0;
+	result = member_index(&seats->table, seats->process) < 0;
 	g_mutex_unlock(&seats->lock);
 	return result;
 }
 
-bool wwh_seats_may_vote(wwh_seats_t *seats, uint64_t asker, uint64_t *own)
+bool wwh_seats_may_vote(wwh_seats_t *seats, uint64_t requester, uint64_t *own)
 {
 	int64_t now_ms = wwh_now_ms();
 	int32_t index;
@@ -140,7 +141,7 @@
 
 	copy_table(seats);
 	g_mutex_lock(&seats->lock);
-	index = index_of(&seats->table, asker);
+	index = member_index(&seats->table, requester);
 	may = index >= 0 && !seats->table.members[index].evicted &&
 	      now_ms < seats->lease.until_ms;
 	*own = seats->mask;
@@ -148,7 +149,7 @@
 	return may;
 }
 
-void wwh_seats_take_vote(wwh_seats_t *seats, const wwh_seat_vote_t *vote)
+void wwh_seats_handle_vote(wwh_seats_t *seats, const wwh_seat_vote_t *vote)
 {
 	g_mutex_lock(&seats->lock);
 	wwh_counter_add(seats->votes, 1);
@@ -162,36 +163,36 @@
 	bool member;
 
 	g_mutex_lock(&seats->lock);
-	index = index_of(&seats->table, process);
+	index = member_index(&seats->table, process);
 	member = index >= 0 && !seats->table.members[index].evicted;
 	g_mutex_unlock(&seats->lock);
 	return member;
 }
 
-bool wwh_seats_author_gone(wwh_seats_t *seats, const char *author)
+bool wwh_seats_is_author_gone(wwh_seats_t *seats, const char *author)
 {
 	bool gone;
 
 	g_mutex_lock(&seats->lock);
-	gone = author_gone(seats, author);
+	gone = is_author_gone(seats, author);
 	g_mutex_unlock(&seats->lock);
 	return gone;
 }
 
-void wwh_seats_host(wwh_seats_t *seats, const char *host, bool gone)
+void wwh_seats_set_host_gone(wwh_seats_t *seats, const char *host, bool gone)
 {
 	g_mutex_lock(&seats->lock);
 	if (gone)
-		g_hash_table_add(seats->gone, g_strdup(host));
+		g_hash_table_add(seats->gone_hosts, g_strdup(host));
 	else
-		g_hash_table_remove(seats->gone, host);
+		g_hash_table_remove(seats->gone_hosts, host);
 	g_mutex_unlock(&seats->lock);
 }
 
 /*
- * What a process lent is its seats'. Once it is said to be gone, others claim
- * these; a borrower that went on would make a minion serve more than its slots
- * for as long as it wants them, since the lender never asks for them back.
+ * Lent slots belong to the lender's seats. Once the lender has departed, others
+ * claim its seats. A borrower that went on using the slots would overload a
+ * minion for as long as it wants them, since no lender recalls them any more.
  */
 static void copy_table(wwh_seats_t *seats)
 {
@@ -208,7 +209,7 @@
 	g_mutex_unlock(&seats->lock);
 	g_mutex_unlock(&entry->state_lock);
 	for (int32_t i = 0; i < count; i++)
-		wwh_entry_peers_forget(entry->peers, departed[i]);
+		wwh_entry_peers_forget_loans(entry->peers, departed[i]);
 }
 
 static void set_share(wwh_seats_t *seats, int64_t now_ms)
@@ -234,20 +235,20 @@
 
 static void renew_lease(wwh_seats_t *seats, int64_t sent_ms)
 {
-	int32_t index = index_of(&seats->table, seats->process);
+	int32_t index = member_index(&seats->table, seats->process);
 
 	if (index >= 0 && !seats->table.members[index].evicted && sent_ms > 0)
 		wwh_seat_lease_log(&seats->lease, sent_ms);
 }
 
-static bool plan(wwh_seats_t *seats, int64_t now_ms, bool giving,
-		 wwh_seat_record_t *record)
+static bool plan_record(wwh_seats_t *seats, int64_t now_ms, bool release_all,
+			wwh_seat_record_t *record)
 {
-	int32_t index = index_of(&seats->table, seats->process);
+	int32_t index = member_index(&seats->table, seats->process);
 
 	*record = (wwh_seat_record_t){ .process = seats->process };
-	if (giving)
-		return index >= 0 && plan_giving(seats, record);
+	if (release_all)
+		return index >= 0 && plan_release_all(seats, record);
 	if (index < 0) {
 		record->type = WWH_SEAT_JOIN;
 		return true;
@@ -264,18 +265,18 @@
 	if (!wwh_seat_plan(&seats->table, seats->process, record))
 		return false;
 	if (record->type == WWH_SEAT_RELEASE) {
-		/* out of the share first; it is given back when settled */
+		/* removed from the share first, released once that settled */
 		seats->releasing |= UINT64_C(1) << record->seat;
 		return false;
 	}
 	return true;
 }
 
-static bool plan_giving(wwh_seats_t *seats, wwh_seat_record_t *record)
+static bool plan_release_all(wwh_seats_t *seats, wwh_seat_record_t *record)
 {
 	uint64_t held = wwh_seat_held(&seats->table, seats->process);
 
-	seats->next_act_ms = 0;
+	seats->next_record_ms = 0;
 	seats->releasing = held;
 	if (held == 0) {
 		record->type = WWH_SEAT_LEAVE;
@@ -289,7 +290,7 @@
 	return true;
 }
 
-/* What is to be said about other members. */
+/* Plans a record about another member: GONE, EVICT, ACK or FREE. */
 static bool plan_others(wwh_seats_t *seats, int64_t now_ms,
 			wwh_seat_record_t *record)
 {
@@ -297,8 +298,8 @@
 
 	if (plan_gone(seats, record))
 		return true;
-	/* plan_gone lets go of the lock; a vote may have copied the table */
-	own = index_of(&seats->table, seats->process);
+	/* plan_gone unlocks meanwhile; a vote may have copied the table */
+	own = member_index(&seats->table, seats->process);
 	for (int32_t i = 0; i < seats->table.member_count; i++) {
 		const wwh_seat_member_t *member = &seats->table.members[i];
 
@@ -325,13 +326,14 @@
 			  wwh_seat_record_t *record)
 {
 	if ((member->acked >> own_index & 1) == 0) {
-		wwh_entry_peers_forget(seats->entry->peers, member->process);
+		wwh_entry_peers_forget_loans(seats->entry->peers,
+					     member->process);
 		record->type = WWH_SEAT_ACK;
 		return wwh_request_table_share_settled(seats->entry->requests);
 	}
 	if (!wwh_seat_all_acked(&seats->table, member->process))
 		return false;
-	if (now_ms - acked_since(seats, member->process, now_ms) <
+	if (now_ms - all_acked_since_ms(seats, member->process, now_ms) <
 	    WWH_SEAT_FREE_AFTER_MS)
 		return false;
 	record->type = WWH_SEAT_FREE;
@@ -341,47 +343,50 @@
 static bool plan_gone(wwh_seats_t *seats, wwh_seat_record_t *record)
 {
 	wwh_entry_t *entry = seats->entry;
-	authors_t authors = { .seats = seats };
+	gone_search_t search = { .seats = seats };
 
 	if (seats->table.member_count < 2)
 		return false;
 	g_mutex_unlock(&seats->lock);
 	g_mutex_lock(&entry->state_lock);
 	g_mutex_lock(&seats->lock);
-	wwh_state_each_author(entry->state, look_at_author, &authors);
+	wwh_state_each_author(entry->state, check_author, &search);
 	g_mutex_unlock(&entry->state_lock);
-	if (authors.gone == 0)
+	if (search.gone == 0)
 		return false;
-	g_message("seats: %s is gone", authors.gone_author);
-	g_free(authors.gone_author);
+	g_message("seats: %s is gone", search.gone_author);
+	g_free(search.gone_author);
 	record->type = WWH_SEAT_GONE;
-	record->subject = authors.gone;
+	record->subject = search.gone;
 	return true;
 }
 
-static bool look_at_author(const char *author, int64_t offset,
-			   void *client_data)
+static bool check_author(const char *author, int64_t offset, void *client_data)
 {
-	authors_t *authors = client_data;
-	wwh_seats_t *seats = authors->seats;
+	gone_search_t *search = client_data;
+	wwh_seats_t *seats = search->seats;
 
 	(void)offset;
-	if (index_of(&seats->table, wwh_seat_process(author)) < 0 ||
-	    !author_gone(seats, author))
+	if (member_index(&seats->table, wwh_seat_process(author)) < 0 ||
+	    !is_author_gone(seats, author))
 		return true;
-	authors->gone = wwh_seat_process(author);
-	authors->gone_author = g_strdup(author);
+	search->gone = wwh_seat_process(author);
+	search->gone_author = g_strdup(author);
 	return false;
 }
 
-/* When the last acknowledgement of that eviction was seen: now, or before. */
-static int64_t acked_since(wwh_seats_t *seats, uint64_t process, int64_t now_ms)
+/*
+ * When this process first found that all members acknowledged the eviction;
+ * that is now_ms at the first call.
+ */
+static int64_t all_acked_since_ms(wwh_seats_t *seats, uint64_t process,
+				  int64_t now_ms)
 {
-	int64_t *since = g_hash_table_lookup(seats->acked_ms, &process);
+	int64_t *since = g_hash_table_lookup(seats->all_acked_ms, &process);
 
 	if (since == NULL) {
 		since = g_memdup2(&now_ms, sizeof(now_ms));
-		g_hash_table_insert(seats->acked_ms,
+		g_hash_table_insert(seats->all_acked_ms,
 				    g_memdup2(&process, sizeof(process)),
 				    since);
 	}
@@ -389,12 +394,12 @@
 }
 
 /*
- * A process whose host the list calls gone and that answers nobody, or an
- * earlier incarnation of this very process (it has bound the same address),
- * surely runs no more. The list alone is not enough: it lags, and a process
- * that was started again on the same host would lose what it works with.
+ * A process has certainly ended if the platform lists its host as gone and the
+ * membership calls it dead, or if it is an earlier incarnation of this process,
+ * which has bound the same address. The list alone is not enough: it lags, and
+ * a process that was restarted on the same host would lose its seats.
  */
-static bool author_gone(wwh_seats_t *seats, const char *author)
+static bool is_author_gone(wwh_seats_t *seats, const char *author)
 {
 	const char *slash = strrchr(author, '/');
 	char *host;
@@ -403,7 +408,7 @@
 	if (slash == NULL || strcmp(author, seats->entry->author) == 0)
 		return false;
 	host = g_strndup(author, (gsize)(slash - author));
-	gone = (g_hash_table_contains(seats->gone, host) &&
+	gone = (g_hash_table_contains(seats->gone_hosts, host) &&
 		wwh_entry_peers_is_dead(seats->entry->peers,
 					wwh_seat_process(author))) ||
 	       strcmp(host, seats->entry->settings->process_id) == 0;
@@ -411,7 +416,7 @@
 	return gone;
 }
 
-static int32_t index_of(const wwh_seat_table_t *table, uint64_t process)
+static int32_t member_index(const wwh_seat_table_t *table, uint64_t process)
 {
 	for (int32_t i = 0; i < table->member_count; i++) {
 		if (table->members[i].process == process)
@@ -424,20 +429,20 @@
 {
 	wwh_entry_t *entry = seats->entry;
 	wwh_submitted_t submitted;
-	wwh_record_t whole;
+	wwh_record_t log_record;
 
-	wwh_record_init(&whole, WWH_RECORD_SEAT, entry->author);
-	whole.body.seat = *record;
-	wwh_entry_log_submit(entry->log, &whole,
+	wwh_record_init(&log_record, WWH_RECORD_SEAT, entry->author);
+	log_record.body.seat = *record;
+	wwh_entry_log_submit(entry->log, &log_record,
 			     entry->settings->log_append_timeout_ms,
 			     &submitted);
-	wwh_record_clear(&whole);
+	wwh_record_clear(&log_record);
 	wwh_counter_add(seats->records, 1);
 	if (submitted.status != WWH_STATUS_OK ||
 	    submitted.verdict != WWH_VERDICT_ACCEPTED)
 		return;
-	/* claims follow each other without a pause */
+	/* the next record, e.g. another CLAIM, may follow at once */
 	g_mutex_lock(&seats->lock);
-	seats->next_act_ms = 0;
+	seats->next_record_ms = 0;
 	g_mutex_unlock(&seats->lock);
 }
--- a/src/libwaxwinghollow/entry_shards.c
+++ b/src/libwaxwinghollow/entry_shards.c
@@ -5,15 +5,18 @@
 #include "waxwinghollow/lease_keeper.h"
 
 /*
- * 32 shards, renewed at a third of this, are 19 appends a second for the whole
- * deployment, whatever the number of pools. A longer lease would cost less, but
- * urgent work has to start within 7.2 s also when a holder has just died. No
- * time is added for what the old holder may still do: its records are void and
- * its commands carry old fences.
+ * With 32 shards, each renewed after a third of its lease, the deployment makes
+ * 19 appends a second, whatever the number of pools. A longer lease would cost
+ * fewer, but urgent work must start within 7.2 s even if a holder has just
+ * died. There is no grace period for the previous holder: its records are
+ * rejected and its commands carry outdated fencing tokens.
  */
 #define SHARD_LEASE_MS 5000
 
-/* A member that comes and goes must not take work away from one that stays. */
+/*
+ * A process releases surplus shards after this time only, so that a member that
+ * joins and leaves repeatedly takes no work away from one that stays.
+ */
 #define SHARD_SETTLE_MS 10000
 
 struct wwh_entry_shards {
@@ -22,8 +25,8 @@
 	wwh_counter_t *held;
 };
 
-static bool carry_lease(wwh_entry_shards_t *shards,
-			const wwh_lease_action_t *action);
+static bool submit_lease_record(wwh_entry_shards_t *shards,
+				const wwh_lease_action_t *action);
 static uint64_t wanted_shards(wwh_entry_shards_t *shards);
 static void set_rank(wwh_entry_shards_t *shards);
 
@@ -55,16 +58,16 @@
 	return (int32_t)wwh_counter_value(shards->held);
 }
 
-void wwh_entry_shards_round(wwh_entry_shards_t *shards, bool giving)
+void wwh_entry_shards_round(wwh_entry_shards_t *shards, bool release_all)
 {
 	wwh_entry_t *entry = shards->entry;
 	int64_t now_ms = wwh_now_ms();
 	wwh_lease_action_t action;
 
 	/*
-	 * Two reads in a row may take their whole time limits. A shorter bound
-	 * calls a log that is slow, or a busy host, a gap again and again, and
-	 * the work of a dead holder is never taken over.
+	 * Two consecutive reads may take their full timeouts. With a shorter
+	 * bound a slow log or a busy host is repeatedly treated as a gap, and
+	 * the shards of a dead holder are never taken over.
 	 */
 	if (now_ms - wwh_entry_log_read_sent_ms(entry->log) >
 	    2 * entry->settings->log_read_timeout_ms)
@@ -79,19 +82,22 @@
 		wwh_lease_keeper_observe(shards->keeper, now_ms, i, &view);
 		g_mutex_unlock(&entry->state_lock);
 	}
-	wwh_lease_keeper_begin_round(shards->keeper, now_ms, giving);
-	while (wwh_lease_keeper_decide(shards->keeper, now_ms, true, giving,
-				       &action)) {
-		if (!carry_lease(shards, &action))
+	wwh_lease_keeper_begin_round(shards->keeper, now_ms, release_all);
+	while (wwh_lease_keeper_decide(shards->keeper, now_ms, true,
+				       release_all, &action)) {
+		if (!submit_lease_record(shards, &action))
 			break;
 	}
 	wwh_counter_set(shards->held,
 			wwh_lease_keeper_held_count(shards->keeper, now_ms));
 }
 
-/* False when the log doesn't answer: the others would fare no better. */
-static bool carry_lease(wwh_entry_shards_t *shards,
-			const wwh_lease_action_t *action)
+/*
+ * Returns false if the log doesn't answer; further appends in this round would
+ * fail as well.
+ */
+static bool submit_lease_record(wwh_entry_shards_t *shards,
+				const wwh_lease_action_t *action)
 {
 	static const wwh_record_kind_t kinds[WWH_LEASE_ACTION_COUNT] = {
 		[WWH_LEASE_TAKE] = WWH_RECORD_LEASE_TAKE,
--- a/src/libwaxwinghollow/entry_snapshot.c
+++ b/src/libwaxwinghollow/entry_snapshot.c
@@ -3,14 +3,14 @@
 #include "waxwinghollow/snapshot.h"
 
 /*
- * A full table of keys is 7.9 MB, the control state 0.2 MB at the target's
- * size: the first goes to the log at each 16th agreed offset only, some five
- * KB a second at 40 batches a second in place of 80. The log has to keep the
+ * A full table of keys takes 7.9 MB, the control state 0.2 MB at the target
+ * size. The table is therefore appended at every 16th agreed offset only, about
+ * 5 KB/s instead of 80 KB/s at 40 batches a second. The log must retain the
  * records of two such intervals.
  */
 #define INTENTS_INTERVALS 16
 
-/* Processes put off their snapshot by up to this, so that one is enough. */
+/* Random delay of a snapshot, so that usually only one process appends it. */
 #define SPREAD_MS 5000
 
 struct wwh_entry_snapshot {
@@ -18,10 +18,10 @@
 	wwh_stream_t stream;
 	wwh_snapshot_keeper_t *keeper;
 	wwh_snapshot_parts_t *parts;
-	int64_t first; /* of the log, when it was last found trimmed */
-	int64_t waiting_upto; /* a snapshot to be put on the log, or -1 */
+	int64_t first; /* offset of the log, when it was last found trimmed */
+	int64_t pending_upto; /* of the snapshot to append, or -1 */
 	int64_t due_ms;
-	/* what install takes up */
+	/* decoded from a snapshot; install takes ownership of them */
 	wwh_state_t *new_state;
 	wwh_intents_t *new_intents;
 	wwh_counter_t *published;
@@ -31,7 +31,7 @@
 	wwh_counter_t *too_old;
 };
 
-static bool decode(wwh_entry_snapshot_t *snapshot, GBytes *whole);
+static bool decode(wwh_entry_snapshot_t *snapshot, GBytes *encoded);
 static void install(void *data);
 
 wwh_entry_snapshot_t *wwh_entry_snapshot_new(wwh_entry_t *entry,
@@ -44,7 +44,7 @@
 	snapshot->stream = stream;
 	snapshot->keeper = wwh_snapshot_keeper_new(WWH_SNAPSHOT_EVERY);
 	snapshot->parts = wwh_snapshot_parts_new();
-	snapshot->waiting_upto = WWH_NO_OFFSET;
+	snapshot->pending_upto = WWH_NO_OFFSET;
 	snapshot->published = wwh_counters_get(counters, "snapshots.published");
 	snapshot->restored = wwh_counters_get(counters, "snapshots.restored");
 	snapshot->mismatches =
@@ -63,7 +63,8 @@
 	g_free(snapshot);
 }
 
-void wwh_entry_snapshot_before(wwh_entry_snapshot_t *snapshot, int64_t offset)
+void wwh_entry_snapshot_before_apply(wwh_entry_snapshot_t *snapshot,
+				     int64_t offset)
 {
 	wwh_entry_t *entry = snapshot->entry;
 	int64_t before = WWH_NO_OFFSET;
@@ -82,18 +83,18 @@
 	if (snapshot->stream == WWH_STREAM_INTENTS &&
 	    after / WWH_SNAPSHOT_EVERY % INTENTS_INTERVALS != 0)
 		return;
-	snapshot->waiting_upto = after;
+	snapshot->pending_upto = after;
 	snapshot->due_ms = wwh_now_ms() + g_random_int_range(0, SPREAD_MS);
 }
 
-void wwh_entry_snapshot_seen(wwh_entry_snapshot_t *snapshot,
-			     const wwh_record_t *record)
+void wwh_entry_snapshot_after_apply(wwh_entry_snapshot_t *snapshot,
+				    const wwh_record_t *record)
 {
 	if (record->author == NULL || record->kind != WWH_RECORD_SNAPSHOT)
 		return;
-	if (record->body.snapshot.upto >= snapshot->waiting_upto &&
+	if (record->body.snapshot.upto >= snapshot->pending_upto &&
 	    record->body.snapshot.part == record->body.snapshot.parts - 1)
-		snapshot->waiting_upto = WWH_NO_OFFSET;
+		snapshot->pending_upto = WWH_NO_OFFSET;
 	if (wwh_snapshot_keeper_compare(snapshot->keeper, record) !=
 	    WWH_SNAPSHOT_MISMATCH)
 		return;
@@ -104,22 +105,22 @@
 		  record->body.snapshot.upto, record->author);
 }
 
-GPtrArray *wwh_entry_snapshot_due(wwh_entry_snapshot_t *snapshot,
-				  int64_t now_ms)
+GPtrArray *wwh_entry_snapshot_due_records(wwh_entry_snapshot_t *snapshot,
+					  int64_t now_ms)
 {
 	wwh_entry_t *entry = snapshot->entry;
 	GPtrArray *records = NULL;
-	GBytes *whole;
+	GBytes *encoded;
 	int64_t upto;
 
 	g_mutex_lock(&entry->state_lock);
-	if (snapshot->waiting_upto != WWH_NO_OFFSET &&
+	if (snapshot->pending_upto != WWH_NO_OFFSET &&
 	    now_ms >= snapshot->due_ms) {
-		whole = wwh_snapshot_keeper_latest(snapshot->keeper, &upto);
-		if (whole != NULL)
-			records = wwh_snapshot_records(whole, upto,
+		encoded = wwh_snapshot_keeper_latest(snapshot->keeper, &upto);
+		if (encoded != NULL)
+			records = wwh_snapshot_records(encoded, upto,
 						       entry->author);
-		snapshot->waiting_upto = WWH_NO_OFFSET;
+		snapshot->pending_upto = WWH_NO_OFFSET;
 	}
 	g_mutex_unlock(&entry->state_lock);
 	if (records != NULL)
@@ -127,7 +128,8 @@
 	return records;
 }
 
-void wwh_entry_snapshot_trimmed(wwh_entry_snapshot_t *snapshot, int64_t first)
+void wwh_entry_snapshot_set_first_offset(wwh_entry_snapshot_t *snapshot,
+					 int64_t first)
 {
 	snapshot->first = first;
 }
@@ -137,44 +139,45 @@
 			     wwh_log_client_t *client)
 {
 	wwh_record_t record = { 0 };
-	GBytes *whole = NULL;
+	GBytes *encoded = NULL;
 	int64_t upto = 0;
 
 	if (wwh_record_decode(log_entry->data, log_entry->size, &record,
 			      NULL) == WWH_STATUS_OK &&
 	    record.kind == WWH_RECORD_SNAPSHOT) {
 		upto = record.body.snapshot.upto;
-		whole = wwh_snapshot_parts_add(snapshot->parts, &record);
+		encoded = wwh_snapshot_parts_add(snapshot->parts, &record);
 	}
 	wwh_record_clear(&record);
-	if (whole == NULL)
+	if (encoded == NULL)
 		return;
 	/*
-	 * Records between the snapshot and what is left of the log are gone
-	 * too: the state would miss them. A newer snapshot will come.
+	 * The records between this snapshot and the first one of the log have
+	 * been trimmed as well, and the state would lack them. A newer snapshot
+	 * follows.
 	 */
 	if (upto < snapshot->first)
 		wwh_counter_add(snapshot->too_old, 1);
-	else if (decode(snapshot, whole)) {
+	else if (decode(snapshot, encoded)) {
 		if (wwh_log_client_restore(client, upto, install, snapshot) ==
 		    WWH_STATUS_OK)
-			g_message("log %s: goes on from a snapshot up to "
+			g_message("log %s: restored from a snapshot up to "
 				  "%" G_GINT64_FORMAT,
 				  wwh_stream_names[snapshot->stream], upto);
-		/* install takes them; what it did not take is dropped */
+		/* frees what install didn't take */
 		wwh_state_delete(snapshot->new_state);
 		wwh_intents_delete(snapshot->new_intents);
 		snapshot->new_state = NULL;
 		snapshot->new_intents = NULL;
 	}
-	g_bytes_unref(whole);
+	g_bytes_unref(encoded);
 }
 
-static bool decode(wwh_entry_snapshot_t *snapshot, GBytes *whole)
+static bool decode(wwh_entry_snapshot_t *snapshot, GBytes *encoded)
 {
 	wwh_message_t message;
 	gsize size;
-	const uint8_t *data = g_bytes_get_data(whole, &size);
+	const uint8_t *data = g_bytes_get_data(encoded, &size);
 	wwh_status_t status;
 
 	if (snapshot->stream == WWH_STREAM_CONTROL)
@@ -186,7 +189,7 @@
 	if (status == WWH_STATUS_OK)
 		return true;
 	wwh_counter_add(snapshot->refused, 1);
-	g_warning("a snapshot is refused: %s", message.text);
+	g_warning("snapshot rejected: %s", message.text);
 	return false;
 }
 
--- a/src/libwaxwinghollow/include/private/entry_peers_state.h
+++ b/src/libwaxwinghollow/include/private/entry_peers_state.h
@@ -2,8 +2,8 @@
 #define WAXWINGHOLLOW_PRIVATE_ENTRY_PEERS_STATE_H
 
 /*
- * What entry_peers.c (who is there, which minions leave) and entry_exchange.c
- * (votes, loans, requests in progress, configuration) share.
+ * Private state shared by entry_peers.c (membership, states of minions) and
+ * entry_exchange.c (votes, loans, requests in progress, configuration).
  */
 
 #include "private/entry_peers.h"
@@ -14,40 +14,46 @@
 struct wwh_entry_peers {
 	wwh_entry_t *entry;
 	wwh_peer_t *peer;
-	GMutex lock; /* membership, leaving and minion_states */
+	/* protects membership, leaving, the tables of minions and stopping */
+	GMutex lock;
 	wwh_membership_t *membership;
 	wwh_leaving_t *leaving;
 	GRand *random;
-	GMutex relay_lock; /* relay and relayed_version; before state_lock */
+	/* protects relay and relayed_version; locked before state_lock */
+	GMutex relay_lock;
 	wwh_config_relay_t *relay;
 	int64_t relayed_version;
-	GHashTable *minion_states; /* id to the state told last */
-	GHashTable *gone; /* set of minions that the list calls gone */
-	GHashTable *gone_next; /* the same, of the list that is being read */
-	GHashTable *listed_next; /* all minions of that list */
+	/* id to the state last passed to the request table */
+	GHashTable *minion_states;
+	/* set of minions that the platform lists as gone */
+	GHashTable *gone_minions;
+	/* the same, for the list that is being read */
+	GHashTable *next_gone_minions;
+	/* set of all minions of the list that is being read */
+	GHashTable *next_listed_minions;
 	int64_t next_leaving_ms;
 	int64_t next_drain_ms;
 	int64_t next_loan_ms;
-	bool stopping; /* under lock */
+	bool stopping;
 	GThread *thread;
 	wwh_counter_t *config_fetched;
 	wwh_counter_t *leaving_count;
 };
 
-/* Where an alive member of the same region is reached. */
+/* An alive member of the same region, and the address it listens on. */
 typedef struct {
 	uint64_t process;
 	char *address;
 } wwh_peer_target_t;
 
-/* Alive members of the same region, of wwh_peer_target_t. */
+/* The alive and suspect members of the same region, as wwh_peer_target_t *. */
 GPtrArray *wwh_peers_alive(wwh_entry_peers_t *peers);
 
-/* bytes may be NULL: then nothing is sent. */
+/* Sends nothing if bytes is NULL. */
 void wwh_peers_send(wwh_entry_peers_t *peers, const char *address,
 		    wwh_frame_kind_t kind, GBytes *bytes);
 
-/* Frames of the others. */
+/* Handlers of frames from other processes. */
 void wwh_peers_answer_vote(wwh_entry_peers_t *peers, const char *from,
 			   const uint8_t *payload, size_t size);
 void wwh_peers_take_vote(wwh_entry_peers_t *peers, const uint8_t *payload,
@@ -57,7 +63,7 @@
 void wwh_peers_hear_drains(wwh_entry_peers_t *peers, const uint8_t *payload,
 			   size_t size);
 
-/* What this process tells, when it is due. */
+/* Each sends this process's own data if its period has passed. */
 void wwh_peers_tell_loans(wwh_entry_peers_t *peers, int64_t now_ms);
 void wwh_peers_tell_drains(wwh_entry_peers_t *peers, int64_t now_ms);
 void wwh_peers_relay_config(wwh_entry_peers_t *peers, int64_t now_ms);
--- a/src/libwaxwinghollow/include/private/peer_hello.h
+++ b/src/libwaxwinghollow/include/private/peer_hello.h
@@ -10,7 +10,10 @@
 void wwh_peer_hello_write(GByteArray *out, const char *cluster, const char *id,
 			  const char *address);
 
-/* false: malformed or of another cluster. *id and *address are to be freed. */
+/*
+ * Returns false if the frame is malformed or from another cluster. The caller
+ * frees *id and *address.
+ */
 bool wwh_peer_hello_read(const uint8_t *payload, size_t size,
 			 const char *cluster, char **id, char **address);
 
--- a/src/libwaxwinghollow/include/private/peer_message.h
+++ b/src/libwaxwinghollow/include/private/peer_message.h
@@ -2,8 +2,9 @@
 #define WAXWINGHOLLOW_PRIVATE_PEER_MESSAGE_H
 
 /*
- * Payloads of the frames between entry processes, but for gossip. Decoding
- * checks every type and bound, as for records of the log.
+ * Payloads of the votes, loans and drain reports that entry processes
+ * exchange. Decoding checks the type and bounds of every field, as for records
+ * of the log.
  */
 
 #include <glib.h>
@@ -12,19 +13,19 @@
 
 #include "waxwinghollow/status.h"
 
-/* Asks a member to renew the asker's lease of its seats, see seat.h. */
+/* Requests a member's vote for the sender's lease of its seats, see seat.h. */
 typedef struct {
 	uint64_t process;
-	int64_t sent_ms; /* on the asker's clock; comes back in the answer */
-} wwh_seat_ask_t;
+	int64_t sent_ms; /* on the sender's clock; copied into the answer */
+} wwh_vote_request_t;
 
 typedef struct {
-	uint64_t process; /* who answers */
+	uint64_t process; /* that answers */
 	int64_t sent_ms;
-	uint64_t seats; /* that it holds now */
-} wwh_seat_answer_t;
+	uint64_t seats; /* mask of those in the answering process's share */
+} wwh_vote_answer_t;
 
-/* What dispatch_loan.h tells a peer about one minion. */
+/* State of the loans between two peers for one minion, see dispatch_loan.h. */
 typedef struct {
 	char *minion;
 	uint64_t granted;
@@ -39,10 +40,10 @@
 	GPtrArray *items; /* of wwh_loan_item_t * */
 } wwh_loan_message_t;
 
-/* Requests that one process has with the minions of workers that are out. */
+/* Requests in progress of one process on a worker that is out. */
 typedef struct {
 	char *worker;
-	int64_t grant; /* that the process has read on the log */
+	int64_t grant; /* the one that the process has read from the log */
 	int32_t running;
 } wwh_drain_item_t;
 
@@ -51,24 +52,24 @@
 	GPtrArray *items; /* of wwh_drain_item_t * */
 } wwh_drain_message_t;
 
-GBytes *wwh_seat_ask_encode(const wwh_seat_ask_t *message);
-bool wwh_seat_ask_decode(const uint8_t *data, size_t size,
-			 wwh_seat_ask_t *message);
-GBytes *wwh_seat_answer_encode(const wwh_seat_answer_t *message);
-bool wwh_seat_answer_decode(const uint8_t *data, size_t size,
-			    wwh_seat_answer_t *message);
+GBytes *wwh_vote_request_encode(const wwh_vote_request_t *message);
+bool wwh_vote_request_decode(const uint8_t *data, size_t size,
+			     wwh_vote_request_t *message);
+GBytes *wwh_vote_answer_encode(const wwh_vote_answer_t *message);
+bool wwh_vote_answer_decode(const uint8_t *data, size_t size,
+			    wwh_vote_answer_t *message);
 
 void wwh_loan_message_init(wwh_loan_message_t *message);
 void wwh_loan_message_clear(wwh_loan_message_t *message);
 GBytes *wwh_loan_message_encode(const wwh_loan_message_t *message);
-/* message is to be cleared, also when data is refused. */
+/* The caller clears message, also if false is returned. */
 bool wwh_loan_message_decode(const uint8_t *data, size_t size,
 			     wwh_loan_message_t *message);
 
 void wwh_drain_message_init(wwh_drain_message_t *message);
 void wwh_drain_message_clear(wwh_drain_message_t *message);
 GBytes *wwh_drain_message_encode(const wwh_drain_message_t *message);
-/* message is to be cleared, also when data is refused. */
+/* The caller clears message, also if false is returned. */
 bool wwh_drain_message_decode(const uint8_t *data, size_t size,
 			      wwh_drain_message_t *message);
 
--- a/src/libwaxwinghollow/include/private/peer_socket.h
+++ b/src/libwaxwinghollow/include/private/peer_socket.h
@@ -5,12 +5,15 @@
 
 #include <stdint.h>
 
-/* *bound is the address with its port, to be freed. */
+/* Sets *bound to the bound address and port; the caller frees it. */
 int wwh_peer_socket_listen(const char *address, char **bound);
 int wwh_peer_socket_accept(int listener);
-/* Starts to connect. */
+/*
+ * Starts a non-blocking connect. stall_ms limits how long sent data may remain
+ * unacknowledged.
+ */
 int wwh_peer_socket_connect(const char *address, int32_t stall_ms);
-/* Whether a connect that had been started succeeded. */
+/* Returns 0 if a started connect succeeded. */
 int wwh_peer_socket_connected(int fd);
 
 #endif
--- a/src/libwaxwinghollow/peer.c
+++ b/src/libwaxwinghollow/peer.c
@@ -14,7 +14,7 @@
 #define READ_BYTES (64 * 1024)
 #define POLL_MS 250
 
-/* Slots of the poll set before the connections. */
+/* Positions in the poll set; the connections follow from POLL_FIRST. */
 enum {
 	POLL_WAKE = 0,
 	POLL_LISTENER,
@@ -48,12 +48,12 @@
 	bool inbound;
 	bool connecting;
 	bool closing;
-	int64_t progress_ms; /* last byte either way */
-	char *address; /* remote; of an inbound one after its hello */
-	char *id; /* inbound, after its hello */
-	wwh_frame_reader_t *reader; /* inbound */
-	GByteArray *out; /* outbound */
-	int32_t out_frames;
+	int64_t progress_ms; /* when bytes were last sent or received */
+	char *address; /* remote; inbound: NULL before the hello */
+	char *id; /* remote process; inbound only, NULL before the hello */
+	wwh_frame_reader_t *reader; /* inbound only */
+	GByteArray *out; /* send queue, outbound only */
+	int32_t out_frames; /* since the queue was last empty */
 } connection_t;
 
 struct wwh_peer {
@@ -62,33 +62,34 @@
 	char *id;
 	char *address;
 	int listener;
-	int wake[2];
+	int wake_pipe[2];
 	GThread *thread;
-	GMutex lock; /* connections, out buffers, progress, stopping */
+	GMutex lock; /* protects connections, out, progress_ms, stopping */
 	bool stopping;
 	GPtrArray *connections; /* connection_t * */
 	wwh_counter_t *counts[COUNT_COUNT];
-	wwh_counters_t *own_counters; /* when none were given */
+	wwh_counters_t *own_counters; /* if the options have none */
 };
 
 static wwh_status_t enqueue(connection_t *connection, wwh_frame_kind_t kind,
 			    const uint8_t *payload, size_t size);
-static gpointer run(gpointer data);
-static bool list_polled(wwh_peer_t *peer, GArray *polled, GPtrArray *served);
-static void serve(wwh_peer_t *peer, GArray *polled, GPtrArray *served);
+static gpointer peer_main(gpointer data);
+static bool prepare_poll(wwh_peer_t *peer, GArray *polled, GPtrArray *served);
+static void handle_ready(wwh_peer_t *peer, GArray *polled, GPtrArray *served);
 static void remove_closing(wwh_peer_t *peer);
-static void accept_one(wwh_peer_t *peer);
-static void handle(connection_t *connection, short events);
+static void accept_connection(wwh_peer_t *peer);
+static void handle_events(connection_t *connection, short events);
 static void receive(connection_t *connection);
 static bool on_frame(wwh_frame_kind_t kind, const uint8_t *payload, size_t size,
 		     void *client_data);
 static void transmit(connection_t *connection);
-static void check_age(connection_t *connection, int64_t now_ms);
+static void check_timeouts(connection_t *connection, int64_t now_ms);
 static connection_t *connection_new(wwh_peer_t *peer, int fd, bool inbound);
 static void connection_free(gpointer data);
-static connection_t *outbound_to(wwh_peer_t *peer, const char *address);
+static connection_t *find_or_open_outbound(wwh_peer_t *peer,
+					   const char *address);
 static int32_t count_connections(const wwh_peer_t *peer, bool inbound);
-static void wake(wwh_peer_t *peer);
+static void wake_thread(wwh_peer_t *peer);
 static void count(wwh_peer_t *peer, count_t which, int64_t amount);
 static int64_t clock_ms(void);
 
@@ -113,8 +114,8 @@
 	peer->cluster = g_strdup(options->cluster);
 	peer->id = g_strdup(options->id);
 	peer->listener = -1;
-	peer->wake[0] = -1;
-	peer->wake[1] = -1;
+	peer->wake_pipe[0] = -1;
+	peer->wake_pipe[1] = -1;
 	g_mutex_init(&peer->lock);
 	peer->connections = g_ptr_array_new_with_free_func(connection_free);
 	if (counters == NULL) {
@@ -135,13 +136,13 @@
 				peer->options.listen);
 		return WWH_STATUS_IO;
 	}
-	if (pipe2(peer->wake, O_NONBLOCK | O_CLOEXEC) != 0) {
-		wwh_message_set(message, "peer: no pipe");
+	if (pipe2(peer->wake_pipe, O_NONBLOCK | O_CLOEXEC) != 0) {
+		wwh_message_set(message, "peer: can't create a pipe");
 		return WWH_STATUS_IO;
 	}
-	peer->thread = g_thread_try_new("peer", run, peer, NULL);
+	peer->thread = g_thread_try_new("peer", peer_main, peer, NULL);
 	if (peer->thread == NULL) {
-		wwh_message_set(message, "peer: no thread");
+		wwh_message_set(message, "peer: can't create a thread");
 		return WWH_STATUS_LIMIT;
 	}
 	return WWH_STATUS_OK;
@@ -154,7 +155,7 @@
 	g_mutex_lock(&peer->lock);
 	peer->stopping = true;
 	g_mutex_unlock(&peer->lock);
-	wake(peer);
+	wake_thread(peer);
 	g_thread_join(peer->thread);
 	peer->thread = NULL;
 }
@@ -168,8 +169,8 @@
 	if (peer->listener >= 0)
 		close(peer->listener);
 	for (int i = 0; i < 2; i++)
-		if (peer->wake[i] >= 0)
-			close(peer->wake[i]);
+		if (peer->wake_pipe[i] >= 0)
+			close(peer->wake_pipe[i]);
 	wwh_counters_delete(peer->own_counters);
 	g_mutex_clear(&peer->lock);
 	g_free(peer->address);
@@ -191,7 +192,7 @@
 	connection_t *connection;
 
 	g_mutex_lock(&peer->lock);
-	connection = outbound_to(peer, address);
+	connection = find_or_open_outbound(peer, address);
 	if (connection == NULL)
 		status = count_connections(peer, false) >=
 					 peer->options.max_connections
@@ -207,39 +208,39 @@
 	else
 		count(peer, COUNT_DROPPED_FRAMES, 1);
 	g_mutex_unlock(&peer->lock);
-	wake(peer);
+	wake_thread(peer);
 	return status;
 }
 
-/* The lock must be held. */
+/* The caller holds the lock. */
 static wwh_status_t enqueue(connection_t *connection, wwh_frame_kind_t kind,
 			    const uint8_t *payload, size_t size)
 {
-	/* The time that a connection was idle is no stall of this frame. */
+	/* Idle time before this frame must not count towards stall_ms. */
 	if (connection->out->len == 0)
 		connection->progress_ms = clock_ms();
 	return wwh_frame_write(connection->out, kind, payload, size);
 }
 
-static gpointer run(gpointer data)
+static gpointer peer_main(gpointer data)
 {
 	wwh_peer_t *peer = data;
 	GArray *polled = g_array_new(FALSE, TRUE, sizeof(struct pollfd));
 	GPtrArray *served = g_ptr_array_new();
 
-	while (list_polled(peer, polled, served))
+	while (prepare_poll(peer, polled, served))
 		if (poll((struct pollfd *)(void *)polled->data, polled->len,
 			 POLL_MS) >= 0)
-			serve(peer, polled, served);
+			handle_ready(peer, polled, served);
 	g_ptr_array_unref(served);
 	g_array_unref(polled);
 	return NULL;
 }
 
-/* false: the thread is to end. */
-static bool list_polled(wwh_peer_t *peer, GArray *polled, GPtrArray *served)
+/* Returns false if the thread must end. */
+static bool prepare_poll(wwh_peer_t *peer, GArray *polled, GPtrArray *served)
 {
-	struct pollfd wake_fd = { peer->wake[0], POLLIN, 0 };
+	struct pollfd wake_fd = { peer->wake_pipe[0], POLLIN, 0 };
 	struct pollfd listen_fd = { peer->listener, POLLIN, 0 };
 	bool stopping;
 
@@ -262,25 +263,25 @@
 	return !stopping;
 }
 
-/* Only this thread removes connections, so those in served are alive. */
-static void serve(wwh_peer_t *peer, GArray *polled, GPtrArray *served)
+/* Only this thread removes connections, so those in served are valid. */
+static void handle_ready(wwh_peer_t *peer, GArray *polled, GPtrArray *served)
 {
 	const struct pollfd *fds = (struct pollfd *)(void *)polled->data;
 	int64_t now_ms = clock_ms();
 	char bytes[64];
 
 	if (fds[POLL_WAKE].revents != 0)
-		while (read(peer->wake[0], bytes, sizeof(bytes)) > 0)
+		while (read(peer->wake_pipe[0], bytes, sizeof(bytes)) > 0)
 			;
 	for (guint i = 0; i < served->len; i++) {
 		connection_t *connection = served->pdata[i];
 
 		if (fds[POLL_FIRST + i].revents != 0)
-			handle(connection, fds[POLL_FIRST + i].revents);
-		check_age(connection, now_ms);
+			handle_events(connection, fds[POLL_FIRST + i].revents);
+		check_timeouts(connection, now_ms);
 	}
 	if (fds[POLL_LISTENER].revents != 0)
-		accept_one(peer);
+		accept_connection(peer);
 	remove_closing(peer);
 }
 
@@ -300,7 +301,7 @@
 	g_mutex_unlock(&peer->lock);
 }
 
-static void accept_one(wwh_peer_t *peer)
+static void accept_connection(wwh_peer_t *peer)
 {
 	int fd = wwh_peer_socket_accept(peer->listener);
 
@@ -316,7 +317,7 @@
 	g_mutex_unlock(&peer->lock);
 }
 
-static void handle(connection_t *connection, short events)
+static void handle_events(connection_t *connection, short events)
 {
 	if (connection->connecting) {
 		if (wwh_peer_socket_connected(connection->fd) != 0) {
@@ -402,21 +403,21 @@
 	g_mutex_unlock(&peer->lock);
 }
 
-static void check_age(connection_t *connection, int64_t now_ms)
+static void check_timeouts(connection_t *connection, int64_t now_ms)
 {
 	wwh_peer_t *peer = connection->peer;
-	bool waits = connection->connecting;
+	bool is_pending = connection->connecting;
 	int64_t age_ms;
 
 	g_mutex_lock(&peer->lock);
 	age_ms = now_ms - connection->progress_ms;
 	if (connection->inbound)
-		waits = connection->id == NULL ||
-			wwh_frame_reader_held(connection->reader) > 0;
+		is_pending = connection->id == NULL ||
+			     wwh_frame_reader_held(connection->reader) > 0;
 	else
-		waits = waits || connection->out->len > 0;
+		is_pending = is_pending || connection->out->len > 0;
 	g_mutex_unlock(&peer->lock);
-	if (waits && age_ms > peer->options.stall_ms) {
+	if (is_pending && age_ms > peer->options.stall_ms) {
 		count(peer, COUNT_BROKEN, 1);
 		connection->closing = true;
 	} else if (age_ms > peer->options.idle_ms) {
@@ -424,7 +425,7 @@
 	}
 }
 
-/* The lock must be held. */
+/* The caller holds the lock. */
 static connection_t *connection_new(wwh_peer_t *peer, int fd, bool inbound)
 {
 	connection_t *connection = g_new0(connection_t, 1);
@@ -453,8 +454,9 @@
 	g_free(connection);
 }
 
-/* The lock must be held. NULL: none can be opened. */
-static connection_t *outbound_to(wwh_peer_t *peer, const char *address)
+/* The caller holds the lock. Returns NULL if no connection can be opened. */
+static connection_t *find_or_open_outbound(wwh_peer_t *peer,
+					   const char *address)
 {
 	connection_t *connection;
 	int fd;
@@ -491,10 +493,10 @@
 	return found;
 }
 
-/* A full pipe wakes the thread as well. */
-static void wake(wwh_peer_t *peer)
+/* A failed write to a full pipe is ignored: its content wakes the thread. */
+static void wake_thread(wwh_peer_t *peer)
 {
-	ssize_t written = write(peer->wake[1], "", 1);
+	ssize_t written = write(peer->wake_pipe[1], "", 1);
 
 	(void)written;
 }
--- a/src/libwaxwinghollow/peer_hello.c
+++ b/src/libwaxwinghollow/peer_hello.c
@@ -7,7 +7,7 @@
 
 #define HELLO_FIELDS 3
 
-static char *take_text(const msgpack_object *object);
+static char *read_text(const msgpack_object *object);
 
 void wwh_peer_hello_write(GByteArray *out, const char *cluster, const char *id,
 			  const char *address)
@@ -34,35 +34,39 @@
 			 const char *cluster, char **id, char **address)
 {
 	msgpack_unpacked unpacked;
-	size_t at = 0;
-	bool fine = false;
+	size_t position = 0;
+	bool valid = false;
 
 	*id = NULL;
 	*address = NULL;
 	msgpack_unpacked_init(&unpacked);
-	if (msgpack_unpack_next(&unpacked, (const char *)payload, size, &at) ==
-		    MSGPACK_UNPACK_SUCCESS &&
+	if (msgpack_unpack_next(&unpacked, (const char *)payload, size,
+				&position) == MSGPACK_UNPACK_SUCCESS &&
 	    unpacked.data.type == MSGPACK_OBJECT_ARRAY &&
 	    unpacked.data.via.array.size == HELLO_FIELDS) {
 		const msgpack_object *field = unpacked.data.via.array.ptr;
-		char *theirs = take_text(&field[0]);
+		char *sender_cluster = read_text(&field[0]);
 
-		*id = take_text(&field[1]);
-		*address = take_text(&field[2]);
-		fine = theirs != NULL && *id != NULL && *address != NULL &&
-		       strcmp(theirs, cluster) == 0;
-		g_free(theirs);
+		*id = read_text(&field[1]);
+		*address = read_text(&field[2]);
+		valid = sender_cluster != NULL && *id != NULL &&
+			*address != NULL &&
+			strcmp(sender_cluster, cluster) == 0;
+		g_free(sender_cluster);
 	}
 	msgpack_unpacked_destroy(&unpacked);
-	if (!fine) {
+	if (!valid) {
 		g_clear_pointer(id, g_free);
 		g_clear_pointer(address, g_free);
 	}
-	return fine;
+	return valid;
 }
 
-/* NULL: no text of a fit length. */
-static char *take_text(const msgpack_object *object)
+/*
+ * Returns NULL unless the object is valid UTF-8 text of 1 to
+ * WWH_PEER_ID_BYTES_MAX bytes.
+ */
+static char *read_text(const msgpack_object *object)
 {
 	const msgpack_object_str *text = &object->via.str;
 
--- a/src/libwaxwinghollow/peer_message.c
+++ b/src/libwaxwinghollow/peer_message.c
@@ -3,23 +3,23 @@
 #include "private/record_fields.h"
 #include "waxwinghollow/frame.h"
 
-/* Loans of one message; the rest goes with the next. */
-#define LOANS_MAX 4096
+/* Loans in one message; the remaining ones go into the next message. */
+#define LOAN_ITEMS_MAX 4096
 #define MINION_BYTES_MAX 128
 #define NUMBER_MAX 1000000
-#define DRAINS_MAX 4096
+#define DRAIN_ITEMS_MAX 4096
 
-static const wwh_codec_field_t seat_ask[] = {
-	{ "process", WWH_CODEC_UINT64, offsetof(wwh_seat_ask_t, process) },
-	{ "sent_ms", WWH_CODEC_INT64, offsetof(wwh_seat_ask_t, sent_ms), 0,
+static const wwh_codec_field_t vote_request[] = {
+	{ "process", WWH_CODEC_UINT64, offsetof(wwh_vote_request_t, process) },
+	{ "sent_ms", WWH_CODEC_INT64, offsetof(wwh_vote_request_t, sent_ms), 0,
 	  INT64_MAX },
 };
 
-static const wwh_codec_field_t seat_answer[] = {
-	{ "process", WWH_CODEC_UINT64, offsetof(wwh_seat_answer_t, process) },
-	{ "sent_ms", WWH_CODEC_INT64, offsetof(wwh_seat_answer_t, sent_ms), 0,
+static const wwh_codec_field_t vote_answer[] = {
+	{ "process", WWH_CODEC_UINT64, offsetof(wwh_vote_answer_t, process) },
+	{ "sent_ms", WWH_CODEC_INT64, offsetof(wwh_vote_answer_t, sent_ms), 0,
 	  INT64_MAX },
-	{ "seats", WWH_CODEC_UINT64, offsetof(wwh_seat_answer_t, seats) },
+	{ "seats", WWH_CODEC_UINT64, offsetof(wwh_vote_answer_t, seats) },
 };
 
 static const wwh_codec_field_t loan_item[] = {
@@ -42,7 +42,7 @@
 static const wwh_codec_field_t loans[] = {
 	{ "process", WWH_CODEC_UINT64, offsetof(wwh_loan_message_t, process) },
 	{ "items", WWH_CODEC_ITEMS, offsetof(wwh_loan_message_t, items), 0,
-	  LOANS_MAX, &loan_item_fields },
+	  LOAN_ITEMS_MAX, &loan_item_fields },
 };
 
 static const wwh_codec_field_t drain_item[] = {
@@ -61,7 +61,7 @@
 static const wwh_codec_field_t drain[] = {
 	{ "process", WWH_CODEC_UINT64, offsetof(wwh_drain_message_t, process) },
 	{ "items", WWH_CODEC_ITEMS, offsetof(wwh_drain_message_t, items), 0,
-	  DRAINS_MAX, &drain_item_fields },
+	  DRAIN_ITEMS_MAX, &drain_item_fields },
 };
 
 #define FIELDS(type, array)                                                    \
@@ -69,33 +69,35 @@
 		array, G_N_ELEMENTS(array), sizeof(type)                       \
 	}
 
-static const wwh_codec_fields_t seat_ask_fields =
-	FIELDS(wwh_seat_ask_t, seat_ask);
-static const wwh_codec_fields_t seat_answer_fields =
-	FIELDS(wwh_seat_answer_t, seat_answer);
+static const wwh_codec_fields_t vote_request_fields =
+	FIELDS(wwh_vote_request_t, vote_request);
+static const wwh_codec_fields_t vote_answer_fields =
+	FIELDS(wwh_vote_answer_t, vote_answer);
 static const wwh_codec_fields_t loan_fields = FIELDS(wwh_loan_message_t, loans);
 static const wwh_codec_fields_t drain_fields =
 	FIELDS(wwh_drain_message_t, drain);
-GBytes *wwh_seat_ask_encode(const wwh_seat_ask_t *message)
+
+GBytes *wwh_vote_request_encode(const wwh_vote_request_t *message)
 {
-	return wwh_codec_encode(&seat_ask_fields, message, NULL);
+	return wwh_codec_encode(&vote_request_fields, message, NULL);
 }
 
-bool wwh_seat_ask_decode(const uint8_t *data, size_t size,
-			 wwh_seat_ask_t *message)
+bool wwh_vote_request_decode(const uint8_t *data, size_t size,
+			     wwh_vote_request_t *message)
 {
-	return wwh_codec_decode(&seat_ask_fields, data, size, message, NULL);
+	return wwh_codec_decode(&vote_request_fields, data, size, message,
+				NULL);
 }
 
-GBytes *wwh_seat_answer_encode(const wwh_seat_answer_t *message)
+GBytes *wwh_vote_answer_encode(const wwh_vote_answer_t *message)
 {
-	return wwh_codec_encode(&seat_answer_fields, message, NULL);
+	return wwh_codec_encode(&vote_answer_fields, message, NULL);
 }
 
-bool wwh_seat_answer_decode(const uint8_t *data, size_t size,
-			    wwh_seat_answer_t *message)
+bool wwh_vote_answer_decode(const uint8_t *data, size_t size,
+			    wwh_vote_answer_t *message)
 {
-	return wwh_codec_decode(&seat_answer_fields, data, size, message, NULL);
+	return wwh_codec_decode(&vote_answer_fields, data, size, message, NULL);
 }
 
 void wwh_loan_message_init(wwh_loan_message_t *message)
--- a/src/libwaxwinghollow/peer_socket.c
+++ b/src/libwaxwinghollow/peer_socket.c
@@ -20,15 +20,15 @@
 	struct sockaddr_in6 v6;
 } socket_address_t;
 
-static socklen_t parse(const char *text, socket_address_t *address);
-static char *format(const socket_address_t *address);
+static socklen_t parse_address(const char *text, socket_address_t *address);
+static char *format_address(const socket_address_t *address);
 static int open_socket(const socket_address_t *address);
-static void set_number(int fd, int level, int name, int value);
+static void set_option(int fd, int level, int name, int value);
 
 int wwh_peer_socket_listen(const char *text, char **bound)
 {
 	socket_address_t address;
-	socklen_t size = parse(text, &address);
+	socklen_t size = parse_address(text, &address);
 	int fd;
 
 	if (size == 0)
@@ -36,13 +36,13 @@
 	fd = open_socket(&address);
 	if (fd < 0)
 		return -1;
-	set_number(fd, SOL_SOCKET, SO_REUSEADDR, 1);
+	set_option(fd, SOL_SOCKET, SO_REUSEADDR, 1);
 	if (bind(fd, &address.any, size) != 0 || listen(fd, BACKLOG) != 0 ||
 	    getsockname(fd, &address.any, &size) != 0) {
 		close(fd);
 		return -1;
 	}
-	*bound = format(&address);
+	*bound = format_address(&address);
 	return fd;
 }
 
@@ -54,7 +54,7 @@
 int wwh_peer_socket_connect(const char *text, int32_t stall_ms)
 {
 	socket_address_t address;
-	socklen_t size = parse(text, &address);
+	socklen_t size = parse_address(text, &address);
 	int fd;
 
 	if (size == 0)
@@ -62,13 +62,14 @@
 	fd = open_socket(&address);
 	if (fd < 0)
 		return -1;
-	set_number(fd, IPPROTO_TCP, TCP_NODELAY, 1);
+	set_option(fd, IPPROTO_TCP, TCP_NODELAY, 1);
 	/*
-	 * Something on the way may lose track of a connection: what is sent
-	 * on it is never acknowledged, and the kernel would go on for many
-	 * minutes. With this it ends after stall_ms, and a new one is opened.
+	 * A device on the path may lose the state of a connection: data sent
+	 * on it is never acknowledged, and the kernel would retransmit for
+	 * many minutes. This option ends the connection after stall_ms, and
+	 * the next send opens a new one.
 	 */
-	set_number(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, stall_ms);
+	set_option(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, stall_ms);
 	if (connect(fd, &address.any, size) != 0 && errno != EINPROGRESS) {
 		close(fd);
 		return -1;
@@ -87,41 +88,40 @@
 	return 0;
 }
 
-/* 0: text is no address. */
-static socklen_t parse(const char *text, socket_address_t *address)
+/* Returns the size of the address, or 0 if the text isn't a valid one. */
+static socklen_t parse_address(const char *text, socket_address_t *address)
 {
 	socklen_t size = 0;
-	char *number;
+	char *ip;
 	int32_t port;
 
 	memset(address, 0, sizeof(*address));
-	if (!wwh_endpoint_split(text, &number, &port))
+	if (!wwh_endpoint_split(text, &ip, &port))
 		return 0;
-	if (inet_pton(AF_INET, number, &address->v4.sin_addr) == 1) {
+	if (inet_pton(AF_INET, ip, &address->v4.sin_addr) == 1) {
 		address->v4.sin_family = AF_INET;
 		address->v4.sin_port = htons((uint16_t)port);
 		size = sizeof(address->v4);
-	} else if (inet_pton(AF_INET6, number, &address->v6.sin6_addr) == 1) {
+	} else if (inet_pton(AF_INET6, ip, &address->v6.sin6_addr) == 1) {
 		address->v6.sin6_family = AF_INET6;
 		address->v6.sin6_port = htons((uint16_t)port);
 		size = sizeof(address->v6);
 	}
-	g_free(number);
+	g_free(ip);
 	return size;
 }
 
-static char *format(const socket_address_t *address)
+static char *format_address(const socket_address_t *address)
 {
-	char number[INET6_ADDRSTRLEN] = "";
+	char ip[INET6_ADDRSTRLEN] = "";
 
 	if (address->any.sa_family == AF_INET) {
-		inet_ntop(AF_INET, &address->v4.sin_addr, number,
-			  sizeof(number));
-		return g_strdup_printf("%s:%d", number,
+		inet_ntop(AF_INET, &address->v4.sin_addr, ip, sizeof(ip));
+		return g_strdup_printf("%s:%d", ip,
 				       ntohs(address->v4.sin_port));
 	}
-	inet_ntop(AF_INET6, &address->v6.sin6_addr, number, sizeof(number));
-	return g_strdup_printf("[%s]:%d", number, ntohs(address->v6.sin6_port));
+	inet_ntop(AF_INET6, &address->v6.sin6_addr, ip, sizeof(ip));
+	return g_strdup_printf("[%s]:%d", ip, ntohs(address->v6.sin6_port));
 }
 
 static int open_socket(const socket_address_t *address)
@@ -130,7 +130,7 @@
 		      SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
 }
 
-static void set_number(int fd, int level, int name, int value)
+static void set_option(int fd, int level, int name, int value)
 {
 	setsockopt(fd, level, name, &value, sizeof(value));
 }
--- a/src/test_peer/test_peer.c
+++ b/src/test_peer/test_peer.c
@@ -10,19 +10,19 @@
 
 #include "waxwinghollow/peer.h"
 
-#define PATIENCE_US (20 * G_USEC_PER_SEC)
+#define WAIT_TIMEOUT_US (20 * G_USEC_PER_SEC)
 
 static const uint8_t payload[] = { 0x92, 7, 8 };
 
 typedef struct {
 	GMutex lock;
-	GCond came;
+	GCond received;
 	int32_t frames;
 	char *from_id;
-	char *from;
+	char *from_address;
 } inbox_t;
 
-static void on_frame(const char *from_id, const char *from,
+static void on_frame(const char *from_id, const char *from_address,
 		     wwh_frame_kind_t kind, const uint8_t *data, size_t size,
 		     void *client_data)
 {
@@ -35,26 +35,27 @@
 	inbox->frames++;
 	g_free(inbox->from_id);
 	inbox->from_id = g_strdup(from_id);
-	g_free(inbox->from);
-	inbox->from = g_strdup(from);
-	g_cond_broadcast(&inbox->came);
+	g_free(inbox->from_address);
+	inbox->from_address = g_strdup(from_address);
+	g_cond_broadcast(&inbox->received);
 	g_mutex_unlock(&inbox->lock);
 }
 
 static void wait_frames(inbox_t *inbox, int32_t frames)
 {
-	int64_t end = g_get_monotonic_time() + PATIENCE_US;
+	int64_t end = g_get_monotonic_time() + WAIT_TIMEOUT_US;
 
 	g_mutex_lock(&inbox->lock);
 	while (inbox->frames < frames)
-		assert_true(g_cond_wait_until(&inbox->came, &inbox->lock, end));
+		assert_true(
+			g_cond_wait_until(&inbox->received, &inbox->lock, end));
 	g_mutex_unlock(&inbox->lock);
 }
 
 static void wait_count(wwh_counters_t *counters, const char *name,
 		       int64_t value)
 {
-	int64_t end = g_get_monotonic_time() + PATIENCE_US;
+	int64_t end = g_get_monotonic_time() + WAIT_TIMEOUT_US;
 
 	while (wwh_counter_value(wwh_counters_get(counters, name)) < value) {
 		assert_true(g_get_monotonic_time() < end);
@@ -62,7 +63,7 @@
 	}
 }
 
-static char *free_address(const char *format)
+static char *free_address(const char *ip)
 {
 	struct sockaddr_in address = { .sin_family = AF_INET };
 	socklen_t size = sizeof(address);
@@ -72,7 +73,7 @@
 	assert_int_equal(getsockname(fd, (struct sockaddr *)&address, &size),
 			 0);
 	close(fd);
-	return g_strdup_printf("%s:%d", format, ntohs(address.sin_port));
+	return g_strdup_printf("%s:%d", ip, ntohs(address.sin_port));
 }
 
 typedef struct {
@@ -81,15 +82,15 @@
 	inbox_t inbox;
 } node_t;
 
-static void start(node_t *node, const char *cluster, const char *id,
-		  int32_t max_connections)
+static void node_start(node_t *node, const char *cluster, const char *id,
+		       int32_t max_connections)
 {
 	char *address = free_address("127.0.0.1");
 	wwh_peer_options_t options;
 
 	*node = (node_t){ .counters = wwh_counters_new() };
 	g_mutex_init(&node->inbox.lock);
-	g_cond_init(&node->inbox.came);
+	g_cond_init(&node->inbox.received);
 	wwh_peer_options_defaults(&options);
 	options.cluster = cluster;
 	options.id = id;
@@ -104,15 +105,15 @@
 	g_free(address);
 }
 
-static void stop(node_t *node)
+static void node_stop(node_t *node)
 {
 	wwh_peer_finish(node->peer);
 	wwh_peer_delete(node->peer);
 	wwh_counters_delete(node->counters);
-	g_cond_clear(&node->inbox.came);
+	g_cond_clear(&node->inbox.received);
 	g_mutex_clear(&node->inbox.lock);
 	g_free(node->inbox.from_id);
-	g_free(node->inbox.from);
+	g_free(node->inbox.from_address);
 }
 
 static wwh_status_t send_to(node_t *node, const char *address)
@@ -139,26 +140,26 @@
 	node_t b;
 
 	(void)unused;
-	start(&a, "test", "a", 8);
-	start(&b, "test", "b", 8);
+	node_start(&a, "test", "a", 8);
+	node_start(&b, "test", "b", 8);
 	for (int i = 0; i < 5; i++)
 		assert_int_equal(send_to(&a, wwh_peer_address(b.peer)),
 				 WWH_STATUS_OK);
 	wait_frames(&b.inbox, 5);
 	assert_string_equal(b.inbox.from_id, "a");
-	assert_string_equal(b.inbox.from, wwh_peer_address(a.peer));
-	assert_int_equal(send_to(&b, b.inbox.from), WWH_STATUS_OK);
+	assert_string_equal(b.inbox.from_address, wwh_peer_address(a.peer));
+	assert_int_equal(send_to(&b, b.inbox.from_address), WWH_STATUS_OK);
 	wait_frames(&a.inbox, 1);
 	assert_int_equal(send_to(&a, "example.org:1"), WWH_STATUS_BAD_INPUT);
-	stop(&a);
-	stop(&b);
+	node_stop(&a);
+	node_stop(&b);
 }
 
 /*
- * A test system has the address of a real one, and a scanner finds the port.
- * Both are refused and counted; the real peers go on.
+ * Connections from a test system with a wrong address and from a port scanner
+ * are rejected and counted, and the real peers continue to exchange frames.
  */
-static void foreign_connections_are_harmless(void **unused)
+static void foreign_connections_are_rejected(void **unused)
 {
 	node_t a;
 	node_t b;
@@ -167,9 +168,9 @@
 	int fd;
 
 	(void)unused;
-	start(&a, "test", "a", 8);
-	start(&b, "test", "b", 8);
-	start(&other, "trial", "c", 8);
+	node_start(&a, "test", "a", 8);
+	node_start(&b, "test", "b", 8);
+	node_start(&other, "trial", "c", 8);
 	send_to(&other, wwh_peer_address(b.peer));
 	wait_count(b.counters, "peer.refused_frames", 1);
 	fd = connect_raw(wwh_peer_address(b.peer));
@@ -180,13 +181,13 @@
 	send_to(&a, wwh_peer_address(b.peer));
 	wait_frames(&b.inbox, 1);
 	assert_int_equal(b.inbox.frames, 1);
-	stop(&a);
-	stop(&b);
-	stop(&other);
+	node_stop(&a);
+	node_stop(&b);
+	node_stop(&other);
 }
 
-/* A peer that is there but reads nothing must not take this one's memory. */
-static void what_waits_is_bounded(void **unused)
+/* A peer that accepts connections but never reads must not exhaust memory. */
+static void queued_bytes_are_bounded(void **unused)
 {
 	char *address = free_address("127.0.0.1");
 	uint8_t large[2048] = { 0xc5, 0x07, 0xfd };
@@ -200,13 +201,13 @@
 		(uint16_t)g_ascii_strtoull(strchr(address, ':') + 1, NULL, 10));
 	assert_int_equal(bind(listener, (struct sockaddr *)&to, sizeof(to)), 0);
 	assert_int_equal(listen(listener, 1), 0);
-	start(&a, "test", "a", 1);
+	node_start(&a, "test", "a", 1);
 	for (int i = 0; status == WWH_STATUS_OK && i < 100000; i++)
 		status = wwh_peer_send(a.peer, address, WWH_FRAME_GOSSIP, large,
 				       sizeof(large));
 	assert_int_equal(status, WWH_STATUS_LIMIT);
 	assert_int_equal(send_to(&a, "127.0.0.1:9"), WWH_STATUS_LIMIT);
-	stop(&a);
+	node_stop(&a);
 	close(listener);
 	g_free(address);
 }
@@ -217,21 +218,21 @@
 	int fds[3];
 
 	(void)unused;
-	start(&b, "test", "b", 2);
+	node_start(&b, "test", "b", 2);
 	for (int i = 0; i < 3; i++)
 		fds[i] = connect_raw(wwh_peer_address(b.peer));
 	wait_count(b.counters, "peer.refused_connections", 1);
 	for (int i = 0; i < 3; i++)
 		close(fds[i]);
-	stop(&b);
+	node_stop(&b);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(frames_reach_the_peer_with_their_sender),
-		cmocka_unit_test(foreign_connections_are_harmless),
-		cmocka_unit_test(what_waits_is_bounded),
+		cmocka_unit_test(foreign_connections_are_rejected),
+		cmocka_unit_test(queued_bytes_are_bounded),
 		cmocka_unit_test(connections_are_bounded),
 	};
 
--- a/src/test_peer_message/test_peer_message.c
+++ b/src/test_peer_message/test_peer_message.c
@@ -11,23 +11,23 @@
 #include "waxwinghollow/frame.h"
 
 #define KINDS 4
-#define TOO_MANY 4097
-#define LONG_NAME 129
+#define TOO_MANY_ITEMS 4097
+#define LONG_ID_BYTES 129
 
 typedef bool (*accepts_t)(const uint8_t *data, size_t size);
 
-static bool accepts_seat_ask(const uint8_t *data, size_t size)
+static bool accepts_vote_request(const uint8_t *data, size_t size)
 {
-	wwh_seat_ask_t message;
+	wwh_vote_request_t message;
 
-	return wwh_seat_ask_decode(data, size, &message);
+	return wwh_vote_request_decode(data, size, &message);
 }
 
-static bool accepts_seat_answer(const uint8_t *data, size_t size)
+static bool accepts_vote_answer(const uint8_t *data, size_t size)
 {
-	wwh_seat_answer_t message;
+	wwh_vote_answer_t message;
 
-	return wwh_seat_answer_decode(data, size, &message);
+	return wwh_vote_answer_decode(data, size, &message);
 }
 
 static bool accepts_loans(const uint8_t *data, size_t size)
@@ -49,8 +49,8 @@
 }
 
 static const accepts_t accepts[KINDS] = {
-	accepts_seat_ask,
-	accepts_seat_answer,
+	accepts_vote_request,
+	accepts_vote_answer,
 	accepts_loans,
 	accepts_drains,
 };
@@ -78,11 +78,11 @@
 	g_ptr_array_add(message->items, item);
 }
 
-/* One message of each kind. */
-static void make_all(GBytes *bytes[KINDS])
+/* Encodes one message of each kind. */
+static void encode_all(GBytes *bytes[KINDS])
 {
-	wwh_seat_ask_t seat_ask = { UINT64_MAX, INT64_MAX };
-	wwh_seat_answer_t seat_answer = { 1, 0, UINT64_MAX };
+	wwh_vote_request_t vote_request = { UINT64_MAX, INT64_MAX };
+	wwh_vote_answer_t vote_answer = { 1, 0, UINT64_MAX };
 	wwh_loan_message_t loans;
 	wwh_drain_message_t drains;
 
@@ -93,8 +93,8 @@
 	wwh_drain_message_init(&drains);
 	drains.process = 7;
 	add_drain(&drains, "w1");
-	bytes[0] = wwh_seat_ask_encode(&seat_ask);
-	bytes[1] = wwh_seat_answer_encode(&seat_answer);
+	bytes[0] = wwh_vote_request_encode(&vote_request);
+	bytes[1] = wwh_vote_answer_encode(&vote_answer);
 	bytes[2] = wwh_loan_message_encode(&loans);
 	bytes[3] = wwh_drain_message_encode(&drains);
 	for (int i = 0; i < KINDS; i++)
@@ -109,32 +109,33 @@
 		g_bytes_unref(bytes[i]);
 }
 
-static const uint8_t *data_of(GBytes *bytes, size_t *size)
+static const uint8_t *bytes_data(GBytes *bytes, size_t *size)
 {
 	return g_bytes_get_data(bytes, size);
 }
 
-static void plain_messages_come_back_as_sent(void **state)
+static void decoded_votes_equal_the_encoded_ones(void **state)
 {
 	GBytes *bytes[KINDS];
-	wwh_seat_ask_t ask;
-	wwh_seat_answer_t answer;
+	wwh_vote_request_t request;
+	wwh_vote_answer_t answer;
 	size_t size;
 	const uint8_t *data;
 
 	(void)state;
-	make_all(bytes);
-	data = data_of(bytes[0], &size);
-	assert_true(wwh_seat_ask_decode(data, size, &ask));
-	assert_true(ask.process == UINT64_MAX && ask.sent_ms == INT64_MAX);
-	data = data_of(bytes[1], &size);
-	assert_true(wwh_seat_answer_decode(data, size, &answer));
+	encode_all(bytes);
+	data = bytes_data(bytes[0], &size);
+	assert_true(wwh_vote_request_decode(data, size, &request));
+	assert_true(request.process == UINT64_MAX &&
+		    request.sent_ms == INT64_MAX);
+	data = bytes_data(bytes[1], &size);
+	assert_true(wwh_vote_answer_decode(data, size, &answer));
 	assert_true(answer.process == 1 && answer.sent_ms == 0 &&
 		    answer.seats == UINT64_MAX);
 	free_all(bytes);
 }
 
-static void lists_come_back_as_sent(void **state)
+static void decoded_lists_equal_the_encoded_ones(void **state)
 {
 	GBytes *bytes[KINDS];
 	wwh_loan_message_t loans;
@@ -145,8 +146,8 @@
 	const uint8_t *data;
 
 	(void)state;
-	make_all(bytes);
-	data = data_of(bytes[2], &size);
+	encode_all(bytes);
+	data = bytes_data(bytes[2], &size);
 	assert_true(wwh_loan_message_decode(data, size, &loans));
 	assert_int_equal(loans.process, 8);
 	assert_int_equal(loans.items->len, 2);
@@ -156,7 +157,7 @@
 	assert_true(loan->bears_version == 3 && loan->wanted == 4 &&
 		    loan->bears == 5);
 	wwh_loan_message_clear(&loans);
-	data = data_of(bytes[3], &size);
+	data = bytes_data(bytes[3], &size);
 	assert_true(wwh_drain_message_decode(data, size, &drains));
 	drain = drains.items->pdata[0];
 	assert_string_equal(drain->worker, "w1");
@@ -165,16 +166,16 @@
 	free_all(bytes);
 }
 
-/* Frames say how long they are; a sender may still say too little in one. */
-static void every_shortened_or_lengthened_message_is_refused(void **state)
+/* The payload may be truncated or too long even if the frame's length fits. */
+static void truncated_and_extended_messages_are_rejected(void **state)
 {
 	GBytes *bytes[KINDS];
 
 	(void)state;
-	make_all(bytes);
+	encode_all(bytes);
 	for (int i = 0; i < KINDS; i++) {
 		size_t size;
-		const uint8_t *data = data_of(bytes[i], &size);
+		const uint8_t *data = bytes_data(bytes[i], &size);
 		uint8_t *longer = g_malloc0(size + 1);
 
 		assert_true(accepts[i](data, size));
@@ -187,17 +188,17 @@
 	free_all(bytes);
 }
 
-/* A process of another version may send another message in that place. */
-static void a_message_of_another_kind_is_refused(void **state)
+/* A process of another version may send another kind of message in a frame. */
+static void a_message_of_another_kind_is_rejected(void **state)
 {
 	GBytes *bytes[KINDS];
 
 	(void)state;
-	make_all(bytes);
+	encode_all(bytes);
 	for (int i = 0; i < KINDS; i++) {
 		for (int j = 0; j < KINDS; j++) {
 			size_t size;
-			const uint8_t *data = data_of(bytes[j], &size);
+			const uint8_t *data = bytes_data(bytes[j], &size);
 
 			assert_int_equal(accepts[i](data, size), i == j);
 		}
@@ -205,44 +206,44 @@
 	free_all(bytes);
 }
 
-static void values_outside_their_bounds_are_refused(void **state)
+static void values_outside_their_bounds_are_rejected(void **state)
 {
-	wwh_seat_ask_t ask = { 1, -1 };
+	wwh_vote_request_t request = { 1, -1 };
 	msgpack_sbuffer buffer;
 	msgpack_packer packer;
 
 	(void)state;
-	assert_null(wwh_seat_ask_encode(&ask));
+	assert_null(wwh_vote_request_encode(&request));
 	msgpack_sbuffer_init(&buffer);
 	msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
 	msgpack_pack_array(&packer, 2);
 	msgpack_pack_uint64(&packer, 1);
 	msgpack_pack_int64(&packer, -1);
-	assert_false(accepts_seat_ask((uint8_t *)buffer.data, buffer.size));
+	assert_false(accepts_vote_request((uint8_t *)buffer.data, buffer.size));
 	msgpack_sbuffer_clear(&buffer);
 	msgpack_pack_array(&packer, 2);
 	msgpack_pack_uint64(&packer, 1);
 	msgpack_pack_str(&packer, 1);
 	msgpack_pack_str_body(&packer, "1", 1);
-	assert_false(accepts_seat_ask((uint8_t *)buffer.data, buffer.size));
+	assert_false(accepts_vote_request((uint8_t *)buffer.data, buffer.size));
 	msgpack_sbuffer_destroy(&buffer);
 }
 
-static void oversized_messages_are_refused(void **state)
+static void oversized_messages_are_rejected(void **state)
 {
 	wwh_loan_message_t loans;
-	char name[LONG_NAME + 1];
+	char name[LONG_ID_BYTES + 1];
 	msgpack_sbuffer buffer;
 	msgpack_packer packer;
 
 	(void)state;
 	wwh_loan_message_init(&loans);
-	for (int i = 0; i < TOO_MANY; i++)
+	for (int i = 0; i < TOO_MANY_ITEMS; i++)
 		add_loan(&loans, "m");
 	assert_null(wwh_loan_message_encode(&loans));
 	wwh_loan_message_clear(&loans);
-	memset(name, 'm', LONG_NAME);
-	name[LONG_NAME] = '\0';
+	memset(name, 'm', LONG_ID_BYTES);
+	name[LONG_ID_BYTES] = '\0';
 	wwh_loan_message_init(&loans);
 	add_loan(&loans, name);
 	assert_null(wwh_loan_message_encode(&loans));
@@ -261,13 +262,12 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(plain_messages_come_back_as_sent),
-		cmocka_unit_test(lists_come_back_as_sent),
-		cmocka_unit_test(
-			every_shortened_or_lengthened_message_is_refused),
-		cmocka_unit_test(a_message_of_another_kind_is_refused),
-		cmocka_unit_test(values_outside_their_bounds_are_refused),
-		cmocka_unit_test(oversized_messages_are_refused),
+		cmocka_unit_test(decoded_votes_equal_the_encoded_ones),
+		cmocka_unit_test(decoded_lists_equal_the_encoded_ones),
+		cmocka_unit_test(truncated_and_extended_messages_are_rejected),
+		cmocka_unit_test(a_message_of_another_kind_is_rejected),
+		cmocka_unit_test(values_outside_their_bounds_are_rejected),
+		cmocka_unit_test(oversized_messages_are_rejected),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
