--- a/include/waxwinghollow/chart.h
+++ b/include/waxwinghollow/chart.h
@@ -99,7 +99,7 @@
 			     wwh_chart_t **chart, wwh_message_t *message);
 
 /* The file that was linked into the binary; false when there is none. */
-bool wwh_chart_builtin(const char *name, const char **text, size_t *size);
+bool wwh_chart_find_builtin(const char *name, const char **text, size_t *size);
 int32_t wwh_chart_builtin_count(void);
 const char *wwh_chart_builtin_name(int32_t index);
 
@@ -124,7 +124,7 @@
 bool wwh_chart_is_final(const wwh_chart_machine_t *machine);
 
 /* A mask with the bit of tag; 0 when no state has it. */
-uint32_t wwh_chart_tag(const wwh_chart_t *chart, const char *tag);
+uint32_t wwh_chart_tag_mask(const wwh_chart_t *chart, const char *tag);
 
 /* Whether the machine's state has one of the tags of mask. */
 bool wwh_chart_has_tag(const wwh_chart_machine_t *machine, uint32_t mask);
--- a/include/waxwinghollow/job_holder.h
+++ b/include/waxwinghollow/job_holder.h
@@ -55,10 +55,10 @@
 	int32_t journal_part;
 	const char *producer;
 	int64_t epoch; /* of the claim; the fencing token of all orders */
-	int64_t holder_count;
+	int64_t claim_count;
 	int64_t next_sequence;
-	bool others_at_work; /* the previous holder may still give orders */
-	bool others_ended; /* it ended without giving the claim up */
+	bool previous_holder_may_act; /* the previous holder may still give orders */
+	bool previous_holder_ended; /* it ended without giving the claim up */
 	GHashTable *records; /* key to GBytes, as read from the journal */
 	/*
 	 * The steady clock. It is read when an answer is processed: a reading
--- a/include/waxwinghollow/membership.h
+++ b/include/waxwinghollow/membership.h
@@ -18,7 +18,7 @@
  *
  *	SUSPECT	it did not answer this process, neither directly nor through
  *		two helpers, or two others say the same of theirs.
- *	DEAD	suspect for suspect_ms, and a majority of the other members
+ *	DEAD	suspect for suspicion_timeout_ms, and a majority of the other members
  *		of its own region, as known here, failed to reach it; or it
  *		did not answer this process and the platform's list says that
  *		it is gone or has lost its line.
@@ -43,8 +43,8 @@
  *	whoever missed it. The newest configuration version is in every
  *	message, and who learns of a newer one tells three others at once.
  *
- *	Thresholds: round_ms 1000 and ack_ms 400 put the detection at some
- *	eight seconds with an answer that may cross the planet; suspect_ms
+ *	Thresholds: round_ms 1000 and ack_timeout_ms 400 put the detection at some
+ *	eight seconds with an answer that may cross the planet; suspicion_timeout_ms
  *	4000 leaves a suspected process two rounds to hear of it and object.
  *	Measurements are in docs/measurements/log.md.
  *
@@ -103,9 +103,9 @@
 	const char *region;
 	const char *const *seeds; /* addresses to try, ends with NULL */
 	int32_t round_ms;
-	int32_t ack_ms;
-	int32_t suspect_ms;
-	int32_t forget_ms; /* dead and left ones are kept as long */
+	int32_t ack_timeout_ms;
+	int32_t suspicion_timeout_ms;
+	int32_t retention_ms; /* dead and left ones are kept as long */
 	int32_t message_bytes;
 	wwh_leaving_t *leaving; /* words are taken and given; may be NULL */
 } wwh_membership_options_t;
@@ -171,8 +171,8 @@
 				     const char **address);
 
 /* Nothing was heard from anybody for three rounds, though others are known. */
-bool wwh_membership_isolated(const wwh_membership_t *membership,
-			     int64_t now_ms);
+bool wwh_membership_is_isolated(const wwh_membership_t *membership,
+				int64_t now_ms);
 
 const wwh_membership_stats_t *
 wwh_membership_stats(const wwh_membership_t *membership);
--- a/include/waxwinghollow/scheduler.h
+++ b/include/waxwinghollow/scheduler.h
@@ -128,7 +128,7 @@
 	int64_t lease_until_remote_ms; /* 0: its clock isn't known yet */
 	int64_t ends_acked_upto;
 	int64_t wait_ms; /* the answer comes earlier when a run ends */
-	int64_t limit_ms; /* time after wait_ms until the poll has failed */
+	int64_t timeout_ms; /* time after wait_ms until the poll has failed */
 } wwh_poll_order_t;
 
 typedef struct {
@@ -225,7 +225,7 @@
  * Restores one record. Records of jobs come before those of progress. Returns
  * false if the record can't be read. Nothing is then started or ended on the
  * strength of it: for a job or its progress, until the caller cancels the job
- * (see wwh_scheduler_job_lost); for an upstream, until it has been announced
+ * (see wwh_scheduler_job_is_unreadable); for an upstream, until it has been announced
  * and has answered a poll, or its lease has certainly lapsed.
  */
 bool wwh_scheduler_restore(wwh_scheduler_t *scheduler,
@@ -338,7 +338,8 @@
  * Whether a record of the job can't be read. It isn't known then whether the job
  * has ended or which of its tasks are left. Cancelling the job ends it.
  */
-bool wwh_scheduler_job_lost(const wwh_scheduler_t *scheduler, const char *id);
+bool wwh_scheduler_job_is_unreadable(const wwh_scheduler_t *scheduler,
+				     const char *id);
 
 /* Counts the accepted jobs of a queue none of whose tasks has started. */
 int32_t wwh_scheduler_pending(wwh_scheduler_t *scheduler, const char *queue);
@@ -462,7 +463,7 @@
 	int32_t upstreams;
 	int32_t unsettled; /* inherited upstreams that haven't answered */
 	int32_t tasks_outstanding; /* started and not known to have ended */
-	int32_t lost_jobs; /* see wwh_scheduler_job_lost */
+	int32_t lost_jobs; /* see wwh_scheduler_job_is_unreadable */
 } wwh_scheduler_counts_t;
 
 wwh_scheduler_counts_t wwh_scheduler_counts(const wwh_scheduler_t *scheduler);
--- a/include/waxwinghollow/shard_claim.h
+++ b/include/waxwinghollow/shard_claim.h
@@ -58,19 +58,19 @@
 
 typedef struct {
 	int64_t epoch; /* of the claim: the fencing token */
-	int64_t holder_count; /* claims so far, including this one */
+	int64_t claim_count; /* claims so far, including this one */
 	int64_t next_sequence; /* first sequence number for the journal */
 	GHashTable *records; /* key to GBytes, as the journal has them */
 	/*
 	 * The previous holder was silent, or handed over with orders to hosts
 	 * outstanding: orders of it may still take effect.
 	 */
-	bool others_at_work;
+	bool previous_holder_may_act;
 	/*
 	 * The previous holder didn't hold the shard any more, and hadn't
 	 * answered WWH_SHARD_HANDED_OVER.
 	 */
-	bool others_ended;
+	bool previous_holder_ended;
 	/*
 	 * The previous holder handed the shard over or was silent, perhaps due
 	 * to its load.
--- a/src/libwaxwinghollow/chart.c
+++ b/src/libwaxwinghollow/chart.c
@@ -56,7 +56,7 @@
 	return machine->chart->is_final[machine->state];
 }
 
-uint32_t wwh_chart_tag(const wwh_chart_t *chart, const char *tag)
+uint32_t wwh_chart_tag_mask(const wwh_chart_t *chart, const char *tag)
 {
 	int32_t index = name_index(chart->tags, tag);
 
--- a/src/libwaxwinghollow/chart_builtin.c
+++ b/src/libwaxwinghollow/chart_builtin.c
@@ -27,7 +27,7 @@
 	return wwh_chart_files[index].name;
 }
 
-bool wwh_chart_builtin(const char *name, const char **text, size_t *size)
+bool wwh_chart_find_builtin(const char *name, const char **text, size_t *size)
 {
 	int32_t count = wwh_chart_builtin_count();
 
@@ -48,7 +48,7 @@
 	size_t size;
 
 	*chart = NULL;
-	if (!wwh_chart_builtin(name, &text, &size)) {
+	if (!wwh_chart_find_builtin(name, &text, &size)) {
 		wwh_message_set(message, "no chart %s in this binary", name);
 		return WWH_STATUS_NOT_FOUND;
 	}
--- a/src/libwaxwinghollow/conductor_job.c
+++ b/src/libwaxwinghollow/conductor_job.c
@@ -238,14 +238,14 @@
 {
 	const wwh_chart_t *chart = conductor->job_chart;
 	int64_t lease_ms = conductor->options.placement.lease_ms;
-	bool starts = wwh_chart_has_tag(&run->machine,
-					wwh_chart_tag(chart, "orders-start"));
+	bool starts = wwh_chart_has_tag(
+		&run->machine, wwh_chart_tag_mask(chart, "orders-start"));
 	bool due = run->machine.state == STATE_STARTING ||
 		   conductor->now_ms - run->renewed_ms >=
 			   lease_ms / RENEWALS_PER_LEASE;
 
 	if (wwh_chart_has_tag(&run->machine,
-			      wwh_chart_tag(chart, "orders-stop")))
+			      wwh_chart_tag_mask(chart, "orders-stop")))
 		wwh_conductor_order(conductor, run, WWH_TASK_STOP);
 	else if (starts && due)
 		wwh_conductor_order(conductor, run, WWH_TASK_START);
--- a/src/libwaxwinghollow/conductor_pursue.c
+++ b/src/libwaxwinghollow/conductor_pursue.c
@@ -111,8 +111,9 @@
 {
 	wwh_conductor_t *conductor = actor->conductor;
 
-	if (wwh_chart_has_tag(&actor->move, wwh_chart_tag(conductor->move_chart,
-							  "wants-start")))
+	if (wwh_chart_has_tag(
+		    &actor->move,
+		    wwh_chart_tag_mask(conductor->move_chart, "wants-start")))
 		append_move(actor, WWH_RECORD_MOVE_START, "move-start");
 }
 
@@ -128,11 +129,11 @@
 		append_move(actor, WWH_RECORD_MOVE_CANCEL, "move-cancel");
 	} else if (is_between(actor)) {
 		bool joins = wwh_chart_has_tag(
-			&actor->move,
-			wwh_chart_tag(conductor->move_chart, "wants-finish"));
+			&actor->move, wwh_chart_tag_mask(conductor->move_chart,
+							 "wants-finish"));
 		bool returns = wwh_chart_has_tag(
-			&actor->move,
-			wwh_chart_tag(conductor->move_chart, "wants-cancel"));
+			&actor->move, wwh_chart_tag_mask(conductor->move_chart,
+							 "wants-cancel"));
 
 		if (joins)
 			append_move(actor, WWH_RECORD_MOVE_FINISH,
--- a/src/libwaxwinghollow/conductor_wave.c
+++ b/src/libwaxwinghollow/conductor_wave.c
@@ -353,7 +353,8 @@
 static void take_out(wwh_conductor_t *conductor, wwh_wave_run_t *run,
 		     int32_t pool, wave_work_t *work)
 {
-	uint32_t takes_out = wwh_chart_tag(conductor->wave_chart, "takes-out");
+	uint32_t takes_out =
+		wwh_chart_tag_mask(conductor->wave_chart, "takes-out");
 	wwh_pool_budget_t *tally;
 
 	if (!wwh_chart_has_tag(&run->machine, takes_out))
--- a/src/libwaxwinghollow/conductor_worker.c
+++ b/src/libwaxwinghollow/conductor_worker.c
@@ -245,7 +245,8 @@
 				 ? worker->move_to
 				 : worker->wanted_pool;
 	int32_t before = actor->move.state;
-	uint32_t released = wwh_chart_tag(conductor->move_chart, "released");
+	uint32_t released =
+		wwh_chart_tag_mask(conductor->move_chart, "released");
 
 	if (worker->move_to != WWH_FLEET_NONE)
 		wwh_chart_step(&actor->move, MOVE_LEFT, conductor->now_ms,
--- a/src/libwaxwinghollow/entry.c
+++ b/src/libwaxwinghollow/entry.c
@@ -48,7 +48,7 @@
 	entry->settings = settings;
 	entry->incarnation = (uint64_t)g_get_real_time();
 	entry->author =
-		wwh_entry_author_of(settings->process_id, entry->incarnation);
+		wwh_entry_author_name(settings->process_id, entry->incarnation);
 	entry->counters = wwh_counters_new();
 	g_mutex_init(&entry->state_lock);
 	entry->state = wwh_state_new();
@@ -210,14 +210,14 @@
 	return config;
 }
 
-void wwh_entry_take_config(wwh_entry_t *entry)
+void wwh_entry_apply_replayed_config(wwh_entry_t *entry)
 {
 	put_in_force(entry, wwh_state_config(entry->state),
 		     wwh_state_config_author(entry->state));
 }
 
-bool wwh_entry_offer_config(wwh_entry_t *entry, const wwh_config_t *config,
-			    const char *from)
+bool wwh_entry_apply_peer_config(wwh_entry_t *entry, const wwh_config_t *config,
+				 const char *from)
 {
 	bool taken;
 
@@ -238,7 +238,7 @@
 	return version;
 }
 
-char *wwh_entry_author_of(const char *process_id, uint64_t incarnation)
+char *wwh_entry_author_name(const char *process_id, uint64_t incarnation)
 {
 	return g_strdup_printf("%s/%" G_GUINT64_FORMAT, process_id,
 			       incarnation);
--- a/src/libwaxwinghollow/entry_caller.c
+++ b/src/libwaxwinghollow/entry_caller.c
@@ -195,8 +195,8 @@
 	wwh_error_kind_t kind = WWH_ERROR_NONE;
 	wwh_decision_t decision;
 
-	while (wwh_request_next(call->request, call->http->caller_fd,
-				&decision)) {
+	while (wwh_request_wait_decision(call->request, call->http->caller_fd,
+					 &decision)) {
 		if (decision.type == WWH_DECISION_END) {
 			call->retry_after_ms = decision.retry_after_ms;
 			/* a whole answer in hand is truer than any error */
@@ -409,7 +409,8 @@
  */
 static wwh_error_kind_t final_kind(call_t *call, wwh_error_kind_t kind)
 {
-	uint32_t not_run = wwh_chart_tag(call->entry->request_chart, "not-run");
+	uint32_t not_run =
+		wwh_chart_tag_mask(call->entry->request_chart, "not-run");
 
 	if (kind == WWH_ERROR_NONE && !call->answered && !call->replayed)
 		kind = WWH_ERROR_ANSWER_LOST;
--- a/src/libwaxwinghollow/entry_exchange.c
+++ b/src/libwaxwinghollow/entry_exchange.c
@@ -34,8 +34,8 @@
 	peers->relay = wwh_config_relay_new(&options);
 }
 
-void wwh_peers_answer_vote(wwh_entry_peers_t *peers, const char *from,
-			   const uint8_t *payload, size_t size)
+void wwh_peers_handle_vote_request(wwh_entry_peers_t *peers, const char *from,
+				   const uint8_t *payload, size_t size)
 {
 	wwh_vote_answer_t answer = {
 		.process = wwh_seat_process(peers->entry->author),
@@ -53,8 +53,8 @@
 	g_bytes_unref(bytes);
 }
 
-void wwh_peers_take_vote(wwh_entry_peers_t *peers, const uint8_t *payload,
-			 size_t size)
+void wwh_peers_handle_vote(wwh_entry_peers_t *peers, const uint8_t *payload,
+			   size_t size)
 {
 	wwh_vote_answer_t answer;
 	wwh_seat_vote_t vote;
@@ -67,8 +67,8 @@
 	wwh_seats_handle_vote(peers->entry->seats, &vote);
 }
 
-void wwh_peers_hear_loans(wwh_entry_peers_t *peers, const uint8_t *payload,
-			  size_t size)
+void wwh_peers_handle_loans(wwh_entry_peers_t *peers, const uint8_t *payload,
+			    size_t size)
 {
 	wwh_loan_message_t message;
 
@@ -84,8 +84,8 @@
 				.bears_version = (uint32_t)item->bears_version,
 			};
 
-			wwh_request_table_loan_hear(peers->entry->requests,
-						    message.process, &loan);
+			wwh_request_table_handle_loan(peers->entry->requests,
+						      message.process, &loan);
 		}
 		/* it may have departed, and been forgotten, meanwhile */
 		if (!wwh_seats_is_member(peers->entry->seats, message.process))
@@ -94,7 +94,7 @@
 	wwh_loan_message_clear(&message);
 }
 
-void wwh_peers_tell_loans(wwh_entry_peers_t *peers, int64_t now_ms)
+void wwh_peers_send_loans(wwh_entry_peers_t *peers, int64_t now_ms)
 {
 	wwh_request_table_t *requests = peers->entry->requests;
 	GPtrArray *targets;
@@ -114,9 +114,9 @@
 			continue;
 		wwh_loan_message_init(&message);
 		message.process = wwh_seat_process(peers->entry->author);
-		wwh_request_table_loans_tell(peers->entry->requests,
-					     target->process, add_loan,
-					     &message);
+		wwh_request_table_report_loans(peers->entry->requests,
+					       target->process, add_loan,
+					       &message);
 		if (message.items->len > 0) {
 			bytes = wwh_loan_message_encode(&message);
 			wwh_peers_send(peers, target->address, WWH_FRAME_LOAN,
@@ -128,8 +128,8 @@
 	g_ptr_array_unref(targets);
 }
 
-void wwh_peers_hear_drains(wwh_entry_peers_t *peers, const uint8_t *payload,
-			   size_t size)
+void wwh_peers_handle_drains(wwh_entry_peers_t *peers, const uint8_t *payload,
+			     size_t size)
 {
 	wwh_drain_message_t message;
 
@@ -138,7 +138,7 @@
 	wwh_drain_message_clear(&message);
 }
 
-void wwh_peers_tell_drains(wwh_entry_peers_t *peers, int64_t now_ms)
+void wwh_peers_send_drains(wwh_entry_peers_t *peers, int64_t now_ms)
 {
 	wwh_drain_message_t message;
 	GPtrArray *targets;
@@ -259,8 +259,8 @@
 		    WWH_STATUS_OK &&
 	    wwh_config_apply(base, change, version, &config, &text) ==
 		    WWH_STATUS_OK)
-		installed =
-			wwh_entry_offer_config(peers->entry, config, "a peer");
+		installed = wwh_entry_apply_peer_config(peers->entry, config,
+							"a peer");
 	if (installed)
 		wwh_counter_add(peers->config_fetched, 1);
 	if (config != NULL)
--- a/src/libwaxwinghollow/entry_fleet.c
+++ b/src/libwaxwinghollow/entry_fleet.c
@@ -481,7 +481,7 @@
 	wwh_entry_t *entry = fleet->entry;
 	wwh_action_t *action = data;
 	wwh_action_result_t *result = g_new0(wwh_action_result_t, 1);
-	wwh_submitted_t submitted;
+	wwh_submit_result_t submitted;
 
 	if (action->kind == WWH_ACTION_APPEND) {
 		wwh_entry_log_submit(entry->log, &action->record,
--- a/src/libwaxwinghollow/entry_log.c
+++ b/src/libwaxwinghollow/entry_log.c
@@ -152,7 +152,7 @@
 }
 
 void wwh_entry_log_submit(wwh_entry_log_t *log, const wwh_record_t *record,
-			  int32_t timeout_ms, wwh_submitted_t *submitted)
+			  int32_t timeout_ms, wwh_submit_result_t *submitted)
 {
 	wwh_entry_t *entry = log->entry;
 	wwh_log_client_t *client = log->replays[WWH_STREAM_CONTROL].client;
@@ -299,7 +299,7 @@
 	kept->offset = log_entry->offset;
 	wwh_entry_snapshot_after_apply(replay->snapshot, &record);
 	if (wwh_state_config_version(entry->state) != version)
-		wwh_entry_take_config(entry);
+		wwh_entry_apply_replayed_config(entry);
 	g_mutex_unlock(&entry->state_lock);
 	wwh_counter_add(entry->verdicts[kept->verdict], 1);
 	wwh_record_clear(&record);
--- a/src/libwaxwinghollow/entry_operator.c
+++ b/src/libwaxwinghollow/entry_operator.c
@@ -64,9 +64,9 @@
 	g_free(path);
 }
 
-void wwh_answer_submitted(wwh_http_response_t *response,
-			  const wwh_submitted_t *submitted, const char *what,
-			  const char *id)
+void wwh_answer_submit_result(wwh_http_response_t *response,
+			      const wwh_submit_result_t *submitted,
+			      const char *what, const char *id)
 {
 	JsonBuilder *builder = json_builder_new();
 	int32_t status = 200;
@@ -199,7 +199,7 @@
 {
 	char *base = wwh_http_query_value(request->target, "base");
 	char *author = author_of(request);
-	wwh_submitted_t submitted = { 0 };
+	wwh_submit_result_t submitted = { 0 };
 	wwh_record_t record;
 
 	wwh_record_init(&record, WWH_RECORD_CONFIG, author);
@@ -209,7 +209,7 @@
 	record.body.config.change =
 		g_bytes_new(request->body, request->body_size);
 	wwh_entry_log_submit(entry->log, &record, SUBMIT_LIMIT_MS, &submitted);
-	wwh_answer_submitted(response, &submitted, NULL, NULL);
+	wwh_answer_submit_result(response, &submitted, NULL, NULL);
 	wwh_record_clear(&record);
 	g_free(author);
 	g_free(base);
--- a/src/libwaxwinghollow/entry_peers.c
+++ b/src/libwaxwinghollow/entry_peers.c
@@ -59,7 +59,7 @@
 	options.region = settings->region;
 	options.seeds = (const char *const *)settings->peers;
 	options.round_ms = settings->heartbeat_ms;
-	options.suspect_ms = settings->suspect_after_ms;
+	options.suspicion_timeout_ms = settings->suspect_after_ms;
 	options.leaving = peers->leaving;
 	peers->membership =
 		wwh_membership_new(&options, peers->random, send_gossip, peers);
@@ -197,8 +197,8 @@
 	}
 	g_mutex_unlock(&peers->lock);
 	if (leaving)
-		wwh_request_table_minion_state(peers->entry->requests, minion,
-					       WWH_MINION_LEAVING);
+		wwh_request_table_set_minion_state(peers->entry->requests,
+						   minion, WWH_MINION_LEAVING);
 }
 
 void wwh_entry_peers_request_votes(wwh_entry_peers_t *peers)
@@ -245,7 +245,7 @@
 
 void wwh_entry_peers_forget_loans(wwh_entry_peers_t *peers, uint64_t process)
 {
-	wwh_request_table_loans_forget(peers->entry->requests, process);
+	wwh_request_table_forget_loans(peers->entry->requests, process);
 }
 
 int32_t wwh_entry_peers_rank(wwh_entry_peers_t *peers, int32_t *count)
@@ -305,8 +305,8 @@
 		g_mutex_unlock(&peers->lock);
 		update_minions(peers, now_ms);
 		wwh_peers_relay_config(peers, now_ms);
-		wwh_peers_tell_loans(peers, now_ms);
-		wwh_peers_tell_drains(peers, now_ms);
+		wwh_peers_send_loans(peers, now_ms);
+		wwh_peers_send_drains(peers, now_ms);
 		g_usleep(TICK_MS * MILLISECOND_US);
 	}
 	return NULL;
@@ -327,16 +327,17 @@
 		g_mutex_unlock(&peers->lock);
 		break;
 	case WWH_FRAME_SEAT_ASK:
-		wwh_peers_answer_vote(peers, from_address, payload, size);
+		wwh_peers_handle_vote_request(peers, from_address, payload,
+					      size);
 		break;
 	case WWH_FRAME_SEAT_ANSWER:
-		wwh_peers_take_vote(peers, payload, size);
+		wwh_peers_handle_vote(peers, payload, size);
 		break;
 	case WWH_FRAME_LOAN:
-		wwh_peers_hear_loans(peers, payload, size);
+		wwh_peers_handle_loans(peers, payload, size);
 		break;
 	case WWH_FRAME_DRAIN:
-		wwh_peers_hear_drains(peers, payload, size);
+		wwh_peers_handle_drains(peers, payload, size);
 		break;
 	case WWH_FRAME_CONFIG:
 		g_mutex_lock(&peers->relay_lock);
@@ -419,8 +420,8 @@
 			continue;
 		g_hash_table_insert(peers->minion_states, g_strdup(id),
 				    GINT_TO_POINTER(state));
-		wwh_request_table_minion_state(peers->entry->requests, id,
-					       state);
+		wwh_request_table_set_minion_state(peers->entry->requests, id,
+						   state);
 		g_message("minion %s: %s", id, wwh_minion_state_names[state]);
 	}
 	g_mutex_unlock(&peers->lock);
@@ -453,7 +454,7 @@
 
 static uint64_t member_process(const wwh_member_t *member)
 {
-	char *author = wwh_entry_author_of(member->id, member->incarnation);
+	char *author = wwh_entry_author_name(member->id, member->incarnation);
 	uint64_t process = wwh_seat_process(author);
 
 	g_free(author);
--- a/src/libwaxwinghollow/entry_seats.c
+++ b/src/libwaxwinghollow/entry_seats.c
@@ -153,7 +153,8 @@
 {
 	g_mutex_lock(&seats->lock);
 	wwh_counter_add(seats->votes, 1);
-	wwh_seat_lease_member(&seats->lease, &seats->table, seats->mask, vote);
+	wwh_seat_lease_renew_by_vote(&seats->lease, &seats->table, seats->mask,
+				     vote);
 	g_mutex_unlock(&seats->lock);
 }
 
@@ -238,7 +239,7 @@
 	int32_t index = member_index(&seats->table, seats->process);
 
 	if (index >= 0 && !seats->table.members[index].evicted && sent_ms > 0)
-		wwh_seat_lease_log(&seats->lease, sent_ms);
+		wwh_seat_lease_renew_by_log(&seats->lease, sent_ms);
 }
 
 static bool plan_record(wwh_seats_t *seats, int64_t now_ms, bool release_all,
@@ -428,7 +429,7 @@
 static void submit(wwh_seats_t *seats, const wwh_seat_record_t *record)
 {
 	wwh_entry_t *entry = seats->entry;
-	wwh_submitted_t submitted;
+	wwh_submit_result_t submitted;
 	wwh_record_t log_record;
 
 	wwh_record_init(&log_record, WWH_RECORD_SEAT, entry->author);
--- a/src/libwaxwinghollow/entry_shards.c
+++ b/src/libwaxwinghollow/entry_shards.c
@@ -106,7 +106,7 @@
 	};
 	wwh_entry_t *entry = shards->entry;
 	int64_t began_ms = wwh_now_ms();
-	wwh_submitted_t submitted;
+	wwh_submit_result_t submitted;
 	wwh_record_t record;
 
 	wwh_record_init(&record, kinds[action->kind], entry->author);
--- a/src/libwaxwinghollow/entry_snapshot.c
+++ b/src/libwaxwinghollow/entry_snapshot.c
@@ -202,7 +202,7 @@
 	if (snapshot->new_state != NULL) {
 		wwh_state_delete(entry->state);
 		entry->state = snapshot->new_state;
-		wwh_entry_take_config(entry);
+		wwh_entry_apply_replayed_config(entry);
 	}
 	if (snapshot->new_intents != NULL) {
 		wwh_intents_delete(entry->intents);
--- a/src/libwaxwinghollow/entry_verbs.c
+++ b/src/libwaxwinghollow/entry_verbs.c
@@ -41,7 +41,7 @@
 		   const char *id);
 static void change_wave(act_t *act, wwh_record_kind_t kind);
 static void start_one_wave(act_t *act, const char *pool, const char *id,
-			   wwh_submitted_t *submitted);
+			   wwh_submit_result_t *submitted);
 static void set_pool(act_t *act, const char *worker, const char *pool);
 static void refuse(act_t *act, int32_t status, const char *message);
 
@@ -108,7 +108,7 @@
 	const char *pool = text_of(act, "pool");
 	wwh_config_t *config = wwh_entry_config(act->entry);
 	char *id = new_id(act, "wave");
-	wwh_submitted_t submitted = { .status = WWH_STATUS_BAD_INPUT };
+	wwh_submit_result_t submitted = { .status = WWH_STATUS_BAD_INPUT };
 
 	if (config != NULL && strcmp(pool, "*") == 0) {
 		for (int32_t i = 0; i < wwh_config_pool_count(config); i++) {
@@ -123,14 +123,14 @@
 	} else {
 		start_one_wave(act, pool, id, &submitted);
 	}
-	wwh_answer_submitted(act->response, &submitted, "wave", id);
+	wwh_answer_submit_result(act->response, &submitted, "wave", id);
 	if (config != NULL)
 		wwh_config_unref(config);
 	g_free(id);
 }
 
 static void start_one_wave(act_t *act, const char *pool, const char *id,
-			   wwh_submitted_t *submitted)
+			   wwh_submit_result_t *submitted)
 {
 	wwh_record_t record;
 
@@ -339,11 +339,11 @@
 static void submit(act_t *act, wwh_record_t *record, const char *what,
 		   const char *id)
 {
-	wwh_submitted_t submitted;
+	wwh_submit_result_t submitted;
 
 	wwh_entry_log_submit(act->entry->log, record, SUBMIT_LIMIT_MS,
 			     &submitted);
-	wwh_answer_submitted(act->response, &submitted, what, id);
+	wwh_answer_submit_result(act->response, &submitted, what, id);
 	wwh_record_clear(record);
 }
 
--- a/src/libwaxwinghollow/host_moves.c
+++ b/src/libwaxwinghollow/host_moves.c
@@ -124,18 +124,18 @@
 	g_hash_table_iter_init(&iterator, duties->pools);
 	while (g_hash_table_iter_next(&iterator, NULL, &value)) {
 		duty_pool_t *pool = value;
-		wwh_pool_demand_t figures;
+		wwh_pool_demand_t demand;
 		int32_t hosts_wanted;
 
 		if (pool->standby)
 			continue;
-		figures = wwh_scheduler_pool_demand(duties->options.scheduler,
-						    pool->name);
+		demand = wwh_scheduler_pool_demand(duties->options.scheduler,
+						   pool->name);
 		hosts_wanted = wwh_pool_sizing_desired_hosts(
-			duties->sizing, pool->name, &figures, duties->now_ms);
+			duties->sizing, pool->name, &demand, duties->now_ms);
 		pool->lacks_hosts = hosts_wanted > pool->host_count;
 		g_array_append_val(wanted, hosts_wanted);
-		g_array_append_val(least, figures.min_hosts);
+		g_array_append_val(least, demand.min_hosts);
 	}
 	wwh_pool_sizing_share((int32_t *)(void *)wanted->data,
 			      (const int32_t *)(const void *)least->data,
--- a/src/libwaxwinghollow/include/private/entry_internal.h
+++ b/src/libwaxwinghollow/include/private/entry_internal.h
@@ -96,15 +96,15 @@
 wwh_phase_t wwh_entry_phase(wwh_entry_t *entry);
 
 /* Puts the state's configuration in force; state_lock is held. */
-void wwh_entry_take_config(wwh_entry_t *entry);
+void wwh_entry_apply_replayed_config(wwh_entry_t *entry);
 
 /* A peer's configuration is put in force when it is newer. Takes state_lock. */
-bool wwh_entry_offer_config(wwh_entry_t *entry, const wwh_config_t *config,
-			    const char *from);
+bool wwh_entry_apply_peer_config(wwh_entry_t *entry, const wwh_config_t *config,
+				 const char *from);
 int64_t wwh_entry_config_version(wwh_entry_t *entry);
 
 /* The name on the log of one incarnation of a process. g_free. */
-char *wwh_entry_author_of(const char *process_id, uint64_t incarnation);
+char *wwh_entry_author_name(const char *process_id, uint64_t incarnation);
 
 /* A reference to the configuration in force, or NULL before the first. */
 wwh_config_t *wwh_entry_config(wwh_entry_t *entry);
--- a/src/libwaxwinghollow/include/private/entry_log.h
+++ b/src/libwaxwinghollow/include/private/entry_log.h
@@ -16,7 +16,7 @@
 	wwh_verdict_t verdict;
 	int64_t offset;
 	wwh_verdict_detail_t detail;
-} wwh_submitted_t;
+} wwh_submit_result_t;
 
 wwh_entry_log_t *wwh_entry_log_new(wwh_entry_t *entry);
 void wwh_entry_log_start(wwh_entry_log_t *log);
@@ -39,7 +39,7 @@
 
 /* Appends to stream control and waits until the record was replayed here. */
 void wwh_entry_log_submit(wwh_entry_log_t *log, const wwh_record_t *record,
-			  int32_t timeout_ms, wwh_submitted_t *submitted);
+			  int32_t timeout_ms, wwh_submit_result_t *submitted);
 
 /* Appends snapshots that are due; called about once a second. */
 void wwh_entry_log_publish_snapshots(wwh_entry_log_t *log);
--- a/src/libwaxwinghollow/include/private/entry_peers_state.h
+++ b/src/libwaxwinghollow/include/private/entry_peers_state.h
@@ -54,18 +54,18 @@
 		    wwh_frame_kind_t kind, GBytes *bytes);
 
 /* Handlers of frames from other processes. */
-void wwh_peers_answer_vote(wwh_entry_peers_t *peers, const char *from,
-			   const uint8_t *payload, size_t size);
-void wwh_peers_take_vote(wwh_entry_peers_t *peers, const uint8_t *payload,
-			 size_t size);
-void wwh_peers_hear_loans(wwh_entry_peers_t *peers, const uint8_t *payload,
-			  size_t size);
-void wwh_peers_hear_drains(wwh_entry_peers_t *peers, const uint8_t *payload,
+void wwh_peers_handle_vote_request(wwh_entry_peers_t *peers, const char *from,
+				   const uint8_t *payload, size_t size);
+void wwh_peers_handle_vote(wwh_entry_peers_t *peers, const uint8_t *payload,
 			   size_t size);
+void wwh_peers_handle_loans(wwh_entry_peers_t *peers, const uint8_t *payload,
+			    size_t size);
+void wwh_peers_handle_drains(wwh_entry_peers_t *peers, const uint8_t *payload,
+			     size_t size);
 
 /* Each sends this process's own data if its period has passed. */
-void wwh_peers_tell_loans(wwh_entry_peers_t *peers, int64_t now_ms);
-void wwh_peers_tell_drains(wwh_entry_peers_t *peers, int64_t now_ms);
+void wwh_peers_send_loans(wwh_entry_peers_t *peers, int64_t now_ms);
+void wwh_peers_send_drains(wwh_entry_peers_t *peers, int64_t now_ms);
 void wwh_peers_relay_config(wwh_entry_peers_t *peers, int64_t now_ms);
 void wwh_peers_relay_open(wwh_entry_peers_t *peers);
 
--- a/src/libwaxwinghollow/include/private/entry_report.h
+++ b/src/libwaxwinghollow/include/private/entry_report.h
@@ -20,9 +20,9 @@
  * The answer to an operator's act that went to the log. id is what it is
  * about, told under the name what; both may be NULL.
  */
-void wwh_answer_submitted(wwh_http_response_t *response,
-			  const wwh_submitted_t *submitted, const char *what,
-			  const char *id);
+void wwh_answer_submit_result(wwh_http_response_t *response,
+			      const wwh_submit_result_t *submitted,
+			      const char *what, const char *id);
 
 void wwh_answer_json(wwh_http_response_t *response, int32_t status,
 		     JsonBuilder *builder);
--- a/src/libwaxwinghollow/include/private/scheduler_state.h
+++ b/src/libwaxwinghollow/include/private/scheduler_state.h
@@ -168,7 +168,7 @@
 	int64_t lease_end_ms; /* it has certainly lapsed then; 0: no lease */
 	bool lease_end_handled;
 	/* Numbers of its ends: received, and the last that changes progress. */
-	int64_t ends_seen;
+	int64_t ends_received;
 	int64_t last_progress_end;
 	int64_t ends_acked; /* durable here */
 	int64_t ends_flushed; /* covered by ends_flushed_record */
@@ -187,7 +187,7 @@
 typedef struct {
 	bool accepted; /* the record of its acceptance exists: not ended */
 	int64_t since_ms;
-} sched_lost_job_t;
+} sched_unreadable_job_t;
 
 struct sched_pool {
 	char *name;
@@ -211,7 +211,7 @@
 	wwh_chart_t *task_chart;
 	uint32_t outstanding_tag;
 	GHashTable *jobs; /* id to sched_job_t, owned */
-	GHashTable *lost_jobs; /* id to sched_lost_job_t, owned */
+	GHashTable *lost_jobs; /* id to sched_unreadable_job_t, owned */
 	GPtrArray *live; /* sched_job_t not ended or with runs outstanding */
 	GPtrArray *dirty; /* sched_job_t whose progress must be written */
 	GHashTable *pools; /* name to sched_pool_t, owned */
@@ -236,11 +236,12 @@
 #define SCHED_POOL_UNKNOWN ""
 
 /* scheduler_lost.c: handles records that can't be read */
-void sched_job_mark_lost(wwh_scheduler_t *scheduler, const char *id,
-			 bool accepted);
-void sched_job_clear_lost(wwh_scheduler_t *scheduler, const char *id);
-bool sched_task_is_lost(const wwh_scheduler_t *scheduler, const char *name);
-void sched_lost_jobs_expire(wwh_scheduler_t *scheduler);
+void sched_job_mark_unreadable(wwh_scheduler_t *scheduler, const char *id,
+			       bool accepted);
+void sched_job_clear_unreadable(wwh_scheduler_t *scheduler, const char *id);
+bool sched_task_has_unreadable_job(const wwh_scheduler_t *scheduler,
+				   const char *name);
+void sched_unreadable_jobs_expire(wwh_scheduler_t *scheduler);
 void sched_upstream_add_unlocated(wwh_scheduler_t *scheduler, const char *id);
 bool sched_upstream_is_located(const sched_upstream_t *upstream);
 void sched_upstream_locate(wwh_scheduler_t *scheduler,
--- a/src/libwaxwinghollow/include/private/shard_claim_state.h
+++ b/src/libwaxwinghollow/include/private/shard_claim_state.h
@@ -73,15 +73,15 @@
 	bool holder_has_ended; /* connection refused, or it reports so */
 	bool holder_released; /* and has no orders outstanding */
 	bool holder_orders_pending; /* ended with orders to hosts out */
-	bool others_at_work; /* these three as of claim_begin */
-	bool others_ended;
+	bool previous_holder_may_act; /* these three as of claim_begin */
+	bool previous_holder_ended;
 	bool inherits_load;
 	bool has_claimed; /* since this process started */
 	bool append_in_flight;
 	bool notice_pending; /* a notice is to be published */
 	bool notice_in_flight;
 	bool notice_is_release; /* of the notice in flight */
-	bool leave_settled;
+	bool leave_ended;
 };
 
 /* shard_claim_watch.c */
@@ -109,7 +109,7 @@
 
 /* shard_claim.c */
 void claim_begin(wwh_shard_claim_t *claim, const char *why,
-		 bool others_at_work);
+		 bool previous_holder_may_act);
 void claim_unref(wwh_shard_claim_t *claim);
 void claim_log_event(wwh_shard_claim_t *claim, const char *event,
 		     const char *format, ...)
--- a/src/libwaxwinghollow/job_holder.c
+++ b/src/libwaxwinghollow/job_holder.c
@@ -428,10 +428,10 @@
 {
 	const wwh_host_settings_t *settings = holder->options.settings;
 
-	if (holder->options.others_at_work)
+	if (holder->options.previous_holder_may_act)
 		return wwh_host_duties_takeover_delay_ms(
 			settings->hosts_fence, settings->duty_lease_ms);
-	if (holder->options.others_ended && !settings->hosts_fence)
+	if (holder->options.previous_holder_ended && !settings->hosts_fence)
 		return MIN(settings->duty_lease_ms, WWH_OVERTAKEN_HOLDER_MS);
 	return 0;
 }
--- a/src/libwaxwinghollow/job_holder_requests.c
+++ b/src/libwaxwinghollow/job_holder_requests.c
@@ -75,7 +75,7 @@
 	int64_t record;
 	int64_t late_ms;
 
-	if (wwh_scheduler_job_lost(holder->scheduler, job->id)) {
+	if (wwh_scheduler_job_is_unreadable(holder->scheduler, job->id)) {
 		wwh_job_delete(job);
 		answer_not_done(REASON_RECORD_UNREADABLE, done, client_data);
 		return;
@@ -201,7 +201,7 @@
 {
 	wwh_job_answer_t answer = { .kind = WWH_JOB_ANSWER_OK };
 
-	if (wwh_scheduler_job_lost(holder->scheduler, id)) {
+	if (wwh_scheduler_job_is_unreadable(holder->scheduler, id)) {
 		answer_not_done(REASON_RECORD_UNREADABLE, done, client_data);
 		return;
 	}
--- a/src/libwaxwinghollow/job_service_loop.c
+++ b/src/libwaxwinghollow/job_service_loop.c
@@ -37,7 +37,7 @@
 #define REQUEST_COST_POLLS 3
 
 /* Time limit for calls to the store after the last requests were answered. */
-#define SETTLE_TIMEOUT_MS 750
+#define QUIESCENT_TIMEOUT_MS 750
 
 static void wait_for_answers(wwh_job_service_t *service);
 static void record_turn(wwh_job_service_t *service, int64_t wait_ms);
@@ -50,23 +50,23 @@
 static void publish_state(wwh_job_service_t *service, int64_t now_ms);
 static bool was_paused(wwh_job_service_t *service, int64_t now_ms);
 static void apply_settings(wwh_job_service_t *service);
-static bool is_settled(const wwh_job_service_t *service);
+static bool is_quiescent(const wwh_job_service_t *service);
 
 gpointer job_service_run_loop(gpointer data)
 {
 	wwh_job_service_t *service = data;
-	int64_t settle_deadline_ms = 0;
+	int64_t quiescent_deadline_ms = 0;
 	bool ending = false;
 
-	while (!ending || (!is_settled(service) &&
-			   job_service_now_ms() < settle_deadline_ms)) {
+	while (!ending || (!is_quiescent(service) &&
+			   job_service_now_ms() < quiescent_deadline_ms)) {
 		wait_for_answers(service);
 		run_once(service);
 		g_mutex_lock(&service->lock);
 		if (service->loop_ending && !ending) {
 			ending = true;
-			settle_deadline_ms =
-				job_service_now_ms() + SETTLE_TIMEOUT_MS;
+			quiescent_deadline_ms =
+				job_service_now_ms() + QUIESCENT_TIMEOUT_MS;
 		}
 		g_mutex_unlock(&service->lock);
 	}
@@ -320,7 +320,7 @@
 	job_service_set_key_limit(service);
 }
 
-static bool is_settled(const wwh_job_service_t *service)
+static bool is_quiescent(const wwh_job_service_t *service)
 {
 	return service->holder == NULL &&
 	       g_hash_table_size(service->forwards) == 0 &&
--- a/src/libwaxwinghollow/membership.c
+++ b/src/libwaxwinghollow/membership.c
@@ -24,9 +24,9 @@
 		.zone = "",
 		.region = "",
 		.round_ms = 1000,
-		.ack_ms = 400,
-		.suspect_ms = 4000,
-		.forget_ms = 600000,
+		.ack_timeout_ms = 400,
+		.suspicion_timeout_ms = 4000,
+		.retention_ms = 600000,
 		.message_bytes = 1200,
 	};
 }
@@ -216,7 +216,8 @@
 	return membership->newest_version;
 }
 
-bool wwh_membership_isolated(const wwh_membership_t *membership, int64_t now_ms)
+bool wwh_membership_is_isolated(const wwh_membership_t *membership,
+				int64_t now_ms)
 {
 	return wwh_members_isolated(membership, now_ms);
 }
@@ -235,7 +236,7 @@
 		if (row->status != WWH_MEMBER_ALIVE || row->observers->len > 0)
 			wwh_members_judge(membership, row, now_ms);
 		if (wwh_members_gone(row) && !row->listed &&
-		    now_ms - row->status_ms > membership->options.forget_ms)
+		    now_ms - row->status_ms > membership->options.retention_ms)
 			g_ptr_array_remove_index(membership->rows, i - 1);
 	}
 }
--- a/src/libwaxwinghollow/membership_probe.c
+++ b/src/libwaxwinghollow/membership_probe.c
@@ -9,7 +9,7 @@
 #define CONFIRMS_A_ROUND 2
 #define HELPERS 2
 #define FAN_OUT 3
-#define FAIL_ACKS 3 /* a probe fails after as many ack_ms */
+#define FAIL_ACKS 3 /* a probe fails after as many ack_timeout_ms */
 #define CONFIRM_AGAIN_MS 3000
 #define ASK_ALL_MS 3000
 
@@ -103,18 +103,18 @@
 
 void wwh_members_check_probes(wwh_membership_t *membership, int64_t now_ms)
 {
-	int32_t ack_ms = membership->options.ack_ms;
+	int32_t ack_timeout_ms = membership->options.ack_timeout_ms;
 
 	for (guint i = membership->pending->len; i > 0; i--) {
 		wwh_probe_t *p =
 			&g_array_index(membership->pending, wwh_probe_t, i - 1);
 		int64_t age_ms = now_ms - p->sent_ms;
 
-		if (age_ms >= (int64_t)FAIL_ACKS * ack_ms) {
+		if (age_ms >= (int64_t)FAIL_ACKS * ack_timeout_ms) {
 			if (p->relay_to == NULL)
 				probe_failed(membership, p, now_ms);
 			remove_probe(membership, i - 1);
-		} else if (age_ms >= ack_ms && !p->indirect &&
+		} else if (age_ms >= ack_timeout_ms && !p->indirect &&
 			   p->relay_to == NULL) {
 			p->indirect = true;
 			ask_helpers(membership, p, now_ms);
--- a/src/libwaxwinghollow/membership_table.c
+++ b/src/libwaxwinghollow/membership_table.c
@@ -254,7 +254,7 @@
 static wwh_member_status_t judged(const wwh_membership_t *membership,
 				  const wwh_row_t *row, int64_t now_ms)
 {
-	int32_t suspect_ms = membership->options.suspect_ms;
+	int32_t suspicion_timeout_ms = membership->options.suspicion_timeout_ms;
 
 	if (row->left)
 		return WWH_MEMBER_LEFT;
@@ -273,7 +273,7 @@
 	if (row->observed_ms == 0 && row->observers->len < 2)
 		return WWH_MEMBER_ALIVE;
 	if (row->status == WWH_MEMBER_SUSPECT &&
-	    now_ms - row->status_ms >= suspect_ms &&
+	    now_ms - row->status_ms >= suspicion_timeout_ms &&
 	    majority_failed(membership, row))
 		return WWH_MEMBER_DEAD;
 	return WWH_MEMBER_SUSPECT;
--- a/src/libwaxwinghollow/placement.c
+++ b/src/libwaxwinghollow/placement.c
@@ -216,13 +216,13 @@
 static int64_t order_of(const wwh_placement_t *placement,
 			const wwh_fleet_job_t *job)
 {
-	wwh_policy_order_input_t figures = {
+	wwh_policy_order_input_t input = {
 		.priority = job->urgent ? URGENT_PRIORITY : BULK_PRIORITY,
 		.waited_ms = placement->now_ms - job->queued_ms,
 		.objective_ms = WWH_POLICY_NO_OBJECTIVE_MS,
 	};
 
-	return wwh_policy_order_key(&figures);
+	return wwh_policy_order_key(&input);
 }
 
 static int compare_pending(gconstpointer a, gconstpointer b)
@@ -406,7 +406,7 @@
 {
 	const wwh_fleet_worker_t *item =
 		wwh_fleet_worker(placement->view, worker);
-	wwh_policy_fit_input_t figures = {
+	wwh_policy_fit_input_t input = {
 		.free_millicores = placement->available[worker].cpu_millicores,
 		.need_millicores = required->cpu_millicores,
 		.capacity_millicores = item->size.cpu_millicores,
@@ -414,7 +414,7 @@
 		.group_tasks_in_zone = group_by_zone[item->zone],
 	};
 
-	return wwh_policy_fit_cost(&figures);
+	return wwh_policy_fit_cost(&input);
 }
 
 /*
--- a/src/libwaxwinghollow/scheduler.c
+++ b/src/libwaxwinghollow/scheduler.c
@@ -109,7 +109,7 @@
 	    WWH_STATUS_OK)
 		g_error("charts/task.json: %s", message.text);
 	scheduler->outstanding_tag =
-		wwh_chart_tag(scheduler->task_chart, "out");
+		wwh_chart_tag_mask(scheduler->task_chart, "out");
 	scheduler->jobs = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
 						sched_job_delete);
 	scheduler->lost_jobs =
@@ -159,7 +159,7 @@
 			g_clear_pointer(&job, wwh_job_delete);
 		}
 		if (job == NULL) {
-			sched_job_mark_lost(scheduler, key, true);
+			sched_job_mark_unreadable(scheduler, key, true);
 			return false;
 		}
 		age_ms = MAX(0, wall_ms - job->accepted_wall_ms);
@@ -169,7 +169,7 @@
 		if (sched_progress_restore(scheduler, key, value, size,
 					   message))
 			return true;
-		sched_job_mark_lost(scheduler, key, false);
+		sched_job_mark_unreadable(scheduler, key, false);
 		return false;
 	case WWH_SCHEDULER_RECORD_UPSTREAM:
 		if (sched_upstream_restore(scheduler, key, value, size,
@@ -259,10 +259,10 @@
 	sched_job_t *job = sched_job_find(scheduler, id);
 
 	scheduler->now_ms = MAX(scheduler->now_ms, now_ms);
-	if (job == NULL && wwh_scheduler_job_lost(scheduler, id)) {
+	if (job == NULL && wwh_scheduler_job_is_unreadable(scheduler, id)) {
 		job = sched_job_add_ended(scheduler, id);
 		job->state = WWH_PROGRESS_QUEUED;
-		sched_job_clear_lost(scheduler, id);
+		sched_job_clear_unreadable(scheduler, id);
 	}
 	if (job == NULL)
 		return false;
--- a/src/libwaxwinghollow/scheduler_check.c
+++ b/src/libwaxwinghollow/scheduler_check.c
@@ -90,5 +90,5 @@
 	g_assert(used.cpu_millicores == upstream->used.cpu_millicores);
 	g_assert(used.memory_mb == upstream->used.memory_mb);
 	g_assert(used.gpus == upstream->used.gpus);
-	g_assert(upstream->ends_acked <= upstream->ends_seen);
+	g_assert(upstream->ends_acked <= upstream->ends_received);
 }
--- a/src/libwaxwinghollow/scheduler_job.c
+++ b/src/libwaxwinghollow/scheduler_job.c
@@ -233,7 +233,7 @@
 	if (scheduler->now_ms < scheduler->next_expiry_ms)
 		return;
 	scheduler->next_expiry_ms = scheduler->now_ms + EXPIRY_INTERVAL_MS;
-	sched_lost_jobs_expire(scheduler);
+	sched_unreadable_jobs_expire(scheduler);
 	g_hash_table_iter_init(&iterator, scheduler->jobs);
 	while (g_hash_table_iter_next(&iterator, NULL, &value)) {
 		sched_job_t *job = value;
--- a/src/libwaxwinghollow/scheduler_lost.c
+++ b/src/libwaxwinghollow/scheduler_lost.c
@@ -4,15 +4,15 @@
  * Both the job's record and its progress record are needed: without either, it
  * isn't known which tasks are done, and a done task would run a second time.
  */
-void sched_job_mark_lost(wwh_scheduler_t *scheduler, const char *id,
-			 bool accepted)
+void sched_job_mark_unreadable(wwh_scheduler_t *scheduler, const char *id,
+			       bool accepted)
 {
 	sched_job_t *job = sched_job_find(scheduler, id);
-	sched_lost_job_t *lost;
+	sched_unreadable_job_t *lost;
 
 	if (!wwh_job_id_valid(id) || (job != NULL && !sched_job_is_live(job)))
 		return;
-	lost = g_new0(sched_lost_job_t, 1);
+	lost = g_new0(sched_unreadable_job_t, 1);
 	lost->accepted = accepted || job != NULL;
 	lost->since_ms = scheduler->now_ms;
 	g_hash_table_replace(scheduler->lost_jobs, g_strdup(id), lost);
@@ -27,17 +27,19 @@
  * To be called when the job is known to have ended or is cancelled: its
  * unreadable record isn't needed any more.
  */
-void sched_job_clear_lost(wwh_scheduler_t *scheduler, const char *id)
+void sched_job_clear_unreadable(wwh_scheduler_t *scheduler, const char *id)
 {
 	g_hash_table_remove(scheduler->lost_jobs, id);
 }
 
-bool wwh_scheduler_job_lost(const wwh_scheduler_t *scheduler, const char *id)
+bool wwh_scheduler_job_is_unreadable(const wwh_scheduler_t *scheduler,
+				     const char *id)
 {
 	return g_hash_table_contains(scheduler->lost_jobs, id);
 }
 
-bool sched_task_is_lost(const wwh_scheduler_t *scheduler, const char *name)
+bool sched_task_has_unreadable_job(const wwh_scheduler_t *scheduler,
+				   const char *name)
 {
 	char id[WWH_JOB_ID_CHARS + 1];
 	int64_t number;
@@ -45,14 +47,14 @@
 	int32_t index;
 
 	return sched_task_parse(name, id, &number, &step, &index) &&
-	       wwh_scheduler_job_lost(scheduler, id);
+	       wwh_scheduler_job_is_unreadable(scheduler, id);
 }
 
 /*
  * An unreadable progress record without a job record belongs to a job that has
  * ended. It is deleted once the retention time of ended jobs is over.
  */
-void sched_lost_jobs_expire(wwh_scheduler_t *scheduler)
+void sched_unreadable_jobs_expire(wwh_scheduler_t *scheduler)
 {
 	GHashTableIter iterator;
 	gpointer id;
@@ -60,7 +62,7 @@
 
 	g_hash_table_iter_init(&iterator, scheduler->lost_jobs);
 	while (g_hash_table_iter_next(&iterator, &id, &value)) {
-		const sched_lost_job_t *lost = value;
+		const sched_unreadable_job_t *lost = value;
 
 		if (lost->accepted ||
 		    scheduler->now_ms - lost->since_ms <
--- a/src/libwaxwinghollow/scheduler_policy.c
+++ b/src/libwaxwinghollow/scheduler_policy.c
@@ -28,12 +28,12 @@
 
 /*
  * Tail latency of a serving task, in percent of its target, from which fillers
- * are paused, their pace is halved, or it is kept. Below, it rises by PACE_STEP.
+ * are paused, their pace is halved, or it is kept. Below, it rises by PACE_STEP_PERCENT.
  */
 #define PACE_STOP_PERCENT 97
 #define PACE_SLOW_PERCENT 85
 #define PACE_KEEP_PERCENT 70
-#define PACE_STEP 25
+#define PACE_STEP_PERCENT 25
 
 typedef enum {
 	RANK_LASTING = 0,
@@ -67,7 +67,7 @@
 		return pace / 2;
 	if (tail_percent >= PACE_KEEP_PERCENT)
 		return pace;
-	return MIN(pace + PACE_STEP, 100);
+	return MIN(pace + PACE_STEP_PERCENT, 100);
 }
 
 int64_t wwh_policy_fit_cost(const wwh_policy_fit_input_t *input)
--- a/src/libwaxwinghollow/scheduler_poll.c
+++ b/src/libwaxwinghollow/scheduler_poll.c
@@ -44,8 +44,8 @@
  * and is resent, because its whole pool waits for it. Its limit doubles with
  * each failure.
  */
-#define POLL_LIMIT_MS 700
-#define FIRST_POLL_LIMIT_MS 150
+#define POLL_TIMEOUT_MS 700
+#define FIRST_POLL_TIMEOUT_MS 150
 #define FIRST_POLL_RETRY_MS 20
 
 /*
@@ -63,13 +63,13 @@
 			const sched_upstream_t *upstream);
 static void send_poll(wwh_scheduler_t *scheduler, sched_upstream_t *upstream);
 static bool delays_its_pool(const sched_upstream_t *upstream);
-static int64_t poll_limit_ms(const sched_upstream_t *upstream);
+static int64_t poll_timeout_ms(const sched_upstream_t *upstream);
 static gint compare_first_polls(gconstpointer a, gconstpointer b);
 
 int64_t sched_poll_gap_ms(const wwh_scheduler_t *scheduler,
 			  const sched_upstream_t *upstream)
 {
-	if (upstream->ends_seen == upstream->ends_acked)
+	if (upstream->ends_received == upstream->ends_acked)
 		return POLL_GAP_MS;
 	return scheduler->now_ms - scheduler->durable_ms < UNACKED_LONG_MS
 		       ? POLL_UNACKED_GAP_MS
@@ -158,7 +158,7 @@
 		.endpoint = upstream->info.endpoint,
 		.ends_acked_upto = upstream->ends_acked,
 		.wait_ms = POLL_WAIT_MS,
-		.limit_ms = poll_limit_ms(upstream),
+		.timeout_ms = poll_timeout_ms(upstream),
 	};
 
 	/*
@@ -185,13 +185,14 @@
 	return upstream->inherited && !upstream->settled;
 }
 
-static int64_t poll_limit_ms(const sched_upstream_t *upstream)
+static int64_t poll_timeout_ms(const sched_upstream_t *upstream)
 {
 	int32_t doublings = MIN(upstream->failed_polls, 8);
 
 	if (!delays_its_pool(upstream))
-		return POLL_LIMIT_MS;
-	return MIN((int64_t)FIRST_POLL_LIMIT_MS << doublings, POLL_LIMIT_MS);
+		return POLL_TIMEOUT_MS;
+	return MIN((int64_t)FIRST_POLL_TIMEOUT_MS << doublings,
+		   POLL_TIMEOUT_MS);
 }
 
 /* Upstreams without a failed poll come first, then those due the longest. */
--- a/src/libwaxwinghollow/scheduler_record.c
+++ b/src/libwaxwinghollow/scheduler_record.c
@@ -256,7 +256,7 @@
 		job = sched_job_add_ended(scheduler, id);
 		job->workspace = read_workspace(object);
 	}
-	sched_job_clear_lost(scheduler, id);
+	sched_job_clear_unreadable(scheduler, id);
 	job->state = (wwh_job_progress_t)state;
 	job->ended_ms = scheduler->now_ms -
 			CLAMP(scheduler->wall_ms - ended_wall_ms, 0,
--- a/src/libwaxwinghollow/scheduler_task.c
+++ b/src/libwaxwinghollow/scheduler_task.c
@@ -127,14 +127,14 @@
 void sched_task_event(wwh_scheduler_t *scheduler, sched_task_t *task,
 		      sched_task_event_t event)
 {
-	bool was_out = sched_task_is_outstanding(scheduler, task);
+	bool was_outstanding = sched_task_is_outstanding(scheduler, task);
 	sched_task_state_t before = sched_task_state(task);
 
 	(void)wwh_chart_step(&task->machine, event, scheduler->now_ms, task);
 	if (sched_task_state(task) == before)
 		return;
 	task->changed_ms = scheduler->now_ms;
-	if (was_out && !sched_task_is_outstanding(scheduler, task)) {
+	if (was_outstanding && !sched_task_is_outstanding(scheduler, task)) {
 		if (task->step->spec->lasting &&
 		    task->unavailable_since_ms == 0)
 			task->unavailable_since_ms = scheduler->now_ms;
--- a/src/libwaxwinghollow/scheduler_upstream.c
+++ b/src/libwaxwinghollow/scheduler_upstream.c
@@ -134,9 +134,9 @@
 			scheduler->has_unflushed_ends = true;
 			continue;
 		}
-		if (upstream->ends_seen == upstream->ends_acked)
+		if (upstream->ends_received == upstream->ends_acked)
 			continue;
-		upstream->ends_flushed = upstream->ends_seen;
+		upstream->ends_flushed = upstream->ends_received;
 		upstream->ends_flushed_record = scheduler->newest_record;
 	}
 	sched_upstreams_durable(scheduler);
--- a/src/libwaxwinghollow/scheduler_watch.c
+++ b/src/libwaxwinghollow/scheduler_watch.c
@@ -183,9 +183,9 @@
 {
 	sched_task_t *task;
 
-	if (row->number <= upstream->ends_seen)
+	if (row->number <= upstream->ends_received)
 		return;
-	upstream->ends_seen = row->number;
+	upstream->ends_received = row->number;
 	scheduler->has_unflushed_ends = true;
 	task = sched_job_task(scheduler, row->task);
 	if (task == NULL)
@@ -323,7 +323,7 @@
 
 	upstream->orphans++;
 	/* whether a lost job has ended isn't known, so its tasks run on */
-	if (sched_task_is_lost(scheduler, row->task))
+	if (sched_task_has_unreadable_job(scheduler, row->task))
 		return;
 	if (sent_ms != NULL &&
 	    scheduler->now_ms - *sent_ms <
--- a/src/libwaxwinghollow/shard_claim.c
+++ b/src/libwaxwinghollow/shard_claim.c
@@ -160,7 +160,7 @@
 
 bool wwh_shard_claim_is_released(const wwh_shard_claim_t *claim)
 {
-	return claim->state == CLAIM_RELEASED && claim->leave_settled &&
+	return claim->state == CLAIM_RELEASED && claim->leave_ended &&
 	       !claim->notice_pending;
 }
 
@@ -176,7 +176,8 @@
 	g_free(claim);
 }
 
-void claim_begin(wwh_shard_claim_t *claim, const char *why, bool others_at_work)
+void claim_begin(wwh_shard_claim_t *claim, const char *why,
+		 bool previous_holder_may_act)
 {
 	wwh_store_follower_options_t journal = {
 		.calls = claim->options.calls,
@@ -194,11 +195,12 @@
 			claim->holder == NULL ? "-" : claim->holder,
 			claim->holder_epoch);
 	claim->state = CLAIM_LOADING;
-	claim->others_at_work = others_at_work;
-	claim->others_ended = claim->holder != NULL &&
-			      claim->holder_has_ended &&
-			      !claim->holder_released;
-	claim->inherits_load = claim->holder_released || others_at_work;
+	claim->previous_holder_may_act = previous_holder_may_act;
+	claim->previous_holder_ended = claim->holder != NULL &&
+				       claim->holder_has_ended &&
+				       !claim->holder_released;
+	claim->inherits_load =
+		claim->holder_released || previous_holder_may_act;
 	claim->epoch = 0;
 	claim->records = g_hash_table_new_full(g_str_hash, g_str_equal, g_free,
 					       (GDestroyNotify)g_bytes_unref);
@@ -349,11 +351,11 @@
 			"epoch=%" G_GINT64_FORMAT " records=%u", claim->epoch,
 			g_hash_table_size(records));
 	held.epoch = claim->epoch;
-	held.holder_count = claim->epoch >> CLAIM_RANDOM_BITS;
+	held.claim_count = claim->epoch >> CLAIM_RANDOM_BITS;
 	held.next_sequence = 1;
 	held.records = records;
-	held.others_at_work = claim->others_at_work;
-	held.others_ended = claim->others_ended;
+	held.previous_holder_may_act = claim->previous_holder_may_act;
+	held.previous_holder_ended = claim->previous_holder_ended;
 	held.inherits_load = claim->inherits_load;
 	claim->options.on_held(&held, claim->options.client_data);
 	g_hash_table_destroy(records);
@@ -429,7 +431,7 @@
 	wwh_shard_claim_t *claim = data;
 
 	(void)answer; /* without one, the membership expires */
-	claim->leave_settled = true;
+	claim->leave_ended = true;
 	claim_unref(claim);
 }
 
--- a/src/libwaxwinghollow/shard_journal.c
+++ b/src/libwaxwinghollow/shard_journal.c
@@ -29,7 +29,7 @@
 #define RETRY_MAX_MS 100
 
 /* Delay between retries when the store is full or rejects the call as invalid. */
-#define RETRY_REFUSED_MS 1000
+#define RETRY_REJECTED_MS 1000
 
 typedef struct {
 	char *key;
@@ -302,7 +302,7 @@
 	case WIRE_STORE_BAD:
 		g_warning("store rejected a batch of records: %s, status %d",
 			  wire_store_result_names[result], answer->status);
-		schedule_retry(journal, RETRY_REFUSED_MS);
+		schedule_retry(journal, RETRY_REJECTED_MS);
 		break;
 	default:
 		schedule_retry(journal, (int64_t)RETRY_FIRST_MS
@@ -316,8 +316,8 @@
 {
 	journal->failures++;
 	journal->last_failure_ms = journal->sent_ms;
-	journal->retry_ms = journal->sent_ms + MIN(wait_ms, RETRY_REFUSED_MS);
-	if (wait_ms < RETRY_REFUSED_MS)
+	journal->retry_ms = journal->sent_ms + MIN(wait_ms, RETRY_REJECTED_MS);
+	if (wait_ms < RETRY_REJECTED_MS)
 		journal->retry_ms =
 			journal->sent_ms + MIN(wait_ms, RETRY_MAX_MS);
 }
--- a/src/libwaxwinghollow/store_follower.c
+++ b/src/libwaxwinghollow/store_follower.c
@@ -68,7 +68,7 @@
 static void on_changed_record(const wire_record_t *record, void *data);
 static void report_record(wwh_store_follower_t *follower,
 			  const wire_record_t *record);
-static void drop_unlisted_keys(wwh_store_follower_t *follower);
+static void delete_unlisted_keys(wwh_store_follower_t *follower);
 static void begin_full_read(wwh_store_follower_t *follower);
 static void handle_answer(wwh_store_follower_t *follower);
 static void handle_failure(wwh_store_follower_t *follower,
@@ -191,7 +191,7 @@
 	g_free(follower->next_page_key);
 	follower->next_page_key = last;
 	if (last == NULL) {
-		drop_unlisted_keys(follower);
+		delete_unlisted_keys(follower);
 		follower->in_full_read = false;
 		follower->next_offset = follower->full_read_end;
 		if (!follower->caught_up) {
@@ -321,7 +321,7 @@
  * from the log. None is reported if a listed key was unreadable: that key would
  * look dropped as well.
  */
-static void drop_unlisted_keys(wwh_store_follower_t *follower)
+static void delete_unlisted_keys(wwh_store_follower_t *follower)
 {
 	GPtrArray *gone;
 	GHashTableIter iterator;
--- a/src/test_chart/test_chart.c
+++ b/src/test_chart/test_chart.c
@@ -91,9 +91,9 @@
 	assert_int_equal(machine.state, STATE_AJAR);
 	assert_int_equal(door.opened, 1);
 	assert_int_equal(door.opened_ms, 2);
-	assert_true(
-		wwh_chart_has_tag(&machine, wwh_chart_tag(chart, "draughty")));
-	assert_int_equal(wwh_chart_tag(chart, "no-such-tag"), 0);
+	assert_true(wwh_chart_has_tag(&machine,
+				      wwh_chart_tag_mask(chart, "draughty")));
+	assert_int_equal(wwh_chart_tag_mask(chart, "no-such-tag"), 0);
 	assert_int_equal(wwh_chart_step(&machine, EVENT_LOCK, 3, &door),
 			 WWH_CHART_IGNORED);
 	wwh_chart_step(&machine, EVENT_PUSH, 4, &door);
@@ -191,7 +191,7 @@
 	assert_int_equal(wwh_chart_load("request", &none, &chart, &message),
 			 WWH_STATUS_OK);
 	count = wwh_chart_event_count(chart);
-	not_run = wwh_chart_tag(chart, "not-run");
+	not_run = wwh_chart_tag_mask(chart, "not-run");
 	for (int32_t run = 0; run < 5000; run++) {
 		wwh_chart_machine_t machine = wwh_chart_start(chart);
 		int32_t lost = wwh_chart_event_index(chart, "lost");
--- a/src/test_entry/test_entry.c
+++ b/src/test_entry/test_entry.c
@@ -907,8 +907,9 @@
 	assert_int_equal(
 		wwh_config_apply(empty, change, version - 1, &older, &message),
 		WWH_STATUS_OK);
-	assert_false(wwh_entry_offer_config(entry, older, "a neighbour"));
-	assert_false(wwh_entry_offer_config(entry, current, "a neighbour"));
+	assert_false(wwh_entry_apply_peer_config(entry, older, "a neighbour"));
+	assert_false(
+		wwh_entry_apply_peer_config(entry, current, "a neighbour"));
 	assert_int_equal(wwh_entry_config_version(entry), version);
 	wwh_config_unref(older);
 	wwh_config_change_delete(change);
--- a/src/test_fuzz/fuzz_records.c
+++ b/src/test_fuzz/fuzz_records.c
@@ -172,7 +172,8 @@
 				      NOW_MS, WALL_MS, &message);
 	run(scheduler);
 	if (kind != WWH_SCHEDULER_RECORD_UPSTREAM && !whole)
-		assert(starts == 0 && wwh_scheduler_job_lost(scheduler, JOB));
+		assert(starts == 0 &&
+		       wwh_scheduler_job_is_unreadable(scheduler, JOB));
 	wwh_scheduler_delete(scheduler);
 	g_free(value);
 	return 0;
--- a/src/test_gossip_tcp/test_gossip_tcp.c
+++ b/src/test_gossip_tcp/test_gossip_tcp.c
@@ -86,8 +86,8 @@
 	members.region = "r";
 	members.seeds = seeds;
 	members.round_ms = 200;
-	members.ack_ms = 100;
-	members.suspect_ms = 800;
+	members.ack_timeout_ms = 100;
+	members.suspicion_timeout_ms = 800;
 	node->membership =
 		wwh_membership_new(&members, node->rand, send_frame, node);
 	wwh_peer_options_defaults(&peers);
--- a/src/test_host_duties/duties_fixture.h
+++ b/src/test_host_duties/duties_fixture.h
@@ -326,7 +326,7 @@
 			a_pause_within_a_busy_phase_moves_no_host, set_up,     \
 			tear_down),                                            \
 		cmocka_unit_test_setup_teardown(                               \
-			a_standby_host_is_called_back_at_once, set_up,         \
+			a_standby_host_is_requested_again_at_once, set_up,     \
 			tear_down),                                            \
 		cmocka_unit_test_setup_teardown(                               \
 			a_leaving_host_is_replaced_before_it_is_gone, set_up,  \
@@ -340,7 +340,7 @@
 void an_idle_phase_of_a_pool_moves_no_host(void **state);
 void a_surplus_host_takes_late_work(void **state);
 void a_surplus_host_goes_to_standby_after_the_delay(void **state);
-void a_standby_host_is_called_back_at_once(void **state);
+void a_standby_host_is_requested_again_at_once(void **state);
 void a_leaving_host_is_replaced_before_it_is_gone(void **state);
 
 #define INCARNATION_TESTS                                                                \
--- a/src/test_host_duties/test_moves.c
+++ b/src/test_host_duties/test_moves.c
@@ -291,7 +291,7 @@
  * A busy phase begins just after hosts were moved to the standby pool. They
  * stayed there for a while although the pool needed all of them.
  */
-void a_standby_host_is_called_back_at_once(void **state)
+void a_standby_host_is_requested_again_at_once(void **state)
 {
 	duties_fixture_t *fixture = *state;
 
--- a/src/test_job_holder/test_entries.c
+++ b/src/test_job_holder/test_entries.c
@@ -98,7 +98,7 @@
 		.topic = "keyed.wwh",
 		.producer = "p",
 		.epoch = 1 << 16,
-		.holder_count = 1,
+		.claim_count = 1,
 		.next_sequence = 1,
 		.records = fixture->records,
 		.clock_ms = standin_now_ms,
--- a/src/test_job_service/test_job_service.c
+++ b/src/test_job_service/test_job_service.c
@@ -82,7 +82,7 @@
  * confirm its claim for some hundred milliseconds, so the next record is sent
  * at once.
  */
-static void wait_journal_settled(fixture_t *fixture)
+static void wait_journal_quiescent(fixture_t *fixture)
 {
 	submit_job(fixture, 0, "00000000000000df");
 	wait_job_state(fixture, 0, "00000000000000df", "completed");
@@ -101,7 +101,7 @@
 
 	for (int32_t i = 0; i < PROCESSES; i++)
 		wait_ready(fixture, i);
-	wait_journal_settled(fixture);
+	wait_journal_quiescent(fixture);
 	set_store_silent(fixture, true);
 	run_background_request(&request);
 	assert_int_equal(request.status, 504);
@@ -153,7 +153,7 @@
 
 	for (int32_t i = 0; i < PROCESSES; i++)
 		wait_ready(fixture, i);
-	wait_journal_settled(fixture);
+	wait_journal_quiescent(fixture);
 	set_store_silent(fixture, true);
 	thread = g_thread_new("caller", run_background_request, &first);
 	g_usleep(200 * 1000);
--- a/src/test_membership/test_membership.c
+++ b/src/test_membership/test_membership.c
@@ -137,8 +137,8 @@
 		sim_run(sim, 1000);
 		assert_true(sim_all(sim, only_it_is_dead, 2));
 	}
-	assert_true(
-		wwh_membership_isolated(sim->nodes[2].membership, sim->now_ms));
+	assert_true(wwh_membership_is_isolated(sim->nodes[2].membership,
+					       sim->now_ms));
 	/* Those whose probes ended before it noticed. */
 	assert_in_range(wwh_membership_count_status(sim->nodes[2].membership,
 						    WWH_MEMBER_SUSPECT),
--- a/src/test_scheduler/sched_fixture.h
+++ b/src/test_scheduler/sched_fixture.h
@@ -34,7 +34,7 @@
 	int64_t acked_upto;
 	int64_t sent_ms;
 	int64_t wait_ms;
-	int64_t limit_ms;
+	int64_t timeout_ms;
 	int64_t lease_until_remote_ms;
 } sched_fixture_poll_t;
 
@@ -88,7 +88,7 @@
 		.acked_upto = order->ends_acked_upto,
 		.sent_ms = fixture->now_ms,
 		.wait_ms = order->wait_ms,
-		.limit_ms = order->limit_ms,
+		.timeout_ms = order->timeout_ms,
 		.lease_until_remote_ms = order->lease_until_remote_ms,
 	};
 
--- a/src/test_scheduler/test_damage.c
+++ b/src/test_scheduler/test_damage.c
@@ -51,7 +51,7 @@
  * and started the task again. It must wait for the upstream's announcement, which
  * has the endpoint, and poll it.
  */
-void an_upstream_whose_record_is_lost_is_polled_first(void **state)
+void an_upstream_whose_record_is_unreadable_is_polled_first(void **state)
 {
 	sched_fixture_t *fixture = *state;
 	sched_fixture_order_t order = start_one_task(fixture);
@@ -79,7 +79,7 @@
  * As above, but the upstream isn't announced. Its tasks have certainly ended once
  * the longest lease has lapsed; the task is started elsewhere then, not before.
  */
-void an_upstream_whose_record_is_lost_is_waited_for(void **state)
+void an_upstream_whose_record_is_unreadable_is_waited_for(void **state)
 {
 	sched_fixture_t *fixture = *state;
 	sched_fixture_order_t order = start_one_task(fixture);
@@ -108,7 +108,7 @@
  * job's running task as an orphan, and reports the job as unknown to its caller.
  * It must leave the task running and start none.
  */
-void a_job_whose_record_is_lost_is_left_running(void **state)
+void a_job_whose_record_is_unreadable_is_left_running(void **state)
 {
 	sched_fixture_t *fixture = *state;
 	sched_fixture_order_t order = start_one_task(fixture);
@@ -130,7 +130,7 @@
  * Guards against a new holder that can't read the progress of a job, assumes that
  * none of its tasks is done, and runs a finished one again.
  */
-void a_job_whose_progress_is_lost_starts_nothing(void **state)
+void a_job_whose_progress_is_unreadable_starts_nothing(void **state)
 {
 	sched_fixture_t *fixture = *state;
 	sched_fixture_order_t order;
--- a/src/test_scheduler/test_final_reports.c
+++ b/src/test_scheduler/test_final_reports.c
@@ -150,27 +150,27 @@
 {
 	sched_fixture_t *fixture = *state;
 	sched_fixture_order_t order = start_one_task(fixture);
-	int64_t total_limit_ms = 0;
+	int64_t total_timeout_ms = 0;
 	sched_fixture_poll_t poll;
 
 	sched_fixture_take_over(fixture);
 	sched_fixture_run(fixture, 1);
 	for (int32_t i = 0; i < 5; i++) {
 		poll = sched_fixture_pop_poll(fixture, order.upstream);
-		total_limit_ms += poll.limit_ms;
+		total_timeout_ms += poll.timeout_ms;
 		if (i == 0)
-			assert_in_range(poll.limit_ms, 100, 200);
-		fixture->now_ms += poll.limit_ms;
+			assert_in_range(poll.timeout_ms, 100, 200);
+		fixture->now_ms += poll.timeout_ms;
 		wwh_scheduler_handle_poll_failure(fixture->scheduler,
 						  order.upstream, false,
 						  fixture->now_ms);
 		sched_fixture_run(fixture, 20);
 	}
-	assert_in_range(total_limit_ms, 2000, 3000);
+	assert_in_range(total_timeout_ms, 2000, 3000);
 	sched_fixture_announce(fixture, order.upstream, ENDPOINT_1, false);
 	sched_fixture_answer_poll(fixture, order.upstream, NULL, 0, NULL, 0);
 	sched_fixture_run(fixture, 100);
 	assert_int_equal(
-		sched_fixture_newest_poll(fixture, order.upstream).limit_ms,
+		sched_fixture_newest_poll(fixture, order.upstream).timeout_ms,
 		700);
 }
--- a/src/test_scheduler/test_jobs.c
+++ b/src/test_scheduler/test_jobs.c
@@ -130,7 +130,7 @@
  * failure of the previous run must count too, otherwise the task gets one start
  * more than its queue allows.
  */
-void a_failure_counts_while_a_later_run_is_out(void **state)
+void a_failure_counts_while_a_later_run_is_outstanding(void **state)
 {
 	sched_fixture_t *fixture = *state;
 	wwh_job_t *job = sched_fixture_job(JOB_A, 1, 1000);
@@ -352,7 +352,7 @@
 	static const int64_t needs[] = { 8001, INT64_MAX / 2, INT64_MAX };
 	static const char *const ids[] = { JOB_A, JOB_B, "00000000000000cc" };
 	sched_fixture_t *fixture = *state;
-	wwh_pool_demand_t figures;
+	wwh_pool_demand_t demand;
 
 	for (size_t i = 0; i < G_N_ELEMENTS(needs); i++) {
 		wwh_job_t *job = sched_fixture_job(ids[i], 8, needs[i]);
@@ -361,14 +361,14 @@
 		job->steps[0].lasting = i == 1;
 		sched_fixture_submit(fixture, job);
 	}
-	figures = wwh_scheduler_pool_demand(fixture->scheduler,
-					    SCHED_FIXTURE_POOL);
+	demand = wwh_scheduler_pool_demand(fixture->scheduler,
+					   SCHED_FIXTURE_POOL);
 	assert_int_equal(fixture->starts->len, 0);
-	assert_int_equal(figures.remaining_work, 0);
-	assert_int_equal(figures.usable_millicores, 0);
-	assert_int_equal(figures.recent_work, 0);
-	assert_int_equal(figures.recent_millicores, 0);
-	assert_int_equal(figures.lasting, 0);
+	assert_int_equal(demand.remaining_work, 0);
+	assert_int_equal(demand.usable_millicores, 0);
+	assert_int_equal(demand.recent_work, 0);
+	assert_int_equal(demand.recent_millicores, 0);
+	assert_int_equal(demand.lasting, 0);
 }
 
 /* An estimate of years counts as a long one and overflows no sum. */
@@ -376,13 +376,13 @@
 {
 	sched_fixture_t *fixture = *state;
 	wwh_job_t *job = sched_fixture_job(JOB_A, 10000, 1000);
-	wwh_pool_demand_t figures;
+	wwh_pool_demand_t demand;
 
 	job->steps[0].estimate_ms = INT64_MAX;
 	sched_fixture_submit(fixture, job);
-	figures = wwh_scheduler_pool_demand(fixture->scheduler,
-					    SCHED_FIXTURE_POOL);
-	assert_true(figures.remaining_work > 0);
-	assert_true(figures.remaining_work < INT64_MAX / 1000);
-	assert_true(figures.recent_work > 0);
+	demand = wwh_scheduler_pool_demand(fixture->scheduler,
+					   SCHED_FIXTURE_POOL);
+	assert_true(demand.remaining_work > 0);
+	assert_true(demand.remaining_work < INT64_MAX / 1000);
+	assert_true(demand.recent_work > 0);
 }
--- a/src/test_scheduler/test_scheduler.h
+++ b/src/test_scheduler/test_scheduler.h
@@ -32,7 +32,8 @@
 	FIXTURE_TEST(a_step_waits_for_all_tasks_of_those_before_it, 1),        \
 		FIXTURE_TEST(a_task_fails_as_often_as_its_queue_allows, 1),    \
 		FIXTURE_TEST(failures_are_counted_in_any_order_of_reports, 2), \
-		FIXTURE_TEST(a_failure_counts_while_a_later_run_is_out, 2),    \
+		FIXTURE_TEST(                                                  \
+			a_failure_counts_while_a_later_run_is_outstanding, 2), \
 		FIXTURE_TEST(a_gang_starts_all_members_or_none, 2),            \
 		FIXTURE_TEST(a_gang_that_does_not_fit_blocks_no_other_job, 1), \
 		FIXTURE_TEST(one_finished_member_completes_its_gang, 2),       \
@@ -48,7 +49,7 @@
 void a_step_waits_for_all_tasks_of_those_before_it(void **state);
 void a_task_fails_as_often_as_its_queue_allows(void **state);
 void failures_are_counted_in_any_order_of_reports(void **state);
-void a_failure_counts_while_a_later_run_is_out(void **state);
+void a_failure_counts_while_a_later_run_is_outstanding(void **state);
 void a_gang_starts_all_members_or_none(void **state);
 void a_gang_that_does_not_fit_blocks_no_other_job(void **state);
 void one_finished_member_completes_its_gang(void **state);
@@ -159,16 +160,20 @@
 			     1)
 
 #define DAMAGE_TESTS                                                           \
-	FIXTURE_TEST(an_upstream_whose_record_is_lost_is_polled_first, 2),     \
-		FIXTURE_TEST(an_upstream_whose_record_is_lost_is_waited_for,   \
-			     2),                                               \
-		FIXTURE_TEST(a_job_whose_record_is_lost_is_left_running, 1),   \
-		FIXTURE_TEST(a_job_whose_progress_is_lost_starts_nothing, 1)
+	FIXTURE_TEST(an_upstream_whose_record_is_unreadable_is_polled_first,   \
+		     2),                                                       \
+		FIXTURE_TEST(                                                  \
+			an_upstream_whose_record_is_unreadable_is_waited_for,  \
+			2),                                                    \
+		FIXTURE_TEST(a_job_whose_record_is_unreadable_is_left_running, \
+			     1),                                               \
+		FIXTURE_TEST(                                                  \
+			a_job_whose_progress_is_unreadable_starts_nothing, 1)
 
-void an_upstream_whose_record_is_lost_is_polled_first(void **state);
-void an_upstream_whose_record_is_lost_is_waited_for(void **state);
-void a_job_whose_record_is_lost_is_left_running(void **state);
-void a_job_whose_progress_is_lost_starts_nothing(void **state);
+void an_upstream_whose_record_is_unreadable_is_polled_first(void **state);
+void an_upstream_whose_record_is_unreadable_is_waited_for(void **state);
+void a_job_whose_record_is_unreadable_is_left_running(void **state);
+void a_job_whose_progress_is_unreadable_starts_nothing(void **state);
 
 void first_polls_are_sent_as_answers_come(void **state);
 void silent_upstreams_hold_back_no_first_poll(void **state);
--- a/src/test_shard_claim/claim_fixture.h
+++ b/src/test_shard_claim/claim_fixture.h
@@ -263,7 +263,7 @@
 /* test_hand_over.c */
 #define HANDOVER_TESTS                                                         \
 	cmocka_unit_test_setup_teardown(                                       \
-		holder_rejected_by_store_is_asked_to_hand_over, set_up,        \
+		holder_rejected_by_store_gets_handover_request, set_up,        \
 		tear_down),                                                    \
 		cmocka_unit_test_setup_teardown(                               \
 			group_answers_do_not_prove_store_is_writable, set_up,  \
@@ -278,7 +278,7 @@
 			withdrawn_holder_stays_out_of_group, set_up,           \
 			tear_down)
 
-void holder_rejected_by_store_is_asked_to_hand_over(void **state);
+void holder_rejected_by_store_gets_handover_request(void **state);
 void group_answers_do_not_prove_store_is_writable(void **state);
 void no_handover_request_while_store_is_unreachable(void **state);
 void holder_with_pending_orders_counts_as_at_work(void **state);
--- a/src/test_shard_claim/test_hand_over.c
+++ b/src/test_shard_claim/test_hand_over.c
@@ -8,7 +8,7 @@
  * possibly at work, and leaves hosts without orders for three more seconds.
  * Instead it hands over on request, and reports that no orders are outstanding.
  */
-void holder_rejected_by_store_is_asked_to_hand_over(void **state)
+void holder_rejected_by_store_gets_handover_request(void **state)
 {
 	fixture_t *fixture = *state;
 	int64_t end_ms = standin_now_ms() + WAIT_MAX_MS;
@@ -25,8 +25,8 @@
 	set_status(&fixture->peers[0], 410);
 	run_until_held(fixture);
 	assert_int_equal(fixture->held.epoch >> 16, 5);
-	assert_false(fixture->held.others_at_work);
-	assert_false(fixture->held.others_ended);
+	assert_false(fixture->held.previous_holder_may_act);
+	assert_false(fixture->held.previous_holder_ended);
 }
 
 /*
@@ -93,7 +93,7 @@
 	run_until_probed(fixture, 0, 1);
 	set_status(&fixture->peers[0], 425);
 	run_until_held(fixture);
-	assert_true(fixture->held.others_at_work);
+	assert_true(fixture->held.previous_holder_may_act);
 }
 
 static bool is_member(fixture_t *fixture)
--- a/src/test_shard_claim/test_shard_claim.c
+++ b/src/test_shard_claim/test_shard_claim.c
@@ -20,8 +20,8 @@
 	assert_int_equal(fixture->held.epoch >> 16, 1);
 	/* including the claim's own record */
 	assert_int_equal(fixture->held_record_count, 3);
-	assert_false(fixture->held.others_at_work);
-	assert_false(fixture->held.others_ended);
+	assert_false(fixture->held.previous_holder_may_act);
+	assert_false(fixture->held.previous_holder_ended);
 	assert_string_equal(fixture->holder, SELF);
 }
 
@@ -47,7 +47,7 @@
 	start_claim(fixture, false);
 	run_until_held(fixture);
 	assert_int_equal(fixture->held.epoch >> 16, 5);
-	assert_true(fixture->held.others_at_work);
+	assert_true(fixture->held.previous_holder_may_act);
 	assert_true(get_probe_count(&fixture->peers[0]) >= 2);
 }
 
@@ -103,8 +103,8 @@
 	start_claim(fixture, false);
 	run_until_held(fixture);
 	assert_int_equal(fixture->held.epoch >> 16, 5);
-	assert_false(fixture->held.others_at_work);
-	assert_true(fixture->held.others_ended);
+	assert_false(fixture->held.previous_holder_may_act);
+	assert_true(fixture->held.previous_holder_ended);
 }
 
 /*
--- a/src/test_store_follower/test_store_follower.c
+++ b/src/test_store_follower/test_store_follower.c
@@ -226,7 +226,7 @@
  * upstream counted as removed. The key is reported as unreadable, with its value
  * when that is readable again, and as dropped only when it is gone.
  */
-static void unreadable_value_does_not_drop_key(void **state)
+static void unreadable_value_does_not_delete_key(void **state)
 {
 	fixture_t *fixture = *state;
 
@@ -246,7 +246,7 @@
  * An unreadable key in a full read: any missing key may be that one, so none is
  * reported as dropped until all keys of a full read are readable.
  */
-static void unreadable_key_drops_no_key(void **state)
+static void unreadable_key_deletes_no_key(void **state)
 {
 	fixture_t *fixture = *state;
 
@@ -262,7 +262,7 @@
 }
 
 /* A malformed list is requested again, and drops no key. */
-static void malformed_list_drops_no_key(void **state)
+static void malformed_list_deletes_no_key(void **state)
 {
 	fixture_t *fixture = *state;
 
@@ -374,10 +374,11 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test_setup_teardown(
-			unreadable_value_does_not_drop_key, set_up, tear_down),
-		cmocka_unit_test_setup_teardown(unreadable_key_drops_no_key,
+			unreadable_value_does_not_delete_key, set_up,
+			tear_down),
+		cmocka_unit_test_setup_teardown(unreadable_key_deletes_no_key,
 						set_up, tear_down),
-		cmocka_unit_test_setup_teardown(malformed_list_drops_no_key,
+		cmocka_unit_test_setup_teardown(malformed_list_deletes_no_key,
 						set_up, tear_down),
 		cmocka_unit_test_setup_teardown(
 			unreadable_change_does_not_stop_follower, set_up,
