--- a/include/waxwinghollow/seat.h
+++ b/include/waxwinghollow/seat.h
@@ -22,11 +22,11 @@
  *
  *	- JOIN, CLAIM: only a free seat can be claimed.
  *	- RELEASE: a process removes the seat from its share, waits until
- *	  wwh_dispatch_share_settled, and only then appends RELEASE.
+ *	  wwh_dispatch_is_within_share, and only then appends RELEASE.
  *	- EVICT: a process reports that another has failed. The seats stay
  *	  held. From then on no member renews the evicted one's lease.
  *	- ACK: a member has read the eviction: it no longer renews the lease
- *	  and has released what it borrowed (wwh_dispatch_loans_forget,
+ *	  and has released what it borrowed (wwh_dispatch_loans_remove_peer,
  *	  settled).
  *	- FREE: the evicted one's seats become free. It is accepted only when
  *	  every member that is not evicted itself has acknowledged. It is
--- a/src/test_fuzz/scheduler_world.h
+++ b/src/test_fuzz/scheduler_world.h
@@ -109,8 +109,8 @@
 typedef struct {
 	order_t order;
 	int64_t remote_ms;
-	GArray *running; /* wwh_running_t */
-	GArray *ended; /* wwh_ended_t */
+	GArray *running; /* wwh_running_task_t */
+	GArray *ended; /* wwh_ended_task_t */
 } answer_t;
 
 typedef struct {
