--- a/src/libwaxwinghollow/conductor_dump.c
+++ b/src/libwaxwinghollow/conductor_dump.c
@@ -59,9 +59,9 @@
 		add_string(builder, "move",
 			   wwh_chart_state_name(actor->move.chart,
 						actor->move.state));
-	if (actor->look.is_known)
+	if (actor->query.is_known)
 		add_string(builder, "platform",
-			   wwh_worker_state_names[actor->look.status.state]);
+			   wwh_worker_state_names[actor->query.status.state]);
 	add_int(builder, "since_ms", actor->entered_ms);
 	json_builder_end_object(builder);
 }
--- a/src/libwaxwinghollow/conductor_job.c
+++ b/src/libwaxwinghollow/conductor_job.c
@@ -43,7 +43,7 @@
 	"failed",   "not-started", "checkpointed", "unknown",  "stopped",
 };
 
-/* By wwh_task_state_t. */
+/* Indexed by wwh_task_state_t. */
 static const event_t report_events[WWH_TASK_STATE_COUNT] = {
 	EVENT_RUNNING, EVENT_CHECKPOINTED, EVENT_DONE,
 	EVENT_FAILED,  EVENT_STOPPED,
@@ -57,21 +57,23 @@
 };
 
 static void sync_runs(wwh_conductor_t *conductor);
-static wwh_job_run_t *run_for(wwh_conductor_t *conductor, int32_t job);
-static void drop_unseen(wwh_conductor_t *conductor);
+static wwh_job_run_t *find_or_add_run(wwh_conductor_t *conductor, int32_t job);
+static void remove_missing_runs(wwh_conductor_t *conductor);
 static void step(wwh_conductor_t *conductor, wwh_job_run_t *run, event_t event);
-static void watch(wwh_conductor_t *conductor, wwh_job_run_t *run, int32_t job);
-static void pursue(wwh_conductor_t *conductor, wwh_job_run_t *run);
+static void apply_view(wwh_conductor_t *conductor, wwh_job_run_t *run,
+		       int32_t job);
+static void queue_actions(wwh_conductor_t *conductor, wwh_job_run_t *run);
 static void append_outcome(wwh_conductor_t *conductor, wwh_job_run_t *run);
-static void note_outcome(wwh_conductor_t *conductor, wwh_job_run_t *run);
-static void quarantine(wwh_conductor_t *conductor, const char *worker);
+static void record_outcome(wwh_conductor_t *conductor, wwh_job_run_t *run);
+static void quarantine_if_bad(wwh_conductor_t *conductor, const char *worker);
 static bool avoid(const char *job, const char *worker, void *client_data);
-static gboolean is_gone(gpointer key, gpointer value, gpointer client_data);
-static void place(wwh_conductor_t *conductor);
-static void carry_out(wwh_conductor_t *conductor,
-		      const wwh_placement_decision_t *decision);
-static void append_place(wwh_conductor_t *conductor,
-			 const wwh_placement_decision_t *decision);
+static gboolean is_job_removed(gpointer key, gpointer value,
+			       gpointer client_data);
+static void run_placement(wwh_conductor_t *conductor);
+static void apply_decision(wwh_conductor_t *conductor,
+			   const wwh_placement_decision_t *decision);
+static void append_placement(wwh_conductor_t *conductor,
+			     const wwh_placement_decision_t *decision);
 
 const wwh_chart_table_t *wwh_job_table(void)
 {
@@ -91,11 +93,11 @@
 {
 	sync_runs(conductor);
 	if (conductor->now_ms - conductor->placed_ms >=
-	    conductor->options.place_ms) {
+	    conductor->options.placement_interval_ms) {
 		conductor->placed_ms = conductor->now_ms;
-		g_hash_table_foreach_remove(conductor->reasons, is_gone,
+		g_hash_table_foreach_remove(conductor->reasons, is_job_removed,
 					    (gpointer)conductor->view);
-		place(conductor);
+		run_placement(conductor);
 	}
 }
 
@@ -106,9 +108,12 @@
 		g_hash_table_lookup(conductor->reasons, job));
 }
 
-/* The answer to an order. A lost one is neither accepted nor refused. */
-void wwh_job_ordered(wwh_conductor_t *conductor, wwh_job_run_t *run,
-		     wwh_task_verb_t verb, wwh_status_t status)
+/*
+ * Handles the answer to an order. A lost answer leaves open whether the order
+ * was accepted, so it causes no event.
+ */
+void wwh_job_run_handle_answer(wwh_conductor_t *conductor, wwh_job_run_t *run,
+			       wwh_task_verb_t verb, wwh_status_t status)
 {
 	if (verb == WWH_TASK_CHECKPOINT || verb == WWH_TASK_THROTTLE)
 		return;
@@ -132,7 +137,7 @@
 	int32_t job_count = wwh_fleet_job_count(view);
 
 	for (guint i = 0; i < conductor->jobs->len; i++)
-		((wwh_job_run_t *)conductor->jobs->pdata[i])->seen = false;
+		((wwh_job_run_t *)conductor->jobs->pdata[i])->in_view = false;
 	for (int32_t i = 0; i < job_count; i++) {
 		const wwh_fleet_job_t *job = wwh_fleet_job(view, i);
 		bool runs = job->report == WWH_TASK_RUNNING;
@@ -141,19 +146,19 @@
 		if (job->lease == WWH_NO_OFFSET ||
 		    wwh_fleet_pool(view, job->pool)->fence == WWH_NO_OFFSET)
 			continue;
-		/* A cancelled job is followed until its task has stopped. */
+		/* The run of a cancelled job remains until its task stops. */
 		if (job->phase != WWH_JOB_PHASE_PLACED &&
 		    !(job->phase == WWH_JOB_PHASE_CANCELLED && runs))
 			continue;
-		run = run_for(conductor, i);
-		run->seen = true;
-		watch(conductor, run, i);
-		pursue(conductor, run);
+		run = find_or_add_run(conductor, i);
+		run->in_view = true;
+		apply_view(conductor, run, i);
+		queue_actions(conductor, run);
 	}
-	drop_unseen(conductor);
+	remove_missing_runs(conductor);
 }
 
-static wwh_job_run_t *run_for(wwh_conductor_t *conductor, int32_t job)
+static wwh_job_run_t *find_or_add_run(wwh_conductor_t *conductor, int32_t job)
 {
 	const wwh_fleet_job_t *item = wwh_fleet_job(conductor->view, job);
 	wwh_job_run_t *run =
@@ -182,14 +187,14 @@
 	return run;
 }
 
-static void drop_unseen(wwh_conductor_t *conductor)
+static void remove_missing_runs(wwh_conductor_t *conductor)
 {
 	for (guint i = conductor->jobs->len; i > 0; i--) {
 		wwh_job_run_t *run = conductor->jobs->pdata[i - 1];
 
-		if (run->seen)
+		if (run->in_view)
 			continue;
-		note_outcome(conductor, run);
+		record_outcome(conductor, run);
 		if (run->machine.state == STATE_DONE)
 			wwh_outcomes_forget_task(conductor->outcomes, run->job);
 		g_hash_table_remove(conductor->job_by_id, run->job);
@@ -204,12 +209,13 @@
 	wwh_chart_step(&run->machine, event, conductor->now_ms, run);
 	if (run->machine.state == before)
 		return;
-	run->order = (wwh_pursuit_t){ 0 };
+	run->order = (wwh_retry_t){ 0 };
 	if (run->machine.state == STATE_LAPSING)
-		run->lost_ms = conductor->now_ms;
+		run->worker_lost_ms = conductor->now_ms;
 }
 
-static void watch(wwh_conductor_t *conductor, wwh_job_run_t *run, int32_t job)
+static void apply_view(wwh_conductor_t *conductor, wwh_job_run_t *run,
+		       int32_t job)
 {
 	const wwh_fleet_view_t *view = conductor->view;
 	const wwh_fleet_job_t *item = wwh_fleet_job(view, job);
@@ -234,7 +240,7 @@
 		step(conductor, run, EVENT_CANCEL);
 }
 
-static void pursue(wwh_conductor_t *conductor, wwh_job_run_t *run)
+static void queue_actions(wwh_conductor_t *conductor, wwh_job_run_t *run)
 {
 	const wwh_chart_t *chart = conductor->job_chart;
 	int64_t lease_ms = conductor->options.placement.lease_ms;
@@ -246,9 +252,9 @@
 
 	if (wwh_chart_has_tag(&run->machine,
 			      wwh_chart_tag_mask(chart, "orders-stop")))
-		wwh_conductor_order(conductor, run, WWH_TASK_STOP);
+		wwh_conductor_order_task(conductor, run, WWH_TASK_STOP);
 	else if (starts && due)
-		wwh_conductor_order(conductor, run, WWH_TASK_START);
+		wwh_conductor_order_task(conductor, run, WWH_TASK_START);
 	else if (wwh_chart_is_final(&run->machine))
 		append_outcome(conductor, run);
 }
@@ -268,7 +274,8 @@
 	if (run->machine.state == STATE_STOPPED)
 		return;
 	key = g_strdup_printf("job/%s/%lld", run->job, (long long)run->lease);
-	wwh_conductor_record(conductor, &record, kinds[run->machine.state]);
+	wwh_conductor_init_record(conductor, &record,
+				  kinds[run->machine.state]);
 	wwh_record_set(&record.body.job.job, run->job);
 	record.body.job.fence = run->lease;
 	if (run->machine.state == STATE_FAILED)
@@ -277,52 +284,53 @@
 		record.body.job.run = WWH_RUN_UNKNOWN;
 	wwh_conductor_append(conductor, key, &record);
 	g_free(key);
-	note_outcome(conductor, run);
+	record_outcome(conductor, run);
 }
 
-static void note_outcome(wwh_conductor_t *conductor, wwh_job_run_t *run)
+static void record_outcome(wwh_conductor_t *conductor, wwh_job_run_t *run)
 {
 	bool failed = run->machine.state == STATE_FAILED;
 
-	if (run->outcome_noted || (!failed && run->machine.state != STATE_DONE))
+	if (run->is_outcome_recorded ||
+	    (!failed && run->machine.state != STATE_DONE))
 		return;
-	run->outcome_noted = true;
+	run->is_outcome_recorded = true;
 	wwh_outcomes_record(conductor->outcomes, run->job, run->worker,
 			    !failed);
 	if (failed && conductor->view)
-		quarantine(conductor, run->worker);
+		quarantine_if_bad(conductor, run->worker);
 }
 
 /*
- * A quarantined worker counts as lost. Where the pool can't spare it, it stays
- * and is looked at again with the next failure.
+ * A quarantined worker counts as lost. If the pool's disruption budget doesn't
+ * allow that, the worker stays and is checked again at the next failure.
  */
-static void quarantine(wwh_conductor_t *conductor, const char *worker)
+static void quarantine_if_bad(wwh_conductor_t *conductor, const char *worker)
 {
 	const wwh_fleet_view_t *view = conductor->view;
 	int32_t index = wwh_fleet_find_worker(view, worker);
 	char *key = g_strdup_printf("quarantine/%s", worker);
-	wwh_pool_budget_t *tally = NULL;
+	wwh_pool_budget_t *budget = NULL;
 	wwh_record_t record;
 
 	if (index != WWH_FLEET_NONE &&
 	    wwh_fleet_worker(view, index)->pool != WWH_FLEET_NONE &&
 	    !wwh_fleet_is_lost(wwh_fleet_worker(view, index)) &&
 	    wwh_outcomes_worker_is_bad(conductor->outcomes, worker))
-		tally = wwh_pool_budget_new(
+		budget = wwh_pool_budget_new(
 			view, wwh_fleet_worker(view, index)->pool);
-	if (tally &&
-	    wwh_pool_budget_allows(tally, index) == WWH_CONSTRAINT_NONE) {
-		wwh_conductor_record(conductor, &record,
-				     WWH_RECORD_WORKER_QUARANTINE);
+	if (budget &&
+	    wwh_pool_budget_allows(budget, index) == WWH_CONSTRAINT_NONE) {
+		wwh_conductor_init_record(conductor, &record,
+					  WWH_RECORD_WORKER_QUARANTINE);
 		wwh_record_set(&record.body.worker.worker, worker);
 		wwh_record_set(&record.body.worker.reason,
 			       "fails tasks that end well elsewhere");
 		if (wwh_conductor_append(conductor, key, &record))
-			wwh_conductor_tell(conductor, "worker %s: quarantined",
-					   worker);
+			wwh_conductor_log(conductor, "worker %s: quarantined",
+					  worker);
 	}
-	wwh_pool_budget_delete(tally);
+	wwh_pool_budget_delete(budget);
 	g_free(key);
 }
 
@@ -331,13 +339,14 @@
 	return wwh_outcomes_failed_on(client_data, job, worker);
 }
 
-static gboolean is_gone(gpointer key, gpointer value, gpointer client_data)
+static gboolean is_job_removed(gpointer key, gpointer value,
+			       gpointer client_data)
 {
 	(void)value;
 	return wwh_fleet_find_job(client_data, key) == WWH_FLEET_NONE;
 }
 
-static void place(wwh_conductor_t *conductor)
+static void run_placement(wwh_conductor_t *conductor)
 {
 	const wwh_fleet_view_t *view = conductor->view;
 	wwh_placement_options_t options = conductor->options.placement;
@@ -355,15 +364,15 @@
 			wwh_placement_pass(placement, i, decisions);
 	}
 	for (guint i = 0; i < decisions->len; i++)
-		carry_out(
+		apply_decision(
 			conductor,
 			&g_array_index(decisions, wwh_placement_decision_t, i));
 	wwh_placement_delete(placement);
 	g_array_free(decisions, TRUE);
 }
 
-static void carry_out(wwh_conductor_t *conductor,
-		      const wwh_placement_decision_t *decision)
+static void apply_decision(wwh_conductor_t *conductor,
+			   const wwh_placement_decision_t *decision)
 {
 	const wwh_fleet_job_t *job =
 		wwh_fleet_job(conductor->view, decision->job);
@@ -371,34 +380,34 @@
 
 	switch (decision->kind) {
 	case WWH_PLACEMENT_START:
-		append_place(conductor, decision);
+		append_placement(conductor, decision);
 		break;
 	case WWH_PLACEMENT_THROTTLE:
 		if (!run)
 			break;
 		run->throttle_millicores = decision->cpu_millicores;
-		wwh_conductor_order(conductor, run, WWH_TASK_THROTTLE);
+		wwh_conductor_order_task(conductor, run, WWH_TASK_THROTTLE);
 		break;
 	case WWH_PLACEMENT_CHECKPOINT:
 		if (run)
-			wwh_conductor_order(conductor, run,
-					    WWH_TASK_CHECKPOINT);
+			wwh_conductor_order_task(conductor, run,
+						 WWH_TASK_CHECKPOINT);
 		break;
 	default:
 		if (decision->kind == WWH_PLACEMENT_IMPOSSIBLE &&
 		    wwh_conductor_job_reason(conductor, job->id) !=
 			    decision->reason)
-			wwh_conductor_tell(conductor,
-					   "job %s can never run: %s", job->id,
-					   wwh_reason_names[decision->reason]);
+			wwh_conductor_log(conductor, "job %s can never run: %s",
+					  job->id,
+					  wwh_reason_names[decision->reason]);
 		g_hash_table_insert(conductor->reasons, g_strdup(job->id),
 				    GINT_TO_POINTER((gint)decision->reason));
 		break;
 	}
 }
 
-static void append_place(wwh_conductor_t *conductor,
-			 const wwh_placement_decision_t *decision)
+static void append_placement(wwh_conductor_t *conductor,
+			     const wwh_placement_decision_t *decision)
 {
 	const wwh_fleet_view_t *view = conductor->view;
 	const wwh_fleet_job_t *job = wwh_fleet_job(view, decision->job);
@@ -413,10 +422,10 @@
 		g_free(key);
 		return;
 	}
-	/* No new work to a leaving worker; one pool. */
+	/* A job starts only on an available worker of its own pool. */
 	assert(!wwh_fleet_is_lost(worker));
 	assert(worker->pool == job->pool);
-	wwh_conductor_record(conductor, &record, WWH_RECORD_JOB_PLACE);
+	wwh_conductor_init_record(conductor, &record, WWH_RECORD_JOB_PLACE);
 	wwh_record_set(&record.body.job.job, job->id);
 	wwh_record_set(&record.body.job.worker, worker->id);
 	record.body.job.fence = wwh_fleet_pool(view, job->pool)->fence;
--- a/src/libwaxwinghollow/conductor_queue.c
+++ b/src/libwaxwinghollow/conductor_queue.c
@@ -3,16 +3,16 @@
 
 #include "private/conductor_state.h"
 
-static bool may_repeat(wwh_conductor_t *conductor, wwh_pursuit_t *pursuit);
+static bool may_repeat(wwh_conductor_t *conductor, wwh_retry_t *retry);
 static wwh_action_t *add_action(wwh_conductor_t *conductor,
 				wwh_action_kind_t kind);
 static void set_origin(wwh_conductor_t *conductor, const wwh_action_t *action,
 		       const wwh_origin_t *origin);
-static void drop_action(gpointer data, gpointer client_data);
+static void discard_action(gpointer data, gpointer client_data);
 
 void wwh_conductor_begin_queue(wwh_conductor_t *conductor)
 {
-	g_queue_foreach(&conductor->actions, drop_action, conductor);
+	g_queue_foreach(&conductor->actions, discard_action, conductor);
 	g_queue_clear(&conductor->actions);
 	conductor->repeats_left = conductor->options.repeats_per_tick;
 }
@@ -20,17 +20,17 @@
 bool wwh_conductor_append(wwh_conductor_t *conductor, const char *key,
 			  wwh_record_t *record)
 {
-	wwh_pursuit_t *pursuit = wwh_conductor_pending(conductor, key);
+	wwh_retry_t *retry = wwh_conductor_append_retry(conductor, key);
 	wwh_origin_t origin = { .kind = WWH_ORIGIN_APPEND, .key = (char *)key };
 	wwh_action_t *action;
 
-	if (!may_repeat(conductor, pursuit)) {
+	if (!may_repeat(conductor, retry)) {
 		wwh_record_clear(record);
 		return false;
 	}
 	action = add_action(conductor, WWH_ACTION_APPEND);
 	action->record = *record;
-	pursuit->action = action->id;
+	retry->action = action->id;
 	set_origin(conductor, action, &origin);
 	wwh_conductor_count(conductor, "fleet.appends");
 	return true;
@@ -39,20 +39,19 @@
 bool wwh_conductor_is_appending(const wwh_conductor_t *conductor,
 				const char *key)
 {
-	const wwh_pursuit_t *pursuit =
-		g_hash_table_lookup(conductor->appends, key);
+	const wwh_retry_t *retry = g_hash_table_lookup(conductor->appends, key);
 
-	return pursuit && pursuit->action != 0;
+	return retry && retry->action != 0;
 }
 
 void wwh_conductor_defer_append(wwh_conductor_t *conductor, const char *key,
 				int64_t until_ms)
 {
-	wwh_conductor_pending(conductor, key)->next_ms = until_ms;
+	wwh_conductor_append_retry(conductor, key)->next_ms = until_ms;
 }
 
-bool wwh_conductor_command(wwh_conductor_t *conductor, wwh_actor_t *actor,
-			   wwh_command_t command, int64_t fence)
+bool wwh_conductor_send_command(wwh_conductor_t *conductor, wwh_actor_t *actor,
+				wwh_command_t command, int64_t fence)
 {
 	wwh_origin_t origin = { .kind = WWH_ORIGIN_COMMAND,
 				.key = actor->worker,
@@ -72,23 +71,25 @@
 	return true;
 }
 
-bool wwh_conductor_look(wwh_conductor_t *conductor, wwh_look_t *look)
+bool wwh_conductor_query_status(wwh_conductor_t *conductor,
+				wwh_status_query_t *query)
 {
-	wwh_origin_t origin = { .kind = WWH_ORIGIN_LOOK, .key = look->worker };
+	wwh_origin_t origin = { .kind = WWH_ORIGIN_STATUS,
+				.key = query->worker };
 	wwh_action_t *action;
 
-	if (!may_repeat(conductor, &look->pursuit))
+	if (!may_repeat(conductor, &query->retry))
 		return false;
-	action = add_action(conductor, WWH_ACTION_LOOK);
-	action->worker = g_strdup(look->worker);
-	look->pursuit.action = action->id;
+	action = add_action(conductor, WWH_ACTION_GET_STATUS);
+	action->worker = g_strdup(query->worker);
+	query->retry.action = action->id;
 	set_origin(conductor, action, &origin);
 	wwh_conductor_count(conductor, "fleet.looks");
 	return true;
 }
 
-bool wwh_conductor_order(wwh_conductor_t *conductor, wwh_job_run_t *run,
-			 wwh_task_verb_t verb)
+bool wwh_conductor_order_task(wwh_conductor_t *conductor, wwh_job_run_t *run,
+			      wwh_task_verb_t verb)
 {
 	wwh_origin_t origin = { .kind = WWH_ORIGIN_TASK,
 				.key = run->job,
@@ -113,13 +114,13 @@
 	return true;
 }
 
-void wwh_conductor_tell(wwh_conductor_t *conductor, const char *format, ...)
+void wwh_conductor_log(wwh_conductor_t *conductor, const char *format, ...)
 {
 	wwh_action_t *action = g_new0(wwh_action_t, 1);
 	va_list arguments;
 
 	va_start(arguments, format);
-	action->kind = WWH_ACTION_TELL;
+	action->kind = WWH_ACTION_LOG;
 	action->text = g_strdup_vprintf(format, arguments);
 	va_end(arguments);
 	g_queue_push_tail(&conductor->actions, action);
@@ -134,36 +135,36 @@
 }
 
 /*
- * After a failure each repeat waits twice as long as the one before, up to
- * the limit, and up to half as long again by chance, so that processes that
- * were refused together don't come back together.
+ * Exponential backoff: after each failure the delay doubles up to retry_max_ms,
+ * plus a random jitter of up to half the delay, so that processes that were
+ * rejected together don't retry together.
  */
-void wwh_conductor_settle(wwh_conductor_t *conductor, wwh_pursuit_t *pursuit,
-			  bool went_well)
+void wwh_conductor_end_attempt(wwh_conductor_t *conductor, wwh_retry_t *retry,
+			       bool succeeded)
 {
 	const wwh_conductor_options_t *options = &conductor->options;
 	int64_t wait_ms = options->retry_min_ms;
 
-	pursuit->action = 0;
-	pursuit->tries = went_well ? 0 : pursuit->tries + 1;
-	for (int32_t i = 1; i < pursuit->tries; i++)
+	retry->action = 0;
+	retry->tries = succeeded ? 0 : retry->tries + 1;
+	for (int32_t i = 1; i < retry->tries; i++)
 		wait_ms = MIN(2 * wait_ms, options->retry_max_ms);
-	if (!went_well)
+	if (!succeeded)
 		wait_ms += (int64_t)(g_rand_double(conductor->rand) * 0.5 *
 				     (double)wait_ms);
-	pursuit->next_ms = conductor->now_ms + wait_ms;
+	retry->next_ms = conductor->now_ms + wait_ms;
 }
 
-wwh_pursuit_t *wwh_conductor_pending(wwh_conductor_t *conductor,
-				     const char *key)
+wwh_retry_t *wwh_conductor_append_retry(wwh_conductor_t *conductor,
+					const char *key)
 {
-	wwh_pursuit_t *pursuit = g_hash_table_lookup(conductor->appends, key);
+	wwh_retry_t *retry = g_hash_table_lookup(conductor->appends, key);
 
-	if (pursuit)
-		return pursuit;
-	pursuit = g_new0(wwh_pursuit_t, 1);
-	g_hash_table_insert(conductor->appends, g_strdup(key), pursuit);
-	return pursuit;
+	if (retry)
+		return retry;
+	retry = g_new0(wwh_retry_t, 1);
+	g_hash_table_insert(conductor->appends, g_strdup(key), retry);
+	return retry;
 }
 
 void wwh_origin_free(gpointer data)
@@ -174,24 +175,27 @@
 	g_free(origin);
 }
 
-/* Whether an action for pursuit may go out now; its result may be overdue. */
-static bool may_repeat(wwh_conductor_t *conductor, wwh_pursuit_t *pursuit)
+/*
+ * Returns whether the action may be queued now, and if so counts the attempt.
+ * An action without a result after answer_timeout_ms counts as failed.
+ */
+static bool may_repeat(wwh_conductor_t *conductor, wwh_retry_t *retry)
 {
 	int64_t now_ms = conductor->now_ms;
 
-	if (pursuit->action != 0 &&
-	    now_ms - pursuit->sent_ms >= conductor->options.answer_limit_ms) {
-		g_hash_table_remove(conductor->origins, &pursuit->action);
-		wwh_conductor_settle(conductor, pursuit, false);
+	if (retry->action != 0 &&
+	    now_ms - retry->sent_ms >= conductor->options.answer_timeout_ms) {
+		g_hash_table_remove(conductor->origins, &retry->action);
+		wwh_conductor_end_attempt(conductor, retry, false);
 		wwh_conductor_count(conductor, "fleet.answers_overdue");
 	}
-	if (pursuit->action != 0 || now_ms < pursuit->next_ms)
+	if (retry->action != 0 || now_ms < retry->next_ms)
 		return false;
-	if (pursuit->tries > 0 && conductor->repeats_left <= 0)
+	if (retry->tries > 0 && conductor->repeats_left <= 0)
 		return false;
-	if (pursuit->tries > 0)
+	if (retry->tries > 0)
 		conductor->repeats_left--;
-	pursuit->sent_ms = now_ms;
+	retry->sent_ms = now_ms;
 	return true;
 }
 
@@ -218,16 +222,17 @@
 	g_hash_table_insert(conductor->origins, id, copy);
 }
 
-/* An action that was never taken is surely without effect. */
-static void drop_action(gpointer data, gpointer client_data)
+/* An action that was never removed from the queue had no effect. */
+static void discard_action(gpointer data, gpointer client_data)
 {
 	wwh_action_t *action = data;
 	wwh_action_result_t result = { .id = action->id,
 				       .status = WWH_STATUS_UNAVAILABLE };
 
-	if (action->kind != WWH_ACTION_TELL)
-		wwh_conductor_result(client_data, &result,
-				     ((wwh_conductor_t *)client_data)->now_ms);
+	if (action->kind != WWH_ACTION_LOG)
+		wwh_conductor_handle_result(
+			client_data, &result,
+			((wwh_conductor_t *)client_data)->now_ms);
 	wwh_action_clear(action);
 	g_free(action);
 }
--- a/src/libwaxwinghollow/conductor_rehearsal.c
+++ b/src/libwaxwinghollow/conductor_rehearsal.c
@@ -4,31 +4,34 @@
 
 #include "private/conductor_state.h"
 
-#define REPORTS_KEPT 64
+#define REPORTS_MAX 64
 
 static bool is_led_here(const wwh_conductor_t *conductor,
 			const wwh_fleet_rehearsal_t *rehearsal);
-static bool is_in(const wwh_conductor_t *conductor,
-		  const wwh_fleet_rehearsal_t *rehearsal, int32_t worker);
-static wwh_rehearsal_run_t *run_for(wwh_conductor_t *conductor,
-				    const wwh_fleet_rehearsal_t *rehearsal);
+static bool is_in_domain(const wwh_conductor_t *conductor,
+			 const wwh_fleet_rehearsal_t *rehearsal,
+			 int32_t worker);
+static wwh_rehearsal_run_t *
+find_or_add_run(wwh_conductor_t *conductor,
+		const wwh_fleet_rehearsal_t *rehearsal);
 static wwh_rehearsal_run_t *find_run(const wwh_conductor_t *conductor,
 				     const char *id);
-static void ask_for_workers(wwh_conductor_t *conductor,
+static void request_workers(wwh_conductor_t *conductor,
 			    const wwh_fleet_rehearsal_t *rehearsal);
-static bool fits(const wwh_conductor_t *conductor,
-		 const wwh_fleet_rehearsal_t *rehearsal, int32_t pool);
+static bool is_within_budget(const wwh_conductor_t *conductor,
+			     const wwh_fleet_rehearsal_t *rehearsal,
+			     int32_t pool);
 static const char *reason_to_stop(const wwh_conductor_t *conductor,
 				  const wwh_fleet_rehearsal_t *rehearsal,
 				  const wwh_rehearsal_run_t *run);
-static bool breaks_budget(const wwh_conductor_t *conductor,
-			  const wwh_fleet_rehearsal_t *rehearsal);
-static bool saw_failure(const wwh_conductor_t *conductor,
+static bool exceeds_budget(const wwh_conductor_t *conductor,
+			   const wwh_fleet_rehearsal_t *rehearsal);
+static bool has_new_failure(const wwh_conductor_t *conductor,
+			    const wwh_fleet_rehearsal_t *rehearsal);
+static bool are_all_out(const wwh_conductor_t *conductor,
 			const wwh_fleet_rehearsal_t *rehearsal);
-static bool all_out(const wwh_conductor_t *conductor,
-		    const wwh_fleet_rehearsal_t *rehearsal);
-static bool all_back(const wwh_conductor_t *conductor,
-		     const wwh_rehearsal_run_t *run);
+static bool are_all_back(const wwh_conductor_t *conductor,
+			 const wwh_rehearsal_run_t *run);
 static void end_rehearsal(wwh_conductor_t *conductor, const char *id,
 			  wwh_rehearsal_run_t *run, const char *reason);
 static bool is_held_here(const wwh_conductor_t *conductor,
@@ -57,16 +60,17 @@
 
 		if (!rehearsal->running || !is_held_here(conductor, rehearsal))
 			continue;
-		/* Stops wherever the reason is seen, not only at the lead. */
+		/* Any holder that detects a reason stops it, not only the
+		 * leader. */
 		run = is_led_here(conductor, rehearsal)
-			      ? run_for(conductor, rehearsal)
+			      ? find_or_add_run(conductor, rehearsal)
 			      : NULL;
 		reason = reason_to_stop(conductor, rehearsal, run);
 		if (reason) {
 			end_rehearsal(conductor, rehearsal->id, run, reason);
 			continue;
 		}
-		ask_for_workers(conductor, rehearsal);
+		request_workers(conductor, rehearsal);
 	}
 	for (guint i = 0; i < conductor->rehearsals->len; i++) {
 		wwh_rehearsal_run_t *run = conductor->rehearsals->pdata[i];
@@ -77,14 +81,13 @@
 			wwh_fleet_rehearsal(conductor->view, found)->running;
 
 		if (running || run->all_back_ms != 0 ||
-		    !all_back(conductor, run))
+		    !are_all_back(conductor, run))
 			continue;
 		if (run->ended_ms == 0)
 			run->ended_ms = conductor->now_ms;
 		run->all_back_ms = conductor->now_ms;
 		run->callers_after = conductor->callers;
-		wwh_conductor_tell(conductor, "rehearsal %s: all back",
-				   run->id);
+		wwh_conductor_log(conductor, "rehearsal %s: all back", run->id);
 	}
 }
 
@@ -167,7 +170,7 @@
 	return text;
 }
 
-/* The holder of the first pool that has a worker in the domain. */
+/* The holder of the first pool that has a worker in the domain leads. */
 static bool is_led_here(const wwh_conductor_t *conductor,
 			const wwh_fleet_rehearsal_t *rehearsal)
 {
@@ -176,9 +179,10 @@
 	int32_t first = WWH_FLEET_NONE;
 
 	for (int32_t i = 0; i < worker_count; i++) {
-		int32_t home = wwh_conductor_home(conductor, i);
+		int32_t home = wwh_conductor_control_pool(conductor, i);
 
-		if (is_in(conductor, rehearsal, i) && home != WWH_FLEET_NONE &&
+		if (is_in_domain(conductor, rehearsal, i) &&
+		    home != WWH_FLEET_NONE &&
 		    (first == WWH_FLEET_NONE || home < first))
 			first = home;
 	}
@@ -186,15 +190,16 @@
 	       wwh_fleet_pool(view, first)->fence != WWH_NO_OFFSET;
 }
 
-static bool is_in(const wwh_conductor_t *conductor,
-		  const wwh_fleet_rehearsal_t *rehearsal, int32_t worker)
+static bool is_in_domain(const wwh_conductor_t *conductor,
+			 const wwh_fleet_rehearsal_t *rehearsal, int32_t worker)
 {
 	return wwh_fleet_in_domain(conductor->view, worker, rehearsal->domain,
 				   rehearsal->domain_id);
 }
 
-static wwh_rehearsal_run_t *run_for(wwh_conductor_t *conductor,
-				    const wwh_fleet_rehearsal_t *rehearsal)
+static wwh_rehearsal_run_t *
+find_or_add_run(wwh_conductor_t *conductor,
+		const wwh_fleet_rehearsal_t *rehearsal)
 {
 	const wwh_fleet_view_t *view = conductor->view;
 	wwh_rehearsal_run_t *run = find_run(conductor, rehearsal->id);
@@ -213,7 +218,7 @@
 	for (int32_t i = 0; i < worker_count; i++) {
 		const wwh_fleet_worker_t *worker = wwh_fleet_worker(view, i);
 
-		if (!is_in(conductor, rehearsal, i) ||
+		if (!is_in_domain(conductor, rehearsal, i) ||
 		    worker->pool == WWH_FLEET_NONE)
 			continue;
 		run->workers++;
@@ -223,10 +228,10 @@
 		pools[worker->pool] = true;
 	}
 	g_free(pools);
-	if (conductor->rehearsals->len >= REPORTS_KEPT)
+	if (conductor->rehearsals->len >= REPORTS_MAX)
 		g_ptr_array_remove_index(conductor->rehearsals, 0);
 	g_ptr_array_add(conductor->rehearsals, run);
-	wwh_conductor_tell(conductor, "rehearsal %s: led here", run->id);
+	wwh_conductor_log(conductor, "rehearsal %s: led here", run->id);
 	return run;
 }
 
@@ -242,7 +247,7 @@
 	return NULL;
 }
 
-static void ask_for_workers(wwh_conductor_t *conductor,
+static void request_workers(wwh_conductor_t *conductor,
 			    const wwh_fleet_rehearsal_t *rehearsal)
 {
 	int32_t worker_count = wwh_fleet_worker_count(conductor->view);
@@ -251,7 +256,7 @@
 		const wwh_fleet_worker_t *worker =
 			wwh_fleet_worker(conductor->view, i);
 
-		if (!is_in(conductor, rehearsal, i) ||
+		if (!is_in_domain(conductor, rehearsal, i) ||
 		    wwh_fleet_is_lost(worker) ||
 		    worker->grant != WWH_NO_OFFSET ||
 		    wwh_conductor_fence(conductor, i) == WWH_NO_OFFSET)
@@ -261,31 +266,35 @@
 	}
 }
 
-/* Whether all of the domain's workers of the pool may be out together. */
-static bool fits(const wwh_conductor_t *conductor,
-		 const wwh_fleet_rehearsal_t *rehearsal, int32_t pool)
+/* Whether all workers of the pool in the domain may be out together. */
+static bool is_within_budget(const wwh_conductor_t *conductor,
+			     const wwh_fleet_rehearsal_t *rehearsal,
+			     int32_t pool)
 {
 	const wwh_fleet_view_t *view = conductor->view;
 	int32_t size = wwh_fleet_pool(view, pool)->size;
-	wwh_pool_budget_t *tally = wwh_pool_budget_new(view, pool);
-	bool result = wwh_pool_budget_is_met(tally);
+	wwh_pool_budget_t *budget = wwh_pool_budget_new(view, pool);
+	bool result = wwh_pool_budget_is_met(budget);
 
 	for (int32_t i = 0; i < size && result; i++) {
 		int32_t member = wwh_fleet_member(view, pool, i);
 
-		if (!is_in(conductor, rehearsal, member) ||
+		if (!is_in_domain(conductor, rehearsal, member) ||
 		    wwh_fleet_is_lost(wwh_fleet_worker(view, member)))
 			continue;
 		result = wwh_pool_budget_allows_with_reserve(
-				 tally, member, WWH_DOMAIN_WORKER) ==
+				 budget, member, WWH_DOMAIN_WORKER) ==
 			 WWH_CONSTRAINT_NONE;
-		wwh_pool_budget_mark_out(tally, member);
+		wwh_pool_budget_mark_out(budget, member);
 	}
-	wwh_pool_budget_delete(tally);
+	wwh_pool_budget_delete(budget);
 	return result;
 }
 
-/* NULL while it may go on. run is NULL where another process leads. */
+/*
+ * Returns NULL while the rehearsal may continue. run is NULL where another
+ * process leads; else the time at which all workers are out is stored in it.
+ */
 static const char *reason_to_stop(const wwh_conductor_t *conductor,
 				  const wwh_fleet_rehearsal_t *rehearsal,
 				  const wwh_rehearsal_run_t *run)
@@ -293,27 +302,27 @@
 	const wwh_conductor_options_t *options = &conductor->options;
 	int64_t ran_ms = run ? conductor->now_ms - run->started_ms : 0;
 
-	if (breaks_budget(conductor, rehearsal))
+	if (exceeds_budget(conductor, rehearsal))
 		return "stopped: a pool's budget does not allow it";
-	if (saw_failure(conductor, rehearsal))
+	if (has_new_failure(conductor, rehearsal))
 		return "stopped: a worker failed meanwhile";
 	if (!run)
 		return NULL;
 	if (conductor->callers.unknown - run->callers_before.unknown >
 	    options->rehearsal_unknown_max)
 		return "stopped: callers got unknown answers";
-	if (run->all_out_ms != 0 &&
-	    conductor->now_ms - run->all_out_ms >= options->rehearsal_ms)
+	if (run->all_out_ms != 0 && conductor->now_ms - run->all_out_ms >=
+					    options->rehearsal_duration_ms)
 		return "passed";
-	if (ran_ms >= options->rehearsal_limit_ms)
+	if (ran_ms >= options->rehearsal_timeout_ms)
 		return "stopped: the domain was not out in time";
-	if (run->all_out_ms == 0 && all_out(conductor, rehearsal))
+	if (run->all_out_ms == 0 && are_all_out(conductor, rehearsal))
 		((wwh_rehearsal_run_t *)run)->all_out_ms = conductor->now_ms;
 	return NULL;
 }
 
-static bool breaks_budget(const wwh_conductor_t *conductor,
-			  const wwh_fleet_rehearsal_t *rehearsal)
+static bool exceeds_budget(const wwh_conductor_t *conductor,
+			   const wwh_fleet_rehearsal_t *rehearsal)
 {
 	const wwh_fleet_view_t *view = conductor->view;
 	int32_t pool_count = wwh_fleet_pool_count(view);
@@ -323,17 +332,17 @@
 		bool touched = false;
 
 		for (int32_t m = 0; m < pool->size && !touched; m++)
-			touched = is_in(conductor, rehearsal,
-					wwh_fleet_member(view, i, m));
-		if (touched && !fits(conductor, rehearsal, i))
+			touched = is_in_domain(conductor, rehearsal,
+					       wwh_fleet_member(view, i, m));
+		if (touched && !is_within_budget(conductor, rehearsal, i))
 			return true;
 	}
 	return false;
 }
 
-/* A worker of a pool that the rehearsal touches failed since it began. */
-static bool saw_failure(const wwh_conductor_t *conductor,
-			const wwh_fleet_rehearsal_t *rehearsal)
+/* Whether a worker of an affected pool failed since the rehearsal began. */
+static bool has_new_failure(const wwh_conductor_t *conductor,
+			    const wwh_fleet_rehearsal_t *rehearsal)
 {
 	const wwh_fleet_view_t *view = conductor->view;
 	int32_t worker_count = wwh_fleet_worker_count(view);
@@ -343,7 +352,8 @@
 	for (int32_t i = 0; i < worker_count; i++) {
 		int32_t pool = wwh_fleet_worker(view, i)->pool;
 
-		if (pool != WWH_FLEET_NONE && is_in(conductor, rehearsal, i))
+		if (pool != WWH_FLEET_NONE &&
+		    is_in_domain(conductor, rehearsal, i))
 			touched[pool] = true;
 	}
 	for (int32_t i = 0; i < worker_count && !result; i++) {
@@ -360,9 +370,12 @@
 	return result;
 }
 
-/* Granted to the rehearsal, or lost before; those led here also empty. */
-static bool all_out(const wwh_conductor_t *conductor,
-		    const wwh_fleet_rehearsal_t *rehearsal)
+/*
+ * Whether every worker of the domain counts as lost. Workers whose grant this
+ * process handles must have been drained, too.
+ */
+static bool are_all_out(const wwh_conductor_t *conductor,
+			const wwh_fleet_rehearsal_t *rehearsal)
 {
 	const wwh_fleet_view_t *view = conductor->view;
 	int32_t worker_count = wwh_fleet_worker_count(view);
@@ -372,7 +385,7 @@
 		const wwh_actor_t *actor = g_hash_table_lookup(
 			conductor->actor_by_worker, worker->id);
 
-		if (!is_in(conductor, rehearsal, i))
+		if (!is_in_domain(conductor, rehearsal, i))
 			continue;
 		if (!wwh_fleet_is_lost(worker))
 			return false;
@@ -383,8 +396,8 @@
 	return true;
 }
 
-static bool all_back(const wwh_conductor_t *conductor,
-		     const wwh_rehearsal_run_t *run)
+static bool are_all_back(const wwh_conductor_t *conductor,
+			 const wwh_rehearsal_run_t *run)
 {
 	const wwh_fleet_view_t *view = conductor->view;
 	int32_t worker_count = wwh_fleet_worker_count(view);
@@ -400,14 +413,14 @@
 	return true;
 }
 
-/* Any holder of a pool that the domain touches may end it. */
+/* Any holder of a pool with a worker in the domain may end the rehearsal. */
 static bool is_held_here(const wwh_conductor_t *conductor,
 			 const wwh_fleet_rehearsal_t *rehearsal)
 {
 	int32_t worker_count = wwh_fleet_worker_count(conductor->view);
 
 	for (int32_t i = 0; i < worker_count; i++) {
-		if (is_in(conductor, rehearsal, i) &&
+		if (is_in_domain(conductor, rehearsal, i) &&
 		    wwh_conductor_fence(conductor, i) != WWH_NO_OFFSET)
 			return true;
 	}
@@ -423,9 +436,9 @@
 	if (run && !run->end_reason) {
 		run->end_reason = g_strdup(reason);
 		run->ended_ms = conductor->now_ms;
-		wwh_conductor_tell(conductor, "rehearsal %s: %s", id, reason);
+		wwh_conductor_log(conductor, "rehearsal %s: %s", id, reason);
 	}
-	wwh_conductor_record(conductor, &record, WWH_RECORD_REHEARSAL_END);
+	wwh_conductor_init_record(conductor, &record, WWH_RECORD_REHEARSAL_END);
 	wwh_record_set(&record.body.rehearsal.rehearsal, id);
 	wwh_conductor_append(conductor, key, &record);
 	g_free(key);
--- a/src/libwaxwinghollow/conductor_repair.c
+++ b/src/libwaxwinghollow/conductor_repair.c
@@ -1,18 +1,19 @@
 #include "private/conductor_state.h"
 
-static void report_failed(wwh_conductor_t *conductor, int32_t worker);
-static void bring_back(wwh_conductor_t *conductor, int32_t worker);
-static wwh_look_t *probe_for(wwh_conductor_t *conductor, const char *worker);
+static void append_failed(wwh_conductor_t *conductor, int32_t worker);
+static void restore_worker(wwh_conductor_t *conductor, int32_t worker);
+static wwh_status_query_t *find_or_add_probe(wwh_conductor_t *conductor,
+					     const char *worker);
 
-void wwh_look_free(gpointer data)
+void wwh_status_query_free(gpointer data)
 {
-	wwh_look_t *look = data;
+	wwh_status_query_t *query = data;
 
-	g_free(look->worker);
-	g_free(look);
+	g_free(query->worker);
+	g_free(query);
 }
 
-void wwh_failures_step(wwh_conductor_t *conductor)
+void wwh_repairs_step(wwh_conductor_t *conductor)
 {
 	const wwh_fleet_view_t *view = conductor->view;
 	int32_t worker_count = wwh_fleet_worker_count(view);
@@ -28,51 +29,51 @@
 			continue;
 		if (worker->failed == WWH_NO_OFFSET &&
 		    worker->host_state == WWH_HOST_GONE)
-			report_failed(conductor, i);
+			append_failed(conductor, i);
 		else if (worker->failed != WWH_NO_OFFSET &&
 			 (worker->host_state == WWH_HOST_LIVE ||
 			  worker->host_state == WWH_HOST_LEAVING))
-			bring_back(conductor, i);
+			restore_worker(conductor, i);
 	}
 }
 
-static void report_failed(wwh_conductor_t *conductor, int32_t worker)
+static void append_failed(wwh_conductor_t *conductor, int32_t worker)
 {
 	const char *id = wwh_fleet_worker(conductor->view, worker)->id;
 	char *key = g_strdup_printf("failed/%s", id);
 	wwh_record_t record;
 
-	wwh_conductor_record(conductor, &record, WWH_RECORD_WORKER_FAILED);
+	wwh_conductor_init_record(conductor, &record, WWH_RECORD_WORKER_FAILED);
 	wwh_record_set(&record.body.worker.worker, id);
 	wwh_record_set(&record.body.worker.reason, "gone from the list");
 	if (wwh_conductor_append(conductor, key, &record))
-		wwh_conductor_tell(conductor, "worker %s: failed", id);
+		wwh_conductor_log(conductor, "worker %s: failed", id);
 	g_free(key);
 }
 
 /*
- * The list shows a failed worker again. The platform's own word is asked for
- * first, because the list lags: an old "live" would count a worker as whole
- * that is down.
+ * Called when the list of hosts contains a failed worker again. The worker's
+ * status is queried first, because the list lags: an outdated "live" would
+ * count a worker as available that is down.
  */
-static void bring_back(wwh_conductor_t *conductor, int32_t worker)
+static void restore_worker(wwh_conductor_t *conductor, int32_t worker)
 {
 	const wwh_fleet_worker_t *item =
 		wwh_fleet_worker(conductor->view, worker);
-	wwh_look_t *probe = probe_for(conductor, item->id);
+	wwh_status_query_t *probe = find_or_add_probe(conductor, item->id);
 	char *key = g_strdup_printf("returned/%s/%lld", item->id,
 				    (long long)item->failed);
 	wwh_record_t record;
 
 	if (!probe->is_new) {
-		wwh_conductor_look(conductor, probe);
+		wwh_conductor_query_status(conductor, probe);
 		g_free(key);
 		return;
 	}
-	probe->is_new = false; /* one step for each look */
+	probe->is_new = false; /* each status is used once */
 	if (probe->status.state == WWH_WORKER_UP) {
-		wwh_conductor_record(conductor, &record,
-				     WWH_RECORD_WORKER_RETURNED);
+		wwh_conductor_init_record(conductor, &record,
+					  WWH_RECORD_WORKER_RETURNED);
 		wwh_record_set(&record.body.worker.worker, item->id);
 		record.body.worker.seen = item->failed;
 		record.body.worker.fence =
@@ -80,20 +81,22 @@
 		wwh_conductor_append(conductor, key, &record);
 	} else if (probe->status.state != WWH_WORKER_DOWN &&
 		   probe->status.state != WWH_WORKER_REBOOTING) {
-		/* It is there, but cordoned: a repair brings it back. */
+		/* The worker runs, but is cordoned: a repair restores it. */
 		wwh_conductor_request_grant(conductor, worker, WWH_GRANT_REPAIR,
 					    "");
 	}
 	g_free(key);
 }
 
-static wwh_look_t *probe_for(wwh_conductor_t *conductor, const char *worker)
+static wwh_status_query_t *find_or_add_probe(wwh_conductor_t *conductor,
+					     const char *worker)
 {
-	wwh_look_t *probe = g_hash_table_lookup(conductor->probes, worker);
+	wwh_status_query_t *probe =
+		g_hash_table_lookup(conductor->probes, worker);
 
 	if (probe)
 		return probe;
-	probe = g_new0(wwh_look_t, 1);
+	probe = g_new0(wwh_status_query_t, 1);
 	probe->worker = g_strdup(worker);
 	g_hash_table_insert(conductor->probes, probe->worker, probe);
 	return probe;
--- a/src/libwaxwinghollow/conductor_wave.c
+++ b/src/libwaxwinghollow/conductor_wave.c
@@ -27,24 +27,25 @@
 	.event_count = EVENT_COUNT,
 };
 
-/* What a pool's wave has to do and has out. */
+/* Workers that a pool's wave still has to maintain or has taken out. */
 typedef struct {
 	int32_t *order;
 	int32_t order_count;
 	int32_t out;
 	int32_t requested;
-	int32_t lost; /* to be maintained, but failed or given up */
+	int32_t lost; /* not maintained: failed, or not drained in time */
 } wave_work_t;
 
 static wwh_plan_options_t plan_options(const wwh_conductor_t *conductor);
-static void plan_again(wwh_conductor_t *conductor);
-static wwh_wave_run_t *run_for(wwh_conductor_t *conductor, int32_t pool);
+static void plan_if_due(wwh_conductor_t *conductor);
+static wwh_wave_run_t *find_or_add_run(wwh_conductor_t *conductor,
+				       int32_t pool);
 static gboolean is_of_wave(gpointer key, gpointer value, gpointer client_data);
-static void drop_unseen(wwh_conductor_t *conductor);
+static void remove_missing_runs(wwh_conductor_t *conductor);
 static void step(wwh_conductor_t *conductor, wwh_wave_run_t *run,
 		 event_t event);
-static void watch(wwh_conductor_t *conductor, wwh_wave_run_t *run,
-		  int32_t pool);
+static void apply_view(wwh_conductor_t *conductor, wwh_wave_run_t *run,
+		       int32_t pool);
 static void find_work(const wwh_conductor_t *conductor,
 		      const wwh_wave_run_t *run, int32_t pool,
 		      wave_work_t *work);
@@ -54,8 +55,8 @@
 		     int32_t pool, wave_work_t *work);
 static void finish_wave(wwh_conductor_t *conductor, wwh_wave_run_t *run,
 			int32_t pool, const wave_work_t *work);
-static wwh_pool_budget_t *tally_with_requests(const wwh_conductor_t *conductor,
-					      int32_t pool);
+static wwh_pool_budget_t *budget_with_requests(const wwh_conductor_t *conductor,
+					       int32_t pool);
 
 const wwh_chart_table_t *wwh_wave_table(void)
 {
@@ -77,8 +78,8 @@
 	int32_t pool_count = wwh_fleet_pool_count(view);
 
 	for (guint i = 0; i < conductor->waves->len; i++)
-		((wwh_wave_run_t *)conductor->waves->pdata[i])->seen = false;
-	plan_again(conductor);
+		((wwh_wave_run_t *)conductor->waves->pdata[i])->in_view = false;
+	plan_if_due(conductor);
 	for (int32_t i = 0; i < pool_count; i++) {
 		const wwh_fleet_pool_t *pool = wwh_fleet_pool(view, i);
 		wave_work_t work = { 0 };
@@ -87,18 +88,21 @@
 		if (pool->wave == WWH_FLEET_NONE ||
 		    pool->fence == WWH_NO_OFFSET)
 			continue;
-		run = run_for(conductor, i);
-		run->seen = true;
-		watch(conductor, run, i);
+		run = find_or_add_run(conductor, i);
+		run->in_view = true;
+		apply_view(conductor, run, i);
 		find_work(conductor, run, i, &work);
 		take_out(conductor, run, i, &work);
 		finish_wave(conductor, run, i, &work);
 		g_free(work.order);
 	}
-	drop_unseen(conductor);
+	remove_missing_runs(conductor);
 }
 
-/* Workers that the inventory wants in another pool, as the budget allows. */
+/*
+ * Requests grants for workers that the inventory assigns to another pool, as far
+ * as the disruption budget allows.
+ */
 void wwh_moves_step(wwh_conductor_t *conductor)
 {
 	const wwh_fleet_view_t *view = conductor->view;
@@ -106,7 +110,7 @@
 
 	for (int32_t i = 0; i < worker_count; i++) {
 		const wwh_fleet_worker_t *worker = wwh_fleet_worker(view, i);
-		wwh_pool_budget_t *tally;
+		wwh_pool_budget_t *budget;
 
 		if (worker->wanted_pool == worker->pool ||
 		    worker->wanted_pool == WWH_FLEET_NONE ||
@@ -116,11 +120,11 @@
 		    wwh_conductor_fence(conductor, i) == WWH_NO_OFFSET ||
 		    wwh_conductor_is_requested(conductor, i))
 			continue;
-		tally = tally_with_requests(conductor, worker->pool);
-		if (wwh_pool_budget_allows(tally, i) == WWH_CONSTRAINT_NONE)
+		budget = budget_with_requests(conductor, worker->pool);
+		if (wwh_pool_budget_allows(budget, i) == WWH_CONSTRAINT_NONE)
 			wwh_conductor_request_grant(conductor, i,
 						    WWH_GRANT_MOVE, "");
-		wwh_pool_budget_delete(tally);
+		wwh_pool_budget_delete(budget);
 	}
 }
 
@@ -131,18 +135,18 @@
 		wwh_fleet_worker(conductor->view, worker);
 	char *key = g_strdup_printf("grant/%s", item->id);
 	wwh_record_t record;
-	bool asked;
+	bool queued;
 
 	assert(item->grant == WWH_NO_OFFSET);
-	wwh_conductor_record(conductor, &record, WWH_RECORD_GRANT_REQUEST);
+	wwh_conductor_init_record(conductor, &record, WWH_RECORD_GRANT_REQUEST);
 	wwh_record_set(&record.body.grant_request.worker, item->id);
 	wwh_record_set(&record.body.grant_request.owner, owner);
 	record.body.grant_request.reason = reason;
 	record.body.grant_request.fence =
 		wwh_conductor_fence(conductor, worker);
-	asked = wwh_conductor_append(conductor, key, &record);
+	queued = wwh_conductor_append(conductor, key, &record);
 	g_free(key);
-	return asked;
+	return queued;
 }
 
 bool wwh_conductor_is_requested(const wwh_conductor_t *conductor,
@@ -174,8 +178,8 @@
 	return options;
 }
 
-/* How many of each pool are to be out at once; see planner.h. */
-static void plan_again(wwh_conductor_t *conductor)
+/* Plans how many workers of each pool may be out at once; see planner.h. */
+static void plan_if_due(wwh_conductor_t *conductor)
 {
 	const wwh_fleet_view_t *view = conductor->view;
 	int32_t pool_count = wwh_fleet_pool_count(view);
@@ -187,7 +191,7 @@
 		waves += wwh_fleet_pool(view, i)->wave != WWH_FLEET_NONE;
 	if (waves == 0 || (waves == conductor->planned_waves &&
 			   conductor->now_ms - conductor->planned_ms <
-				   conductor->options.replan_ms))
+				   conductor->options.replan_interval_ms))
 		return;
 	conductor->planned_waves = waves;
 	conductor->planned_ms = conductor->now_ms;
@@ -201,14 +205,15 @@
 		if (pool->wave == WWH_FLEET_NONE ||
 		    pool->fence == WWH_NO_OFFSET)
 			continue;
-		run = run_for(conductor, planned->pool);
-		/* Those out now aren't in the plan: it may ask for less. */
+		run = find_or_add_run(conductor, planned->pool);
+		/* The plan leaves out workers that are out now, so that its
+		 * figure may be lower. */
 		run->out_at_once = MAX(run->out_at_once, planned->out_at_once);
 	}
 	wwh_plan_delete(plan);
 }
 
-static wwh_wave_run_t *run_for(wwh_conductor_t *conductor, int32_t pool)
+static wwh_wave_run_t *find_or_add_run(wwh_conductor_t *conductor, int32_t pool)
 {
 	const wwh_fleet_pool_t *item = wwh_fleet_pool(conductor->view, pool);
 	const char *id = wwh_fleet_wave(conductor->view, item->wave)->id;
@@ -229,7 +234,7 @@
 				->failed != WWH_NO_OFFSET;
 	g_ptr_array_add(conductor->waves, run);
 	g_hash_table_insert(conductor->wave_by_id, run->id, run);
-	wwh_conductor_tell(conductor, "wave %s: conducted here", run->id);
+	wwh_conductor_log(conductor, "wave %s: conducted here", run->id);
 	return run;
 }
 
@@ -243,12 +248,12 @@
 	       ((const char *)key)[length] == '/';
 }
 
-static void drop_unseen(wwh_conductor_t *conductor)
+static void remove_missing_runs(wwh_conductor_t *conductor)
 {
 	for (guint i = conductor->waves->len; i > 0; i--) {
 		wwh_wave_run_t *run = conductor->waves->pdata[i - 1];
 
-		if (run->seen)
+		if (run->in_view)
 			continue;
 		g_hash_table_foreach_remove(conductor->drains_given_up,
 					    is_of_wave, run);
@@ -263,21 +268,22 @@
 
 	wwh_chart_step(&run->machine, event, conductor->now_ms, run);
 	if (run->machine.state != before)
-		wwh_conductor_tell(
+		wwh_conductor_log(
 			conductor, "wave %s: %s, was %s", run->id,
 			wwh_chart_state_name(conductor->wave_chart,
 					     run->machine.state),
 			wwh_chart_state_name(conductor->wave_chart, before));
 }
 
-/* Turns what the view shows into the wave's events. */
-static void watch(wwh_conductor_t *conductor, wwh_wave_run_t *run, int32_t pool)
+/* Derives the wave's events from the view. */
+static void apply_view(wwh_conductor_t *conductor, wwh_wave_run_t *run,
+		       int32_t pool)
 {
 	const wwh_fleet_view_t *view = conductor->view;
 	const wwh_fleet_pool_t *item = wwh_fleet_pool(view, pool);
 	int32_t window_count;
 	const wwh_window_t *windows = wwh_fleet_windows(view, &window_count);
-	int64_t utc_ms = conductor->now_ms + conductor->utc_less_now_ms;
+	int64_t utc_ms = conductor->now_ms + conductor->utc_offset_ms;
 	int32_t failed = 0;
 
 	for (int32_t i = 0; i < item->size; i++) {
@@ -288,12 +294,12 @@
 			  worker->host_state == WWH_HOST_GONE;
 	}
 	if (failed > run->failed) {
-		run->settled_ms = conductor->now_ms +
-				  conductor->options.settle_failure_ms;
+		run->hold_until_ms = conductor->now_ms +
+				     conductor->options.settle_failure_ms;
 		step(conductor, run, EVENT_FAILURE);
 	}
 	run->failed = failed;
-	if (conductor->now_ms >= run->settled_ms)
+	if (conductor->now_ms >= run->hold_until_ms)
 		step(conductor, run, EVENT_SETTLED);
 	if (wwh_window_is_open(windows, window_count, item->id, utc_ms))
 		step(conductor, run, EVENT_WINDOW_OPEN);
@@ -355,30 +361,31 @@
 {
 	uint32_t takes_out =
 		wwh_chart_tag_mask(conductor->wave_chart, "takes-out");
-	wwh_pool_budget_t *tally;
+	wwh_pool_budget_t *budget;
 
 	if (!wwh_chart_has_tag(&run->machine, takes_out))
 		return;
-	tally = tally_with_requests(conductor, pool);
+	budget = budget_with_requests(conductor, pool);
 	for (int32_t i = 0; i < work->order_count; i++) {
 		int32_t worker = work->order[i];
 
 		if (work->out + work->requested >= run->out_at_once)
 			break;
 		if (wwh_conductor_is_requested(conductor, worker) ||
-		    wwh_pool_budget_allows(tally, worker) !=
+		    wwh_pool_budget_allows(budget, worker) !=
 			    WWH_CONSTRAINT_NONE)
 			continue;
 		if (!wwh_conductor_request_grant(conductor, worker,
 						 WWH_GRANT_WAVE, run->id))
 			continue;
-		wwh_pool_budget_mark_out(tally, worker);
-		/* Budget: what was asked for fits beside all that is out. */
-		assert(wwh_pool_budget_lost(tally) <=
-		       wwh_pool_budget_limit(tally));
+		wwh_pool_budget_mark_out(budget, worker);
+		/* The requested grants fit into the disruption budget together
+		 * with all workers that are out. */
+		assert(wwh_pool_budget_lost(budget) <=
+		       wwh_pool_budget_limit(budget));
 		work->requested++;
 	}
-	wwh_pool_budget_delete(tally);
+	wwh_pool_budget_delete(budget);
 }
 
 static void finish_wave(wwh_conductor_t *conductor, wwh_wave_run_t *run,
@@ -394,29 +401,32 @@
 					run->machine.state),
 		   "finishing") == 0 &&
 	    !wwh_conductor_is_appending(conductor, key)) {
-		wwh_conductor_record(conductor, &record,
-				     WWH_RECORD_WAVE_FINISH);
+		wwh_conductor_init_record(conductor, &record,
+					  WWH_RECORD_WAVE_FINISH);
 		wwh_record_set(&record.body.wave.wave, run->id);
 		record.body.wave.fence = wwh_fleet_pool(view, pool)->fence;
 		if (work->lost > 0) {
 			g_free(record.body.wave.reason);
 			record.body.wave.reason = g_strdup_printf(
 				"%d workers were not maintained", work->lost);
-			wwh_conductor_tell(conductor, "wave %s: %s", run->id,
-					   record.body.wave.reason);
+			wwh_conductor_log(conductor, "wave %s: %s", run->id,
+					  record.body.wave.reason);
 		}
 		wwh_conductor_append(conductor, key, &record);
 	}
 	g_free(key);
 }
 
-/* Grants that were asked for count as out until the log says otherwise. */
-static wwh_pool_budget_t *tally_with_requests(const wwh_conductor_t *conductor,
-					      int32_t pool)
+/*
+ * Returns the pool's disruption budget. Workers whose grant request has no
+ * result yet, or that are gone from the list of hosts, count as out.
+ */
+static wwh_pool_budget_t *budget_with_requests(const wwh_conductor_t *conductor,
+					       int32_t pool)
 {
 	const wwh_fleet_view_t *view = conductor->view;
 	int32_t size = wwh_fleet_pool(view, pool)->size;
-	wwh_pool_budget_t *tally = wwh_pool_budget_new(view, pool);
+	wwh_pool_budget_t *budget = wwh_pool_budget_new(view, pool);
 
 	for (int32_t i = 0; i < size; i++) {
 		int32_t member = wwh_fleet_member(view, pool, i);
@@ -427,7 +437,7 @@
 			continue;
 		if (wwh_conductor_is_requested(conductor, member) ||
 		    worker->host_state == WWH_HOST_GONE)
-			wwh_pool_budget_mark_out(tally, member);
+			wwh_pool_budget_mark_out(budget, member);
 	}
-	return tally;
+	return budget;
 }
--- a/src/libwaxwinghollow/conductor_worker.c
+++ b/src/libwaxwinghollow/conductor_worker.c
@@ -43,21 +43,22 @@
 	"empty", "left", "ready", "cancel", "joined", "ended",
 };
 
-/* By wwh_worker_state_t. */
+/* Indexed by wwh_worker_state_t. */
 static const event_t status_events[WWH_WORKER_STATE_COUNT] = {
 	EVENT_UP,      EVENT_CORDONED,	EVENT_DRAINING,
 	EVENT_DRAINED, EVENT_REBOOTING, EVENT_DOWN,
 };
 
-static const wwh_fleet_worker_t *worker_of(const wwh_actor_t *actor);
+static const wwh_fleet_worker_t *view_worker(const wwh_actor_t *actor);
 static void step(wwh_actor_t *actor, event_t event);
 static void step_move(wwh_actor_t *actor);
 static bool is_cancelled(const wwh_actor_t *actor);
-static wwh_actor_t *actor_for(wwh_conductor_t *conductor, int32_t index);
-static void drop_unseen(wwh_conductor_t *conductor);
+static wwh_actor_t *find_or_add_actor(wwh_conductor_t *conductor,
+				      int32_t index);
+static void remove_missing_actors(wwh_conductor_t *conductor);
 static bool is_empty(const wwh_actor_t *actor);
-static bool is_heard(const wwh_actor_t *actor);
-static bool is_rebooted_for(const wwh_actor_t *actor);
+static bool is_platform_answering(const wwh_actor_t *actor);
+static bool is_reboot_required(const wwh_actor_t *actor);
 
 /* Guards and actions of charts/worker.json. */
 static bool guard_cancelled(int64_t now_ms, void *client_data);
@@ -133,29 +134,29 @@
 
 	g_free(actor->worker);
 	g_free(actor->owner);
-	g_free(actor->look.worker);
+	g_free(actor->query.worker);
 	g_free(actor);
 }
 
-/* One actor for each grant whose lease is held here. */
+/* Keeps one actor for each grant of a pool whose lease is held here. */
 void wwh_actors_sync(wwh_conductor_t *conductor)
 {
 	const wwh_fleet_view_t *view = conductor->view;
 	int32_t worker_count = wwh_fleet_worker_count(view);
 
 	for (guint i = 0; i < conductor->actors->len; i++)
-		((wwh_actor_t *)conductor->actors->pdata[i])->seen = false;
+		((wwh_actor_t *)conductor->actors->pdata[i])->in_view = false;
 	for (int32_t i = 0; i < worker_count; i++) {
 		wwh_actor_t *actor;
 
 		if (wwh_fleet_worker(view, i)->grant == WWH_NO_OFFSET ||
 		    wwh_conductor_fence(conductor, i) == WWH_NO_OFFSET)
 			continue;
-		actor = actor_for(conductor, i);
+		actor = find_or_add_actor(conductor, i);
 		actor->index = i;
-		actor->seen = true;
+		actor->in_view = true;
 	}
-	drop_unseen(conductor);
+	remove_missing_actors(conductor);
 }
 
 void wwh_actors_step(wwh_conductor_t *conductor)
@@ -163,7 +164,7 @@
 	for (guint i = 0; i < conductor->actors->len; i++) {
 		wwh_actor_t *actor = conductor->actors->pdata[i];
 
-		wwh_actor_status(actor);
+		wwh_actor_apply_status(actor);
 		step(actor, EVENT_TICK);
 		if (actor->reason == WWH_GRANT_MOVE)
 			step_move(actor);
@@ -172,18 +173,19 @@
 	}
 }
 
-/* Hands the last status to the chart. */
-void wwh_actor_status(wwh_actor_t *actor)
+/* Passes the last status to the state chart. */
+void wwh_actor_apply_status(wwh_actor_t *actor)
 {
-	const wwh_worker_status_t *status = &actor->look.status;
+	const wwh_worker_status_t *status = &actor->query.status;
 
-	if (!actor->look.is_new)
+	if (!actor->query.is_new)
 		return;
-	actor->look.is_new = false;
-	/* Limits don't run on while nothing could be done. */
-	if (actor->look.silent_ms > actor->conductor->options.answer_limit_ms)
+	actor->query.is_new = false;
+	/* Time limits restart after the platform was unresponsive. */
+	if (actor->query.unanswered_ms >
+	    actor->conductor->options.answer_timeout_ms)
 		actor->entered_ms = actor->conductor->now_ms;
-	/* Its reboot under this grant is still to come, or not over. */
+	/* The reboot under this grant hasn't begun or hasn't ended. */
 	if (actor->boots_before == WWH_FLEET_UNKNOWN &&
 	    (status->state == WWH_WORKER_DRAINING ||
 	     status->state == WWH_WORKER_DRAINED ||
@@ -204,17 +206,18 @@
 	int64_t now_ms = actor->conductor->now_ms;
 
 	if (actor->boots_before != WWH_FLEET_UNKNOWN)
-		return actor->look.status.boots > actor->boots_before;
+		return actor->query.status.boots > actor->boots_before;
 	/*
-	 * A predecessor's grant: the platform took the drain again without
-	 * any effect, so drain and reboot were done under this fence before.
+	 * Another process began the work under this grant: the platform
+	 * accepted the drain again without an effect, so drain and reboot
+	 * were done under this fence before.
 	 */
-	return actor->drain_ok_ms != 0 &&
-	       now_ms - actor->drain_ok_ms >=
+	return actor->drain_accepted_ms != 0 &&
+	       now_ms - actor->drain_accepted_ms >=
 		       actor->conductor->options.settle_ms;
 }
 
-static const wwh_fleet_worker_t *worker_of(const wwh_actor_t *actor)
+static const wwh_fleet_worker_t *view_worker(const wwh_actor_t *actor)
 {
 	return wwh_fleet_worker(actor->conductor->view, actor->index);
 }
@@ -228,19 +231,19 @@
 	if (actor->machine.state == before)
 		return;
 	actor->entered_ms = conductor->now_ms;
-	actor->command = (wwh_pursuit_t){ 0 };
-	actor->look.pursuit.next_ms = 0;
-	wwh_conductor_tell(conductor, "worker %s: %s, was %s (grant %lld, %s)",
-			   actor->worker, state_names[actor->machine.state],
-			   state_names[before], (long long)actor->grant,
-			   wwh_grant_reason_names[actor->reason]);
+	actor->command = (wwh_retry_t){ 0 };
+	actor->query.retry.next_ms = 0;
+	wwh_conductor_log(conductor, "worker %s: %s, was %s (grant %lld, %s)",
+			  actor->worker, state_names[actor->machine.state],
+			  state_names[before], (long long)actor->grant,
+			  wwh_grant_reason_names[actor->reason]);
 }
 
 static void step_move(wwh_actor_t *actor)
 {
 	wwh_conductor_t *conductor = actor->conductor;
-	const wwh_fleet_worker_t *worker = worker_of(actor);
-	int32_t home = wwh_conductor_home(conductor, actor->index);
+	const wwh_fleet_worker_t *worker = view_worker(actor);
+	int32_t home = wwh_conductor_control_pool(conductor, actor->index);
 	int32_t target = worker->move_to != WWH_FLEET_NONE
 				 ? worker->move_to
 				 : worker->wanted_pool;
@@ -251,7 +254,8 @@
 	if (worker->move_to != WWH_FLEET_NONE)
 		wwh_chart_step(&actor->move, MOVE_LEFT, conductor->now_ms,
 			       actor);
-	/* The inventory wants it where it is, or elsewhere than it goes. */
+	/* The inventory assigns the worker to its current pool, or to another
+	 * one than the move's target. */
 	if (worker->wanted_pool == home || worker->wanted_pool != target)
 		wwh_chart_step(&actor->move, MOVE_CANCEL, conductor->now_ms,
 			       actor);
@@ -270,12 +274,12 @@
 	if (actor->move.state == before)
 		return;
 	actor->move_entered_ms = conductor->now_ms;
-	wwh_conductor_tell(
+	wwh_conductor_log(
 		conductor, "move of %s: %s", actor->worker,
 		wwh_chart_state_name(conductor->move_chart, actor->move.state));
 }
 
-/* Whether what the grant is for is over. */
+/* Whether the wave or rehearsal that the grant belongs to has ended. */
 static bool is_cancelled(const wwh_actor_t *actor)
 {
 	const wwh_fleet_view_t *view = actor->conductor->view;
@@ -295,7 +299,7 @@
 	return false;
 }
 
-static wwh_actor_t *actor_for(wwh_conductor_t *conductor, int32_t index)
+static wwh_actor_t *find_or_add_actor(wwh_conductor_t *conductor, int32_t index)
 {
 	const wwh_fleet_worker_t *worker =
 		wwh_fleet_worker(conductor->view, index);
@@ -319,48 +323,48 @@
 	actor->move = wwh_chart_start(conductor->move_chart);
 	actor->entered_ms = conductor->now_ms;
 	actor->move_entered_ms = conductor->now_ms;
-	actor->left_ms = conductor->now_ms;
+	actor->cordoned_ms = conductor->now_ms;
 	actor->boots_before = WWH_FLEET_UNKNOWN;
 	actor->outcome = actor->reason == WWH_GRANT_WAVE ? WWH_GRANT_NEVER_LEFT
 							 : WWH_GRANT_RETURNED;
-	actor->look.worker = g_strdup(worker->id);
+	actor->query.worker = g_strdup(worker->id);
 	g_ptr_array_add(conductor->actors, actor);
 	g_hash_table_insert(conductor->actor_by_worker, actor->worker, actor);
 	return actor;
 }
 
-static void drop_unseen(wwh_conductor_t *conductor)
+static void remove_missing_actors(wwh_conductor_t *conductor)
 {
 	for (guint i = conductor->actors->len; i > 0; i--) {
 		wwh_actor_t *actor = conductor->actors->pdata[i - 1];
 
-		if (actor->seen)
+		if (actor->in_view)
 			continue;
 		g_hash_table_remove(conductor->actor_by_worker, actor->worker);
 		g_ptr_array_remove_index(conductor->actors, i - 1);
 	}
 }
 
-/* Drained, and nobody counts a request or a task on it. */
+/* Whether no task and no request is reported on the worker. */
 static bool is_empty(const wwh_actor_t *actor)
 {
-	return actor->look.status.running_tasks == 0 &&
-	       worker_of(actor)->requests_in_progress <= 0;
+	return actor->query.status.running_tasks == 0 &&
+	       view_worker(actor)->requests_in_progress <= 0;
 }
 
 /*
- * While the platform doesn't answer nothing is known of the worker: it would
- * be given up or counted as failed because the platform is down.
+ * Time limits apply only while the platform answers. Otherwise a drain would be
+ * aborted, or a worker counted as failed, because the platform is down.
  */
-static bool is_heard(const wwh_actor_t *actor)
+static bool is_platform_answering(const wwh_actor_t *actor)
 {
 	const wwh_conductor_t *conductor = actor->conductor;
 
-	return conductor->now_ms - actor->look.heard_ms <
-	       conductor->options.answer_limit_ms;
+	return conductor->now_ms - actor->query.last_answer_ms <
+	       conductor->options.answer_timeout_ms;
 }
 
-static bool is_rebooted_for(const wwh_actor_t *actor)
+static bool is_reboot_required(const wwh_actor_t *actor)
 {
 	return actor->reason == WWH_GRANT_WAVE ||
 	       actor->reason == WWH_GRANT_REPAIR;
@@ -375,8 +379,8 @@
 }
 
 /*
- * Every entry process has had time to stop sending, and jobs that end soon
- * have ended or the plan's patience is over.
+ * Whether every entry process has had time to stop sending requests, and the
+ * plan no longer waits for jobs on the worker to end.
  */
 static bool guard_quiet(int64_t now_ms, void *client_data)
 {
@@ -384,9 +388,9 @@
 	const wwh_fleet_view_t *view = actor->conductor->view;
 	const wwh_rules_t *rules = wwh_fleet_rules(view);
 	wwh_plan_options_t options;
-	int64_t waited_ms = now_ms - actor->left_ms;
+	int64_t waited_ms = now_ms - actor->cordoned_ms;
 
-	if (waited_ms < actor->conductor->options.leave_ms)
+	if (waited_ms < actor->conductor->options.cordon_delay_ms)
 		return false;
 	wwh_plan_options_defaults(&options);
 	options.buffer_weight = rules->buffer_weight;
@@ -402,7 +406,7 @@
 	const wwh_actor_t *actor = client_data;
 
 	(void)now_ms;
-	return is_rebooted_for(actor) && is_empty(actor);
+	return is_reboot_required(actor) && is_empty(actor);
 }
 
 static bool guard_empty_to_stay_out(int64_t now_ms, void *client_data)
@@ -410,7 +414,7 @@
 	const wwh_actor_t *actor = client_data;
 
 	(void)now_ms;
-	return !is_rebooted_for(actor) && is_empty(actor);
+	return !is_reboot_required(actor) && is_empty(actor);
 }
 
 static bool guard_drain_overdue(int64_t now_ms, void *client_data)
@@ -418,8 +422,9 @@
 	const wwh_actor_t *actor = client_data;
 	const wwh_rules_t *rules = wwh_fleet_rules(actor->conductor->view);
 
-	return is_heard(actor) && now_ms - actor->entered_ms >=
-					  rules->drain_limit_s * INT64_C(1000);
+	return is_platform_answering(actor) &&
+	       now_ms - actor->entered_ms >=
+		       rules->drain_limit_s * INT64_C(1000);
 }
 
 static bool guard_rebooted(int64_t now_ms, void *client_data)
@@ -427,7 +432,7 @@
 	const wwh_actor_t *actor = client_data;
 
 	(void)now_ms;
-	return is_rebooted_for(actor) && wwh_actor_rebooted(actor);
+	return is_reboot_required(actor) && wwh_actor_rebooted(actor);
 }
 
 static bool guard_return_overdue(int64_t now_ms, void *client_data)
@@ -435,8 +440,9 @@
 	const wwh_actor_t *actor = client_data;
 	const wwh_rules_t *rules = wwh_fleet_rules(actor->conductor->view);
 
-	return is_heard(actor) && now_ms - actor->entered_ms >=
-					  rules->return_limit_s * INT64_C(1000);
+	return is_platform_answering(actor) &&
+	       now_ms - actor->entered_ms >=
+		       rules->return_limit_s * INT64_C(1000);
 }
 
 static bool guard_checked(int64_t now_ms, void *client_data)
@@ -451,7 +457,7 @@
 	const wwh_actor_t *actor = client_data;
 
 	(void)now_ms;
-	return actor->look.status.state == WWH_WORKER_UP;
+	return actor->query.status.state == WWH_WORKER_UP;
 }
 
 static bool guard_warm(int64_t now_ms, void *client_data)
@@ -476,14 +482,14 @@
 
 	(void)now_ms;
 	if (actor->boots_before == WWH_FLEET_UNKNOWN)
-		actor->boots_before = actor->look.status.boots;
+		actor->boots_before = actor->query.status.boots;
 }
 
 static void action_note_left(int64_t now_ms, void *client_data)
 {
 	wwh_actor_t *actor = client_data;
 
-	actor->left_ms = now_ms;
+	actor->cordoned_ms = now_ms;
 }
 
 static void action_note_cancel(int64_t now_ms, void *client_data)
@@ -504,11 +510,11 @@
 	g_hash_table_add(conductor->drains_given_up,
 			 g_strdup_printf("%s/%s", actor->owner, actor->worker));
 	wwh_conductor_count(conductor, "fleet.drains_given_up");
-	wwh_conductor_tell(conductor,
-			   "worker %s did not drain in time (%d tasks, %d "
-			   "requests); it is given back untouched",
-			   actor->worker, actor->look.status.running_tasks,
-			   worker_of(actor)->requests_in_progress);
+	wwh_conductor_log(conductor,
+			  "worker %s did not drain in time (%d tasks, %d "
+			  "requests); it is given back untouched",
+			  actor->worker, actor->query.status.running_tasks,
+			  view_worker(actor)->requests_in_progress);
 }
 
 static void action_back(int64_t now_ms, void *client_data)
@@ -527,8 +533,8 @@
 	(void)now_ms;
 	actor->outcome = WWH_GRANT_FAILED;
 	wwh_conductor_count(actor->conductor, "fleet.workers_lost");
-	wwh_conductor_tell(actor->conductor,
-			   "worker %s did not come back in time; it counts as "
-			   "failed",
-			   actor->worker);
+	wwh_conductor_log(actor->conductor,
+			  "worker %s did not come back in time; it counts as "
+			  "failed",
+			  actor->worker);
 }
--- a/src/libwaxwinghollow/include/private/conductor_state.h
+++ b/src/libwaxwinghollow/include/private/conductor_state.h
@@ -3,16 +3,16 @@
 
 /*
  * NAME
- *	conductor_state - what the conductor's parts share
+ *	conductor_state - definitions shared by the conductor's source files
  *
- *	conductor.c		life, tick, results
- *	conductor_queue.c	actions, what is in flight, repeats
- *	conductor_worker.c	the charts of granted workers and moves
- *	conductor_pursue.c	what a granted worker's state asks for
- *	conductor_wave.c	waves, and moves that begin
- *	conductor_repair.c	failures, and workers that come back
+ *	conductor.c		creation, tick, results
+ *	conductor_queue.c	queue of actions, actions in flight, retries
+ *	conductor_worker.c	state charts of granted workers and moves
+ *	conductor_pursue.c	actions for the state of a granted worker
+ *	conductor_wave.c	waves, start of moves
+ *	conductor_repair.c	failed workers and their return
  *	conductor_rehearsal.c	rehearsals and their reports
- *	conductor_job.c		placements and their tasks
+ *	conductor_job.c		placements of jobs and their tasks
  */
 
 #include "waxwinghollow/budget.h"
@@ -21,25 +21,25 @@
 #include "waxwinghollow/outcomes.h"
 #include "waxwinghollow/planner.h"
 
-/* One thing that is asked for until it is so. */
+/* Retry state of an action that is repeated until it takes effect. */
 typedef struct {
-	int64_t action; /* in flight; 0: none */
+	int64_t action; /* id of the action in flight, or 0 */
 	int64_t sent_ms;
-	int64_t next_ms; /* no repeat before */
-	int32_t tries;
-} wwh_pursuit_t;
+	int64_t next_ms; /* earliest time of the next attempt */
+	int32_t tries; /* failed attempts in succession */
+} wwh_retry_t;
 
-/* A worker's status as last seen. */
+/* The last known status of a worker, and the query for it. */
 typedef struct {
 	char *worker;
-	wwh_pursuit_t pursuit;
+	wwh_retry_t retry;
 	bool is_known;
-	bool is_new; /* not yet handed to the chart */
-	int64_t seen_ms; /* 0: look again at once */
-	int64_t heard_ms; /* last answer of the platform */
-	int64_t silent_ms; /* before that answer */
+	bool is_new; /* not yet passed to the state chart */
+	int64_t status_ms; /* when it was received; 0: query again at once */
+	int64_t last_answer_ms; /* last answer of the platform */
+	int64_t unanswered_ms; /* between the last two answers */
 	wwh_worker_status_t status;
-} wwh_look_t;
+} wwh_status_query_t;
 
 typedef enum {
 	WWH_ACTOR_LOOKING = 0,
@@ -61,22 +61,22 @@
 typedef struct {
 	wwh_conductor_t *conductor;
 	char *worker;
-	int32_t index; /* in the view of this tick */
+	int32_t index; /* of the worker in this tick's view */
 	int64_t grant;
 	wwh_grant_reason_t reason;
 	char *owner;
 	wwh_chart_machine_t machine;
-	wwh_chart_machine_t move; /* reason move only */
+	wwh_chart_machine_t move; /* used only if the reason is a move */
 	int64_t entered_ms;
 	int64_t move_entered_ms;
-	int64_t boots_before; /* WWH_FLEET_UNKNOWN */
-	int64_t left_ms; /* since when it is known to be cordoned */
-	int64_t drain_ok_ms; /* the platform took the drain; 0: not yet */
+	int64_t boots_before; /* boot count, or WWH_FLEET_UNKNOWN */
+	int64_t cordoned_ms; /* when the cordon was confirmed */
+	int64_t drain_accepted_ms; /* 0: the platform hasn't accepted the drain */
 	bool cancelled;
-	bool seen; /* in this tick's view */
+	bool in_view; /* of this tick */
 	wwh_grant_outcome_t outcome;
-	wwh_pursuit_t command;
-	wwh_look_t look;
+	wwh_retry_t command;
+	wwh_status_query_t query;
 } wwh_actor_t;
 
 typedef struct {
@@ -85,8 +85,8 @@
 	wwh_chart_machine_t machine;
 	int32_t out_at_once;
 	int32_t failed; /* as of the last tick */
-	int64_t settled_ms;
-	bool seen;
+	int64_t hold_until_ms;
+	bool in_view;
 } wwh_wave_run_t;
 
 typedef struct {
@@ -106,34 +106,34 @@
 	wwh_caller_counts_t callers_after;
 } wwh_rehearsal_run_t;
 
-/* A placement of a job that is in force. */
+/* A job's current placement on a worker. */
 typedef struct {
 	char *job;
 	char *worker;
 	int64_t lease;
 	wwh_chart_machine_t machine;
-	wwh_pursuit_t order;
+	wwh_retry_t order;
 	int64_t renewed_ms;
-	int64_t lost_ms; /* when its worker was seen lost */
+	int64_t worker_lost_ms; /* when the loss of its worker was detected */
 	wwh_load_t load;
 	bool idempotent;
-	bool outcome_noted;
-	bool seen;
+	bool is_outcome_recorded;
+	bool in_view;
 	int64_t throttle_millicores; /* 0: not throttled */
 } wwh_job_run_t;
 
 typedef enum {
 	WWH_ORIGIN_COMMAND = 0,
-	WWH_ORIGIN_LOOK,
+	WWH_ORIGIN_STATUS,
 	WWH_ORIGIN_APPEND,
 	WWH_ORIGIN_TASK
 } wwh_origin_kind_t;
 
-/* Whom the result of an action is for. */
+/* The recipient of an action's result. */
 typedef struct {
 	wwh_origin_kind_t kind;
 	char *key; /* worker, job or key of the append */
-	int64_t grant; /* or lease */
+	int64_t grant; /* offset of the grant, or of the job's lease */
 	wwh_command_t command;
 	wwh_task_verb_t verb;
 } wwh_origin_t;
@@ -143,7 +143,7 @@
 	char *author;
 	GRand *rand;
 	int64_t now_ms;
-	int64_t utc_less_now_ms;
+	int64_t utc_offset_ms;
 	const wwh_fleet_view_t *view; /* during a tick only */
 	wwh_chart_t *worker_chart;
 	wwh_chart_t *move_chart;
@@ -151,15 +151,15 @@
 	wwh_chart_t *job_chart;
 	GQueue actions; /* of wwh_action_t * */
 	int64_t last_action;
-	int32_t repeats_left; /* of this tick */
+	int32_t repeats_left; /* in this tick */
 	GHashTable *origins; /* action id to wwh_origin_t * */
-	GHashTable *appends; /* key to wwh_pursuit_t * */
-	GHashTable *probes; /* failed worker's id to wwh_look_t * */
+	GHashTable *appends; /* key to wwh_retry_t * */
+	GHashTable *probes; /* failed worker's id to wwh_status_query_t * */
 	GPtrArray *actors; /* of wwh_actor_t *, in order of creation */
 	GHashTable *actor_by_worker;
 	GPtrArray *waves; /* of wwh_wave_run_t * */
 	GHashTable *wave_by_id;
-	GHashTable *drains_given_up; /* "wave/worker" */
+	GHashTable *drains_given_up; /* keys "wave/worker" */
 	GPtrArray *rehearsals; /* of wwh_rehearsal_run_t * */
 	GPtrArray *jobs; /* of wwh_job_run_t * */
 	GHashTable *job_by_id;
@@ -171,70 +171,68 @@
 	int64_t placed_ms;
 };
 
-/* Queue. Each returns whether the action was put into the queue. */
+/* Functions that return bool report whether the action was queued. */
 bool wwh_conductor_append(wwh_conductor_t *conductor, const char *key,
-			  wwh_record_t *record); /* takes record over */
+			  wwh_record_t *record); /* takes ownership of record */
 bool wwh_conductor_is_appending(const wwh_conductor_t *conductor,
 				const char *key);
-/* No append under key before until_ms. */
+/* Delays the next append with this key until until_ms. */
 void wwh_conductor_defer_append(wwh_conductor_t *conductor, const char *key,
 				int64_t until_ms);
-bool wwh_conductor_command(wwh_conductor_t *conductor, wwh_actor_t *actor,
-			   wwh_command_t command, int64_t fence);
-bool wwh_conductor_look(wwh_conductor_t *conductor, wwh_look_t *look);
-bool wwh_conductor_order(wwh_conductor_t *conductor, wwh_job_run_t *run,
-			 wwh_task_verb_t verb);
-void wwh_conductor_tell(wwh_conductor_t *conductor, const char *format, ...)
+bool wwh_conductor_send_command(wwh_conductor_t *conductor, wwh_actor_t *actor,
+				wwh_command_t command, int64_t fence);
+bool wwh_conductor_query_status(wwh_conductor_t *conductor,
+				wwh_status_query_t *query);
+bool wwh_conductor_order_task(wwh_conductor_t *conductor, wwh_job_run_t *run,
+			      wwh_task_verb_t verb);
+void wwh_conductor_log(wwh_conductor_t *conductor, const char *format, ...)
 	__attribute__((format(printf, 2, 3)));
 void wwh_conductor_count(wwh_conductor_t *conductor, const char *name);
 void wwh_conductor_begin_queue(wwh_conductor_t *conductor);
-/* The result came, or its limit passed: the next repeat waits longer. */
-void wwh_conductor_settle(wwh_conductor_t *conductor, wwh_pursuit_t *pursuit,
-			  bool went_well);
-wwh_pursuit_t *wwh_conductor_pending(wwh_conductor_t *conductor,
-				     const char *key);
+/* Ends an attempt and sets the earliest time of the next one. */
+void wwh_conductor_end_attempt(wwh_conductor_t *conductor, wwh_retry_t *retry,
+			       bool succeeded);
+wwh_retry_t *wwh_conductor_append_retry(wwh_conductor_t *conductor,
+					const char *key);
 void wwh_origin_free(gpointer data);
 
-/* A new record by this conductor. */
-void wwh_conductor_record(const wwh_conductor_t *conductor,
-			  wwh_record_t *record, wwh_record_kind_t kind);
+/* Initializes a record with this conductor as its author. */
+void wwh_conductor_init_record(const wwh_conductor_t *conductor,
+			       wwh_record_t *record, wwh_record_kind_t kind);
 bool wwh_conductor_request_grant(wwh_conductor_t *conductor, int32_t worker,
 				 wwh_grant_reason_t reason, const char *owner);
 bool wwh_conductor_is_requested(const wwh_conductor_t *conductor,
 				int32_t worker);
 
-/* The pool of the worker's control work; WWH_FLEET_NONE. */
-int32_t wwh_conductor_home(const wwh_conductor_t *conductor, int32_t worker);
-/* The lease's fence for that pool, or WWH_NO_OFFSET. */
+/* The pool whose lease covers the worker, or WWH_FLEET_NONE. */
+int32_t wwh_conductor_control_pool(const wwh_conductor_t *conductor,
+				   int32_t worker);
+/* The fence of that pool's lease if it is held here, or WWH_NO_OFFSET. */
 int64_t wwh_conductor_fence(const wwh_conductor_t *conductor, int32_t worker);
 
-/* Workers. */
 const wwh_chart_table_t *wwh_actor_worker_table(void);
 const wwh_chart_table_t *wwh_actor_move_table(void);
 void wwh_actors_sync(wwh_conductor_t *conductor);
 void wwh_actors_step(wwh_conductor_t *conductor);
-void wwh_actors_pursue(wwh_conductor_t *conductor);
-void wwh_actor_status(wwh_actor_t *actor);
+void wwh_actors_queue_actions(wwh_conductor_t *conductor);
+void wwh_actor_apply_status(wwh_actor_t *actor);
 void wwh_actor_free(gpointer data);
 bool wwh_actor_rebooted(const wwh_actor_t *actor);
 
-/* Waves, moves, repairs. */
 const wwh_chart_table_t *wwh_wave_table(void);
 void wwh_waves_step(wwh_conductor_t *conductor);
 void wwh_moves_step(wwh_conductor_t *conductor);
-void wwh_failures_step(wwh_conductor_t *conductor);
+void wwh_repairs_step(wwh_conductor_t *conductor);
 void wwh_wave_run_free(gpointer data);
-void wwh_look_free(gpointer data);
+void wwh_status_query_free(gpointer data);
 
-/* Rehearsals. */
 void wwh_rehearsals_step(wwh_conductor_t *conductor);
 void wwh_rehearsal_run_free(gpointer data);
 
-/* Jobs. */
 const wwh_chart_table_t *wwh_job_table(void);
 void wwh_jobs_step(wwh_conductor_t *conductor);
 void wwh_job_run_free(gpointer data);
-void wwh_job_ordered(wwh_conductor_t *conductor, wwh_job_run_t *run,
-		     wwh_task_verb_t verb, wwh_status_t status);
+void wwh_job_run_handle_answer(wwh_conductor_t *conductor, wwh_job_run_t *run,
+			       wwh_task_verb_t verb, wwh_status_t status);
 
 #endif
--- a/src/test_conductor/test_conductor.c
+++ b/src/test_conductor/test_conductor.c
@@ -14,7 +14,7 @@
 		sim_step(sim);
 }
 
-/* Until every wave has finished, at most limit steps. */
+/* Runs until every wave has finished, for at most limit steps. */
 static void run_waves(sim_t *sim, int32_t limit)
 {
 	int32_t done;
@@ -27,7 +27,7 @@
 	}
 }
 
-static void assert_clean(const sim_t *sim)
+static void assert_no_violations(const sim_t *sim)
 {
 	assert_int_equal(sim->cut_off, 0);
 	assert_int_equal(sim->out_without_grant, 0);
@@ -68,9 +68,9 @@
 		run_waves(&sim, 4000);
 		assert_waves_done(&sim, 50);
 		assert_int_equal(sim.reboots, 50);
-		assert_clean(&sim);
+		assert_no_violations(&sim);
 		run(&sim, 60);
-		/* Every job runs again, and moved once at most. */
+		/* Every job runs again and was moved at most once. */
 		assert_true(sim.checkpoints <= 60);
 		assert_int_equal(sim.runs_started, 60 + sim.checkpoints);
 		sim_finish(&sim);
@@ -78,10 +78,11 @@
 }
 
 /*
- * Answers are lost after the effect, the platform refuses every fifth call,
- * and the list lags by 10 s. Operators see the same wave, only slower.
+ * Answers are lost after the command took effect, the platform rejects every
+ * fifth call, and the list of hosts lags by 10 s. The wave must have the same
+ * result, only later.
  */
-static void lost_answers_repeat_nothing(void **unused)
+static void lost_answers_cause_no_second_reboot(void **unused)
 {
 	sim_options_t options = sim_options_defaults(fleet_fixture_bounce());
 	sim_t sim;
@@ -95,7 +96,7 @@
 	run_waves(&sim, 8000);
 	assert_waves_done(&sim, 50);
 	assert_int_equal(sim.reboots, 50);
-	assert_clean(&sim);
+	assert_no_violations(&sim);
 	sim_finish(&sim);
 }
 
@@ -108,7 +109,7 @@
 	return false;
 }
 
-static bool holds_reboot(const sim_t *sim)
+static bool has_held_reboot(const sim_t *sim)
 {
 	for (int32_t p = 0; p < 2; p++) {
 		const GList *item = sim->processes[p].held.head;
@@ -125,12 +126,13 @@
 }
 
 /*
- * The process that conducts the wave freezes after it has decided and before
- * it sends. Another takes its leases, the operator aborts, and the workers
- * serve again. Then the first wakes up and sends what it had decided, a
- * reboot among it. The platform must refuse all of it: the worker serves.
+ * The processes that conduct the waves freeze between the decision on commands
+ * and their sending. Another process acquires the leases, the operator aborts
+ * the waves, and the workers serve again. Then the frozen processes resume and
+ * send their commands, among them a reboot. The platform must reject these,
+ * because the workers serve.
  */
-static void a_frozen_conductor_wakes_up_harmless(void **unused)
+static void late_commands_of_a_frozen_conductor_are_rejected(void **unused)
 {
 	sim_options_t options = sim_options_defaults(fleet_fixture_bounce());
 	int64_t reboots;
@@ -147,7 +149,7 @@
 	sim.processes[0].hold = true;
 	sim.processes[1].hold = true;
 	run(&sim, 5);
-	assert_true(holds_reboot(&sim));
+	assert_true(has_held_reboot(&sim));
 	sim.processes[0].frozen = true;
 	sim.processes[1].frozen = true;
 	sim_new_process(&sim, 2);
@@ -171,11 +173,11 @@
 	for (int32_t w = 0; w < 50; w++)
 		assert_int_equal(sim.workers[w].state, WWH_WORKER_UP);
 	assert_true(sim.fenced_off > 0);
-	assert_clean(&sim);
+	assert_no_violations(&sim);
 	sim_finish(&sim);
 }
 
-/* A killed conductor's wave is finished by another from the log alone. */
+/* After a conductor is killed another finishes its wave from the log alone. */
 static void another_process_finishes_the_wave(void **unused)
 {
 	sim_options_t options = sim_options_defaults(fleet_fixture_peachtree());
@@ -197,13 +199,13 @@
 	}
 	run_waves(&sim, 8000);
 	assert_waves_done(&sim, 50);
-	assert_clean(&sim);
+	assert_no_violations(&sim);
 	sim_finish(&sim);
 }
 
 /*
- * A worker doesn't come back from its reboot. The wave waits for it as long
- * as the rule says, reports it, counts it as failed, and ends without it.
+ * A worker doesn't return from its reboot. The wave waits for it until the
+ * rules' return limit, reports it as failed and ends without it.
  */
 static void a_worker_that_never_returns_ends_as_failed(void **unused)
 {
@@ -221,14 +223,14 @@
 	assert_true(wwh_state_worker(sim.state, "w00007", &worker));
 	assert_true(worker.failed != WWH_NO_OFFSET);
 	assert_true(worker.grant == WWH_NO_OFFSET);
-	assert_clean(&sim);
+	assert_no_violations(&sim);
 	sim_finish(&sim);
 }
 
 /*
- * A request hangs on a worker. It isn't rebooted: after the drain limit it is
- * given back and the wave goes on; when the request has ended meanwhile the
- * caller got its answer.
+ * A request on a worker doesn't end. The worker must not be rebooted: after the
+ * drain limit it is released and the wave continues, so that the request can
+ * still be answered.
  */
 static void a_request_in_progress_is_never_cut_off(void **unused)
 {
@@ -246,14 +248,15 @@
 	assert_waves_done(&sim, 49);
 	assert_int_equal(sim.workers[3].boots, 0);
 	assert_int_equal(sim.workers[3].state, WWH_WORKER_UP);
-	assert_clean(&sim);
+	assert_no_violations(&sim);
 	sim_finish(&sim);
 }
 
 /*
- * A rack fails in the middle of the wave, for ten minutes. The list shows it
- * 10 s later. No pool goes over its budget meanwhile: what was out and the
- * rack together fit, because the reserve was kept. The wave then ends.
+ * A rack fails during the wave for ten minutes, which the list of hosts reports
+ * 10 s later. No pool exceeds its disruption budget: the workers that are out
+ * and the rack fit together, because the reserve was left free. The wave then
+ * ends.
  */
 static void a_rack_lost_in_mid_wave_stays_in_the_budget(void **unused)
 {
@@ -273,7 +276,7 @@
 		run_waves(&sim, 8000);
 		run(&sim, 900);
 		assert_int_equal(sim.over_budget, 0);
-		assert_clean(&sim);
+		assert_no_violations(&sim);
 		for (int32_t w = 0; w < 50; w++)
 			assert_int_equal(sim.workers[w].state, WWH_WORKER_UP);
 		sim_finish(&sim);
@@ -281,9 +284,9 @@
 }
 
 /*
- * A zone fails, which is more than the rule's reserve. The budget is broken
- * by the failure itself; the wave takes nobody out until the zone is back,
- * and then ends.
+ * A zone fails, which is more than the rule's reserve, so that the failure itself
+ * exceeds the disruption budget. The wave takes no worker out until the zone has
+ * returned, and then ends.
  */
 static void a_zone_lost_in_mid_wave_pauses_it(void **unused)
 {
@@ -311,7 +314,7 @@
 	sim_finish(&sim);
 }
 
-/* Workers that are out under a grant of that offset or a later one. */
+/* Counts workers with a grant at the offset or a later one. */
 static int32_t granted_since(const sim_t *sim, int64_t offset)
 {
 	int32_t count = 0;
@@ -326,8 +329,9 @@
 }
 
 /*
- * The rule names the zone as the failure to survive. A zone fails whenever in
- * the wave: no pool goes over its budget, before the list shows it or after.
+ * The rule reserves capacity for the failure of a zone. A zone fails at various
+ * times of the wave: no pool exceeds its disruption budget, neither before nor
+ * after the list of hosts reports the failure.
  */
 static void a_zone_in_reserve_may_fail_at_any_time(void **unused)
 {
@@ -352,15 +356,15 @@
 				sim_fail_worker(&sim, w, 900000);
 		}
 		run_waves(&sim, 8000);
-		assert_clean(&sim);
+		assert_no_violations(&sim);
 		sim_finish(&sim);
 	}
 }
 
 /*
- * Workers of a pool fail one after another, a second apart, as when a switch
- * dies by degrees. From the first that the list shows on nobody else is taken
- * out until no further one has come for a while.
+ * Workers of a pool fail one after another, a second apart, as with a switch that
+ * fails gradually. After the list of hosts reports the first failure no worker is
+ * taken out until there has been no further failure for settle_failure_ms.
  */
 static void a_wave_holds_while_failures_come(void **unused)
 {
@@ -386,21 +390,22 @@
 	assert_true(granted_since(&sim, 0) > 0);
 	mark = sim.offset;
 	run(&sim, 20);
-	/* Some came back meanwhile, and there is room for others. */
+	/* Some have returned, so that the budget allows others. */
 	assert_true(granted_since(&sim, 0) < 3);
 	assert_int_equal(granted_since(&sim, mark), 0);
 	run(&sim, 5);
 	assert_true(granted_since(&sim, mark) > 0);
 	run_waves(&sim, 4000);
-	assert_clean(&sim);
+	assert_no_violations(&sim);
 	sim_finish(&sim);
 }
 
 /*
- * The target: 5,100 workers in 232 pools, all waves at once, 35 failures of
- * ten minutes each while they run, the list 10 s behind.
+ * The target fleet: 5,100 workers in 232 pools, all waves at once, with 35
+ * failures of ten minutes each while they run and a list of hosts that lags by
+ * 10 s.
  */
-static void the_target_with_35_failures(void **unused)
+static void target_fleet_with_35_failures(void **unused)
 {
 	sim_options_t options = sim_options_defaults(fleet_fixture_target());
 	int32_t done;
@@ -419,16 +424,17 @@
 	}
 	run_waves(&sim, 600);
 	assert_int_equal(sim_waves_finished(&sim, &done), 232);
-	/* Those that were down when their pool's wave ended are reported. */
+	/* Workers that were down when their pool's wave ended are reported as
+	 * not maintained. */
 	assert_true(done >= 5100 - 35);
-	assert_clean(&sim);
+	assert_no_violations(&sim);
 	sim_finish(&sim);
 }
 
-/* The clock of the ticks is not UTC: the window opens by UTC alone. */
+/* The clock of the ticks isn't UTC; windows depend on UTC only. */
 static void a_wave_waits_for_its_window(void **unused)
 {
-	const int64_t utc_less_now_ms = INT64_C(86400000);
+	const int64_t utc_offset_ms = INT64_C(86400000);
 	sim_options_t options = sim_options_defaults(fleet_fixture_bounce());
 	sim_t sim;
 
@@ -438,18 +444,21 @@
 			  "\"00:30\", \"duration_minutes\": 180}";
 	options.check_state = true;
 	sim_init(&sim, &options);
-	/* The sim begins at second 1,000 of a Thursday, or of a Friday. */
+	/*
+	 * The simulation begins at second 1,000 of a Thursday, with the offset
+	 * below of a Friday.
+	 */
 	sim_start_waves(&sim);
 	run(&sim, 1000);
 	assert_int_equal(sim.reboots, 0);
-	wwh_conductor_set_utc(sim.processes[0].conductor, utc_less_now_ms);
+	wwh_conductor_set_utc(sim.processes[0].conductor, utc_offset_ms);
 	run_waves(&sim, 8000);
 	assert_waves_done(&sim, 50);
-	assert_clean(&sim);
+	assert_no_violations(&sim);
 	sim_finish(&sim);
 }
 
-/* Two operators start waves of one pool: the second is told of the first. */
+/* Two operators start waves of one pool: the second is rejected as busy. */
 static void overlapping_waves_of_two_operators(void **unused)
 {
 	sim_options_t options = sim_options_defaults(fleet_fixture_bounce());
@@ -469,16 +478,16 @@
 	assert_waves_done(&sim, 50);
 	assert_int_equal(sim_start_wave(&sim, "other", 2),
 			 WWH_VERDICT_ACCEPTED);
-	assert_clean(&sim);
+	assert_no_violations(&sim);
 	sim_finish(&sim);
 }
 
 /*
- * The log is down for an hour in mid-wave. Workers that are out are brought
- * up to where a record would be needed; nobody new is taken out. When the
- * log is back the wave ends.
+ * The log is unavailable for an hour during the wave. Workers that are out
+ * proceed to the point where a record is needed; no others are taken out. When
+ * the log is available again the wave ends.
  */
-static void the_store_down_for_an_hour_only_delays(void **unused)
+static void an_unavailable_store_only_delays(void **unused)
 {
 	sim_options_t options = sim_options_defaults(fleet_fixture_bounce());
 	int32_t out = 0;
@@ -498,16 +507,16 @@
 	run_waves(&sim, 8000);
 	assert_waves_done(&sim, 50);
 	assert_int_equal(sim.reboots, 50);
-	assert_clean(&sim);
+	assert_no_violations(&sim);
 	sim_finish(&sim);
 }
 
 /*
- * The platform answers nothing for an hour in mid-wave. Nobody knows how the
- * workers are that are out; none is counted as failed for it, and none is
- * given up when it answers again.
+ * The platform is unresponsive for an hour in all during the wave, so that the
+ * status of workers that are out is unknown. None of them counts as failed, and
+ * no drain is aborted when the platform answers again.
  */
-static void the_platform_silent_for_an_hour_only_delays(void **unused)
+static void an_unresponsive_platform_only_delays(void **unused)
 {
 	sim_options_t options = sim_options_defaults(fleet_fixture_bounce());
 	sim_t sim;
@@ -525,11 +534,14 @@
 	run_waves(&sim, 8000);
 	assert_waves_done(&sim, 50);
 	assert_int_equal(sim.reboots, 50);
-	assert_clean(&sim);
+	assert_no_violations(&sim);
 	sim_finish(&sim);
 }
 
-/* The inventory puts a worker into another pool; one pool at any moment. */
+/*
+ * The inventory assigns a worker to another pool. It belongs to at most one pool
+ * at any time.
+ */
 static void a_move_takes_a_worker_from_pool_to_pool(void **unused)
 {
 	sim_options_t options = sim_options_defaults(fleet_fixture_bounce());
@@ -547,7 +559,7 @@
 	assert_true(worker.grant == WWH_NO_OFFSET);
 	assert_int_equal(sim.workers[5].state, WWH_WORKER_UP);
 	assert_int_equal(sim.reboots, 0);
-	assert_clean(&sim);
+	assert_no_violations(&sim);
 	sim_finish(&sim);
 }
 
@@ -573,7 +585,7 @@
 	return text;
 }
 
-static void a_rack_is_rehearsed_and_given_back(void **unused)
+static void a_rack_rehearsal_passes_and_releases_its_workers(void **unused)
 {
 	sim_options_t options = sim_options_defaults(fleet_fixture_bounce());
 	wwh_rehearsal_view_t view;
@@ -604,13 +616,13 @@
 						    "practice");
 	assert_non_null(strstr(json, "\"outcome\" : \"passed\""));
 	assert_int_equal(sim.reboots, 0);
-	assert_clean(&sim);
+	assert_no_violations(&sim);
 	g_free(text);
 	g_free(json);
 	sim_finish(&sim);
 }
 
-/* A real failure comes while the rack is out: all is given back at once. */
+/* A failure while the rack is out: its workers are released at once. */
 static void a_failure_stops_the_rehearsal(void **unused)
 {
 	sim_options_t options = sim_options_defaults(fleet_fixture_bounce());
@@ -628,12 +640,15 @@
 		assert_int_equal(sim.workers[w].state, WWH_WORKER_UP);
 	text = rehearsal_report(&sim);
 	assert_non_null(strstr(text, "a worker failed meanwhile"));
-	assert_clean(&sim);
+	assert_no_violations(&sim);
 	g_free(text);
 	sim_finish(&sim);
 }
 
-/* A zone is more than the pools may lose: refused before a worker is out. */
+/*
+ * A zone exceeds the pools' disruption budget: the rehearsal stops before a
+ * worker is taken out.
+ */
 static void a_rehearsal_beyond_the_budget_takes_nobody_out(void **unused)
 {
 	sim_options_t options = sim_options_defaults(fleet_fixture_bounce());
@@ -649,7 +664,7 @@
 		assert_int_equal(sim.workers[w].state, WWH_WORKER_UP);
 	text = rehearsal_report(&sim);
 	assert_non_null(strstr(text, "budget does not allow it"));
-	assert_clean(&sim);
+	assert_no_violations(&sim);
 	g_free(text);
 	sim_finish(&sim);
 }
@@ -658,8 +673,9 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(a_wave_maintains_each_worker_once),
-		cmocka_unit_test(lost_answers_repeat_nothing),
-		cmocka_unit_test(a_frozen_conductor_wakes_up_harmless),
+		cmocka_unit_test(lost_answers_cause_no_second_reboot),
+		cmocka_unit_test(
+			late_commands_of_a_frozen_conductor_are_rejected),
 		cmocka_unit_test(another_process_finishes_the_wave),
 		cmocka_unit_test(a_worker_that_never_returns_ends_as_failed),
 		cmocka_unit_test(a_request_in_progress_is_never_cut_off),
@@ -667,13 +683,14 @@
 		cmocka_unit_test(a_zone_lost_in_mid_wave_pauses_it),
 		cmocka_unit_test(a_zone_in_reserve_may_fail_at_any_time),
 		cmocka_unit_test(a_wave_holds_while_failures_come),
-		cmocka_unit_test(the_target_with_35_failures),
+		cmocka_unit_test(target_fleet_with_35_failures),
 		cmocka_unit_test(a_wave_waits_for_its_window),
 		cmocka_unit_test(overlapping_waves_of_two_operators),
-		cmocka_unit_test(the_store_down_for_an_hour_only_delays),
-		cmocka_unit_test(the_platform_silent_for_an_hour_only_delays),
+		cmocka_unit_test(an_unavailable_store_only_delays),
+		cmocka_unit_test(an_unresponsive_platform_only_delays),
 		cmocka_unit_test(a_move_takes_a_worker_from_pool_to_pool),
-		cmocka_unit_test(a_rack_is_rehearsed_and_given_back),
+		cmocka_unit_test(
+			a_rack_rehearsal_passes_and_releases_its_workers),
 		cmocka_unit_test(a_failure_stops_the_rehearsal),
 		cmocka_unit_test(
 			a_rehearsal_beyond_the_budget_takes_nobody_out),
