--- a/src/libwaxwinghollow/entry_fleet.c
+++ b/src/libwaxwinghollow/entry_fleet.c
@@ -146,14 +146,15 @@
 	g_free(fleet);
 }
 
-void wwh_entry_fleet_host(wwh_entry_fleet_t *fleet, const wwh_host_t *host)
+void wwh_entry_fleet_observe_host(wwh_entry_fleet_t *fleet,
+				  const wwh_host_t *host)
 {
 	g_mutex_lock(&fleet->lock);
 	wwh_observations_host(fleet->observations, host);
 	g_mutex_unlock(&fleet->lock);
 }
 
-bool wwh_entry_fleet_worker_out(wwh_entry_fleet_t *fleet, const char *worker)
+bool wwh_entry_fleet_is_worker_out(wwh_entry_fleet_t *fleet, const char *worker)
 {
 	bool out;
 
@@ -163,8 +164,8 @@
 	return out;
 }
 
-void wwh_entry_fleet_hear(wwh_entry_fleet_t *fleet,
-			  const wwh_drain_message_t *message)
+void wwh_entry_fleet_handle_drains(wwh_entry_fleet_t *fleet,
+				   const wwh_drain_message_t *message)
 {
 	g_mutex_lock(&fleet->lock);
 	for (guint i = 0; i < message->items->len; i++) {
@@ -183,8 +184,8 @@
 	g_mutex_unlock(&fleet->lock);
 }
 
-void wwh_entry_fleet_tell(wwh_entry_fleet_t *fleet,
-			  wwh_drain_message_t *message)
+void wwh_entry_fleet_report_drains(wwh_entry_fleet_t *fleet,
+				   wwh_drain_message_t *message)
 {
 	wwh_config_t *config = wwh_entry_config(fleet->entry);
 	GHashTableIter iter;
