--- a/include/waxwinghollow/frame.h
+++ b/include/waxwinghollow/frame.h
@@ -9,13 +9,14 @@
  *	A frame is 12 bytes of header (magic "WWHF", version, kind, two bytes
  *	of zero, payload length big-endian) and a payload that is exactly one
  *	MessagePack object. A reader is fed the bytes of one connection as
- *	they come and hands on whole frames.
+ *	they arrive and passes complete frames to a callback.
  *
  *	Anything else that reaches the port (a scanner, another release, a
- *	broken peer) must be harmless: a reader refuses at the first byte that
- *	can't belong to a frame, holds no more than the bytes that did arrive,
- *	and checks the payload's declared lengths before anyone unpacks it.
- *	After a refusal it refuses everything; the connection is to be closed.
+ *	broken peer) must be harmless: a reader rejects the input at the first
+ *	byte that can't belong to a frame, buffers only bytes that have
+ *	arrived, and checks the payload's declared lengths before the payload
+ *	is unpacked. After a fault it rejects all further input; the caller
+ *	must close the connection.
  *
  * ORDER OF CALLS
  *	wwh_frame_reader_new, wwh_frame_reader_feed any number of times,
@@ -35,15 +36,15 @@
 #define WWH_FRAME_DEPTH_MAX 8
 
 typedef enum {
-	WWH_FRAME_HELLO = 0, /* the first on each connection */
+	WWH_FRAME_HELLO = 0, /* the first frame on each connection */
 	WWH_FRAME_GOSSIP,
 	WWH_FRAME_CONFIG, /* newest configuration, see membership.h */
 	WWH_FRAME_LOAN, /* see loan.h */
 	WWH_FRAME_STATE_REQUEST,
 	WWH_FRAME_STATE_PART,
-	WWH_FRAME_SEAT_ASK, /* see seat.h */
-	WWH_FRAME_SEAT_ANSWER,
-	WWH_FRAME_DRAIN, /* requests in progress on workers that are out */
+	WWH_FRAME_VOTE_REQUEST, /* see seat.h */
+	WWH_FRAME_VOTE_ANSWER,
+	WWH_FRAME_DRAIN, /* requests in progress on drained workers */
 	WWH_FRAME_KIND_COUNT
 } wwh_frame_kind_t;
 
@@ -51,8 +52,8 @@
 extern const char *const wwh_frame_kind_names[WWH_FRAME_KIND_COUNT];
 
 typedef enum {
-	WWH_FRAME_FINE = 0,
-	WWH_FRAME_FOREIGN, /* no frame of ours */
+	WWH_FRAME_NO_FAULT = 0,
+	WWH_FRAME_FOREIGN, /* the bytes are not a frame */
 	WWH_FRAME_OTHER_VERSION,
 	WWH_FRAME_UNKNOWN_KIND,
 	WWH_FRAME_TOO_LARGE,
@@ -63,7 +64,10 @@
 /* Names of wwh_frame_fault_t, in the same order. */
 extern const char *const wwh_frame_fault_names[WWH_FRAME_FAULT_COUNT];
 
-/* payload lives only during the call. Returns false to refuse the rest. */
+/*
+ * payload is valid only during the call. Returns false to reject all further
+ * input of the connection.
+ */
 typedef bool (*wwh_frame_visit_t)(wwh_frame_kind_t kind, const uint8_t *payload,
 				  size_t size, void *client_data);
 
@@ -73,18 +77,21 @@
 wwh_frame_reader_t *wwh_frame_reader_new(size_t max_payload);
 void wwh_frame_reader_delete(wwh_frame_reader_t *reader);
 
-/* BAD_INPUT: refused, see wwh_frame_reader_fault. */
+/* Returns BAD_INPUT after a fault or when visit returned false. */
 wwh_status_t wwh_frame_reader_feed(wwh_frame_reader_t *reader,
 				   const uint8_t *data, size_t size,
 				   wwh_frame_visit_t visit, void *client_data);
 
-/* FINE after a refusal means that visit returned false. */
+/* Returns NO_FAULT after a BAD_INPUT when visit returned false. */
 wwh_frame_fault_t wwh_frame_reader_fault(const wwh_frame_reader_t *reader);
 
-/* Bytes held for a frame that isn't whole. */
-size_t wwh_frame_reader_held(const wwh_frame_reader_t *reader);
+/* Returns the number of buffered bytes of an incomplete frame. */
+size_t wwh_frame_reader_buffered_bytes(const wwh_frame_reader_t *reader);
 
-/* Appends one frame to out. LIMIT: the payload is too large. */
+/*
+ * Appends one frame to out. Returns LIMIT when the payload is larger than
+ * WWH_FRAME_PAYLOAD_MAX.
+ */
 wwh_status_t wwh_frame_write(GByteArray *out, wwh_frame_kind_t kind,
 			     const uint8_t *payload, size_t size);
 
--- a/include/waxwinghollow/record.h
+++ b/include/waxwinghollow/record.h
@@ -16,11 +16,12 @@
  *	A kind keeps its number for good and its fields their order; a changed
  *	body gets a new kind. All processes must run a release that knows a
  *	new kind before the first record of that kind is appended, or they
- *	would reach different verdicts.
+ *	would decide differently whether a record takes effect.
  *
  *	author is "operator:NAME" for an operator, else the id of one
  *	incarnation of an entry process (a restarted process is another
- *	author, so it can't continue a lease or an intent that it forgot).
+ *	author, so it can't continue a lease or an intent that it no longer
+ *	knows).
  *
  * ORDER OF CALLS
  *	Fill in a wwh_record_t (strings from GLib's allocator), then
@@ -39,7 +40,7 @@
 #define WWH_RECORD_BYTES_MAX (4 * 1024 * 1024)
 #define WWH_ID_BYTES_MAX 128 /* authors and ids of anything */
 #define WWH_KEY_BYTES_MAX 256 /* an idempotency key */
-#define WWH_KEPT_BODY_BYTES_MAX 2048 /* an answer kept for a repeat */
+#define WWH_KEPT_BODY_BYTES_MAX 2048 /* an answer kept for repeats */
 #define WWH_CONTENT_TYPE_BYTES_MAX 128
 #define WWH_BATCH_ITEMS_MAX 4096
 #define WWH_WAVE_WORKERS_MAX 8192
@@ -57,7 +58,7 @@
 /* Names of wwh_stream_t, in the same order; also their names on the log. */
 extern const char *const wwh_stream_names[WWH_STREAM_COUNT];
 
-/* New kinds go to the end: the number is what stands on the log. */
+/* New kinds are added at the end: the number is stored in the log. */
 typedef enum {
 	WWH_RECORD_CONFIG = 0,
 	WWH_RECORD_LEASE_TAKE,
@@ -110,9 +111,9 @@
 
 typedef enum {
 	WWH_GRANT_RETURNED = 0, /* the worker serves its pool again */
-	WWH_GRANT_FAILED, /* it didn't come back: counts as failed */
-	WWH_GRANT_MOVED, /* joined another pool; set by a move's finish */
-	WWH_GRANT_NEVER_LEFT, /* it was not touched */
+	WWH_GRANT_FAILED, /* it didn't return: counts as failed */
+	WWH_GRANT_MOVED, /* it joined another pool; set by MOVE_FINISH */
+	WWH_GRANT_NEVER_LEFT, /* it was never taken out of its pool */
 	WWH_GRANT_OUTCOME_COUNT
 } wwh_grant_outcome_t;
 
@@ -125,21 +126,21 @@
 } wwh_record_config_t;
 
 /*
- * One lease record. offset is, for a take, the last take or renewal that the
- * challenger saw (WWH_NO_OFFSET: the lease was free); for a renewal and a
- * release, the take that the holder holds it by.
+ * One lease record. In LEASE_TAKE, offset is that of the last take or renewal
+ * that the challenger has read (WWH_NO_OFFSET: the lease was free); in a
+ * renewal and a release, that of the take by which the holder got the lease.
  */
 typedef struct {
 	int32_t shard;
 	int64_t offset;
-	int32_t duration_ms; /* for people and for the challenger's wait */
+	int32_t duration_ms; /* for operators and the challenger's wait */
 } wwh_record_lease_t;
 
 typedef struct {
 	char *worker;
 	wwh_grant_reason_t reason;
-	char *owner; /* id of the wave or rehearsal; free text else */
-	int64_t fence; /* the take of the shard's lease that it acts under */
+	char *owner; /* id of the wave or rehearsal; else free text */
+	int64_t fence; /* offset of the LEASE_TAKE it acts under */
 } wwh_record_grant_request_t;
 
 typedef struct {
@@ -149,18 +150,18 @@
 	int64_t fence;
 } wwh_record_grant_end_t;
 
-/* Worker failed, returned, quarantined and let out again. */
+/* Body of WORKER_FAILED, _RETURNED, _QUARANTINE and _UNQUARANTINE. */
 typedef struct {
 	char *worker;
 	int64_t seen; /* returned: offset of the failure that is over */
 	int64_t fence; /* returned: the shard's lease; else WWH_NO_OFFSET */
-	char *reason; /* for people; may be "" */
+	char *reason; /* for operators; may be "" */
 } wwh_record_worker_t;
 
 typedef struct {
 	char *worker;
 	char *to_pool; /* start only; else "" */
-	int64_t grant; /* offset of the grant (reason move) it goes on */
+	int64_t grant; /* offset of its grant (reason move) */
 	int64_t fence;
 } wwh_record_move_t;
 
@@ -169,7 +170,7 @@
 	char *pool; /* start only; else "" */
 	GPtrArray *workers; /* of char *; start only; empty: all of pool */
 	int64_t fence; /* finish only; else WWH_NO_OFFSET */
-	char *reason; /* for people; may be "" */
+	char *reason; /* for operators; may be "" */
 } wwh_record_wave_t;
 
 typedef struct {
@@ -186,22 +187,22 @@
 	int64_t memory_mb;
 	int32_t accelerators;
 	bool urgent;
-	bool idempotent; /* may be run again after it may have run */
+	bool idempotent; /* may run again although it may have run */
 } wwh_record_job_submit_t;
 
-/* Cancel, place, checkpointed, done and failed. */
+/* Body of JOB_CANCEL, _PLACE, _CHECKPOINTED, _DONE and _FAILED. */
 typedef struct {
 	char *job;
 	char *worker; /* place only; else "" */
-	int64_t fence; /* place: the shard's lease; else the place's offset */
-	wwh_run_class_t run; /* failed only: did it run */
+	int64_t fence; /* place: the shard's lease; else offset of the place */
+	wwh_run_class_t run; /* failed only: whether it ran */
 } wwh_record_job_t;
 
 /* One part of a snapshot, see snapshot.h. */
 typedef struct {
 	int64_t upto; /* state after all records below this offset */
-	uint64_t hash; /* XXH3 of the whole */
-	int64_t total_bytes; /* of the whole */
+	uint64_t hash; /* XXH3 of the complete snapshot */
+	int64_t total_bytes; /* of the complete snapshot */
 	int32_t part;
 	int32_t parts;
 	GBytes *data;
@@ -216,7 +217,7 @@
 
 typedef enum {
 	WWH_RESULT_ANSWERED = 0,
-	WWH_RESULT_NOT_RUN, /* surely; a new intent may try again */
+	WWH_RESULT_NOT_RUN, /* certain; a new intent may retry it */
 	WWH_RESULT_UNKNOWN,
 	WWH_RESULT_COUNT
 } wwh_result_t;
@@ -230,7 +231,7 @@
 	int64_t sequence; /* of the author's intent */
 	wwh_result_t result;
 	int32_t http_status; /* answered only; else 0 */
-	bool body_kept; /* false: too large, a repeat gets no body */
+	bool body_kept; /* false: too large; a repeat gets no body */
 	char *content_type; /* may be "" */
 	GBytes *body; /* empty when not kept */
 } wwh_result_item_t;
@@ -243,14 +244,14 @@
 	GPtrArray *items; /* of wwh_result_item_t * */
 } wwh_record_results_t;
 
-/* The author saw that process is gone for good. */
+/* The author reports that process has ended for good. */
 typedef struct {
 	char *process;
 } wwh_record_abandon_t;
 
 typedef struct {
 	int64_t keys_upto; /* intents below this offset expire */
-	int64_t tombstones_upto; /* tombstones below this are dropped */
+	int64_t tombstones_upto; /* tombstones below this offset are deleted */
 } wwh_record_expire_keys_t;
 
 typedef struct {
@@ -276,33 +277,33 @@
 	} body;
 } wwh_record_t;
 
-/* Whether a record of kind may stand in stream. */
+/* Whether records of this kind are allowed in stream. */
 bool wwh_record_kind_in_stream(wwh_record_kind_t kind, wwh_stream_t stream);
 
 /*
  * Sets record to an empty one of kind: author copied, strings "", lists
- * empty, numbers the least that is allowed (of an offset WWH_NO_OFFSET).
+ * empty, numbers their minimum (offsets WWH_NO_OFFSET).
  */
 void wwh_record_init(wwh_record_t *record, wwh_record_kind_t kind,
 		     const char *author);
 
-/* Replaces a string of a record by a copy of text. */
+/* Replaces a string field of a record by a copy of text. */
 void wwh_record_set(char **field, const char *text);
 
 wwh_intent_item_t *wwh_intent_item_new(const char *service, const char *key);
 wwh_result_item_t *wwh_result_item_new(const char *service, const char *key);
 
-/* NULL and a message when a field is out of its bounds. */
+/* Returns NULL and sets message when a field is out of bounds. */
 GBytes *wwh_record_encode(const wwh_record_t *record, wwh_message_t *message);
 
 /*
- * WWH_STATUS_BAD_INPUT and a message when data is not exactly one record;
- * record is then cleared.
+ * Returns WWH_STATUS_BAD_INPUT and sets message when data is not exactly one
+ * record; record is then cleared.
  */
 wwh_status_t wwh_record_decode(const uint8_t *data, size_t size,
 			       wwh_record_t *record, wwh_message_t *message);
 
-/* Frees what record holds, not record itself. May be called twice. */
+/* Frees the members of record, not record itself. May be called twice. */
 void wwh_record_clear(wwh_record_t *record);
 
 #endif
--- a/src/libwaxwinghollow/entry_exchange.c
+++ b/src/libwaxwinghollow/entry_exchange.c
@@ -50,7 +50,7 @@
 		return;
 	answer.sent_ms = ask.sent_ms;
 	bytes = wwh_seat_answer_encode(&answer);
-	wwh_peers_send(peers, from, WWH_FRAME_SEAT_ANSWER, bytes);
+	wwh_peers_send(peers, from, WWH_FRAME_VOTE_ANSWER, bytes);
 	g_bytes_unref(bytes);
 }
 
--- a/src/libwaxwinghollow/entry_peers.c
+++ b/src/libwaxwinghollow/entry_peers.c
@@ -209,7 +209,7 @@
 	for (guint i = 0; i < targets->len; i++) {
 		const wwh_peer_target_t *target = g_ptr_array_index(targets, i);
 
-		wwh_peers_send(peers, target->address, WWH_FRAME_SEAT_ASK,
+		wwh_peers_send(peers, target->address, WWH_FRAME_VOTE_REQUEST,
 			       bytes);
 	}
 	g_ptr_array_unref(targets);
@@ -322,10 +322,10 @@
 					     size, wwh_now_ms());
 		g_mutex_unlock(&peers->lock);
 		break;
-	case WWH_FRAME_SEAT_ASK:
+	case WWH_FRAME_VOTE_REQUEST:
 		wwh_peers_handle_vote_request(peers, from, payload, size);
 		break;
-	case WWH_FRAME_SEAT_ANSWER:
+	case WWH_FRAME_VOTE_ANSWER:
 		wwh_peers_handle_vote(peers, payload, size);
 		break;
 	case WWH_FRAME_LOAN:
--- a/src/libwaxwinghollow/frame.c
+++ b/src/libwaxwinghollow/frame.c
@@ -5,12 +5,12 @@
 
 #include "private/msgpack_bounds.h"
 
-#define AT_VERSION 4
-#define AT_KIND 5
-#define AT_ZERO 6
-#define AT_LENGTH 8
+#define VERSION_OFFSET 4
+#define KIND_OFFSET 5
+#define ZERO_OFFSET 6
+#define LENGTH_OFFSET 8
 
-static const uint8_t magic[AT_VERSION] = { 'W', 'W', 'H', 'F' };
+static const uint8_t magic[VERSION_OFFSET] = { 'W', 'W', 'H', 'F' };
 
 const char *const wwh_frame_kind_names[WWH_FRAME_KIND_COUNT] = {
 	"hello",      "gossip",	  "config",	 "loan",  "state_request",
@@ -24,17 +24,17 @@
 
 struct wwh_frame_reader {
 	size_t max_payload;
-	GByteArray *held;
-	bool refused;
+	GByteArray *buffer;
+	bool rejected;
 	wwh_frame_fault_t fault;
 };
 
 static wwh_frame_fault_t check_header(const wwh_frame_reader_t *reader,
 				      const uint8_t *data, size_t size);
 static size_t payload_length(const uint8_t *header);
-static bool take_frames(wwh_frame_reader_t *reader, wwh_frame_visit_t visit,
-			void *client_data);
-static bool refuse(wwh_frame_reader_t *reader, wwh_frame_fault_t fault);
+static bool visit_frames(wwh_frame_reader_t *reader, wwh_frame_visit_t visit,
+			 void *client_data);
+static bool reject(wwh_frame_reader_t *reader, wwh_frame_fault_t fault);
 
 wwh_frame_reader_t *wwh_frame_reader_new(size_t max_payload)
 {
@@ -42,7 +42,7 @@
 
 	assert(max_payload <= WWH_FRAME_PAYLOAD_MAX);
 	reader->max_payload = max_payload;
-	reader->held = g_byte_array_new();
+	reader->buffer = g_byte_array_new();
 	return reader;
 }
 
@@ -50,7 +50,7 @@
 {
 	if (reader == NULL)
 		return;
-	g_byte_array_unref(reader->held);
+	g_byte_array_unref(reader->buffer);
 	g_free(reader);
 }
 
@@ -60,18 +60,18 @@
 {
 	size_t limit = WWH_FRAME_HEADER_BYTES + reader->max_payload;
 
-	while (size > 0 && !reader->refused) {
-		size_t room = limit - reader->held->len;
+	while (size > 0 && !reader->rejected) {
+		size_t room = limit - reader->buffer->len;
 		size_t part = MIN(size, room);
 
-		g_byte_array_append(reader->held, data, (guint)part);
+		g_byte_array_append(reader->buffer, data, (guint)part);
 		data += part;
 		size -= part;
-		if (!take_frames(reader, visit, client_data))
+		if (!visit_frames(reader, visit, client_data))
 			break;
-		assert(reader->held->len < limit);
+		assert(reader->buffer->len < limit);
 	}
-	return reader->refused ? WWH_STATUS_BAD_INPUT : WWH_STATUS_OK;
+	return reader->rejected ? WWH_STATUS_BAD_INPUT : WWH_STATUS_OK;
 }
 
 wwh_frame_fault_t wwh_frame_reader_fault(const wwh_frame_reader_t *reader)
@@ -79,9 +79,9 @@
 	return reader->fault;
 }
 
-size_t wwh_frame_reader_held(const wwh_frame_reader_t *reader)
+size_t wwh_frame_reader_buffered_bytes(const wwh_frame_reader_t *reader)
 {
-	return reader->held->len;
+	return reader->buffer->len;
 }
 
 wwh_status_t wwh_frame_write(GByteArray *out, wwh_frame_kind_t kind,
@@ -93,32 +93,32 @@
 		return WWH_STATUS_LIMIT;
 	assert(wwh_msgpack_bounded(payload, size, WWH_FRAME_DEPTH_MAX));
 	memcpy(header, magic, sizeof(magic));
-	header[AT_VERSION] = WWH_FRAME_VERSION;
-	header[AT_KIND] = (uint8_t)kind;
+	header[VERSION_OFFSET] = WWH_FRAME_VERSION;
+	header[KIND_OFFSET] = (uint8_t)kind;
 	for (int i = 0; i < 4; i++)
-		header[AT_LENGTH + i] = (uint8_t)(size >> (24 - 8 * i));
+		header[LENGTH_OFFSET + i] = (uint8_t)(size >> (24 - 8 * i));
 	g_byte_array_append(out, header, sizeof(header));
 	g_byte_array_append(out, payload, (guint)size);
 	return WWH_STATUS_OK;
 }
 
-/* Checks as many bytes of a header as are there. */
+/* Checks the header bytes that have arrived so far. */
 static wwh_frame_fault_t check_header(const wwh_frame_reader_t *reader,
 				      const uint8_t *data, size_t size)
 {
 	if (memcmp(data, magic, MIN(size, sizeof(magic))) != 0)
 		return WWH_FRAME_FOREIGN;
-	if (size > AT_VERSION && data[AT_VERSION] != WWH_FRAME_VERSION)
+	if (size > VERSION_OFFSET && data[VERSION_OFFSET] != WWH_FRAME_VERSION)
 		return WWH_FRAME_OTHER_VERSION;
-	if (size > AT_KIND && data[AT_KIND] >= WWH_FRAME_KIND_COUNT)
+	if (size > KIND_OFFSET && data[KIND_OFFSET] >= WWH_FRAME_KIND_COUNT)
 		return WWH_FRAME_UNKNOWN_KIND;
-	for (size_t i = AT_ZERO; i < MIN(size, AT_LENGTH); i++)
+	for (size_t i = ZERO_OFFSET; i < MIN(size, LENGTH_OFFSET); i++)
 		if (data[i] != 0)
 			return WWH_FRAME_FOREIGN;
 	if (size >= WWH_FRAME_HEADER_BYTES &&
 	    payload_length(data) > reader->max_payload)
 		return WWH_FRAME_TOO_LARGE;
-	return WWH_FRAME_FINE;
+	return WWH_FRAME_NO_FAULT;
 }
 
 static size_t payload_length(const uint8_t *header)
@@ -126,25 +126,25 @@
 	size_t length = 0;
 
 	for (int i = 0; i < 4; i++)
-		length = (length << 8) | header[AT_LENGTH + i];
+		length = (length << 8) | header[LENGTH_OFFSET + i];
 	return length;
 }
 
-/* Returns false after a refusal. */
-static bool take_frames(wwh_frame_reader_t *reader, wwh_frame_visit_t visit,
-			void *client_data)
+/* Passes each complete frame to visit; returns false after a rejection. */
+static bool visit_frames(wwh_frame_reader_t *reader, wwh_frame_visit_t visit,
+			 void *client_data)
 {
 	size_t at = 0;
 
-	while (at < reader->held->len) {
-		const uint8_t *data = reader->held->data + at;
-		size_t size = reader->held->len - at;
+	while (at < reader->buffer->len) {
+		const uint8_t *data = reader->buffer->data + at;
+		size_t size = reader->buffer->len - at;
 		wwh_frame_fault_t fault = check_header(reader, data, size);
 		const uint8_t *payload;
 		size_t length;
 
-		if (fault != WWH_FRAME_FINE)
-			return refuse(reader, fault);
+		if (fault != WWH_FRAME_NO_FAULT)
+			return reject(reader, fault);
 		if (size < WWH_FRAME_HEADER_BYTES)
 			break;
 		length = payload_length(data);
@@ -152,20 +152,20 @@
 			break;
 		payload = data + WWH_FRAME_HEADER_BYTES;
 		if (!wwh_msgpack_bounded(payload, length, WWH_FRAME_DEPTH_MAX))
-			return refuse(reader, WWH_FRAME_BAD_PAYLOAD);
-		if (!visit((wwh_frame_kind_t)data[AT_KIND], payload, length,
+			return reject(reader, WWH_FRAME_BAD_PAYLOAD);
+		if (!visit((wwh_frame_kind_t)data[KIND_OFFSET], payload, length,
 			   client_data))
-			return refuse(reader, WWH_FRAME_FINE);
+			return reject(reader, WWH_FRAME_NO_FAULT);
 		at += WWH_FRAME_HEADER_BYTES + length;
 	}
-	g_byte_array_remove_range(reader->held, 0, (guint)at);
+	g_byte_array_remove_range(reader->buffer, 0, (guint)at);
 	return true;
 }
 
-static bool refuse(wwh_frame_reader_t *reader, wwh_frame_fault_t fault)
+static bool reject(wwh_frame_reader_t *reader, wwh_frame_fault_t fault)
 {
-	reader->refused = true;
+	reader->rejected = true;
 	reader->fault = fault;
-	g_byte_array_set_size(reader->held, 0);
+	g_byte_array_set_size(reader->buffer, 0);
 	return false;
 }
--- a/src/libwaxwinghollow/include/private/log_window.h
+++ b/src/libwaxwinghollow/include/private/log_window.h
@@ -2,8 +2,8 @@
 #define WAXWINGHOLLOW_PRIVATE_LOG_WINDOW_H
 
 /*
- * The ids of the last size offsets of a stream. Which ids it holds
- * depends only on the records noted, so all readers drop the same copies.
+ * The append ids of the last size offsets of a stream. Its content depends
+ * only on the records added, so all readers drop the same copies.
  */
 
 #include <stdbool.h>
@@ -17,11 +17,11 @@
 void wwh_log_window_delete(wwh_log_window_t *window);
 void wwh_log_window_clear(wwh_log_window_t *window);
 
-/* The offset of the record with this id, or 0. */
+/* Returns the offset of the record with this id, or 0. */
 int64_t wwh_log_window_find(const wwh_log_window_t *window,
 			    const wwh_append_id_t *id);
-/* Offsets must rise. */
-void wwh_log_window_note(wwh_log_window_t *window, const wwh_append_id_t *id,
-			 int64_t offset);
+/* Each offset must be greater than the one before. */
+void wwh_log_window_add(wwh_log_window_t *window, const wwh_append_id_t *id,
+			int64_t offset);
 
 #endif
--- a/src/libwaxwinghollow/log_client.c
+++ b/src/libwaxwinghollow/log_client.c
@@ -3,12 +3,12 @@
 #include <assert.h>
 #include <string.h>
 
-/* An appender that has something to do looks at deadlines this often. */
-#define TICK_MS 100
-/* Longer waits are cut, so that no time overflows. */
-#define FAR_MS ((int64_t)24 * 3600 * 1000)
+/* How often an appender with pending payloads checks their deadlines. */
+#define DEADLINE_CHECK_MS 100
+/* Longer waits are limited to this, so that no time overflows. */
+#define MAX_WAIT_MS ((int64_t)24 * 3600 * 1000)
 
-/* A thread in wwh_log_client_append. */
+/* A thread that waits in wwh_log_client_append. */
 typedef struct {
 	bool done;
 	wwh_log_settled_t settled;
@@ -18,27 +18,27 @@
 	wwh_log_client_options_t options;
 	char *stream;
 	GRand *rand;
-	GMutex lock; /* core and what is below */
+	GMutex lock; /* protects core and the members below */
 	GCond changed;
 	wwh_log_core_t *core;
 	GHashTable *waiters; /* ticket to waiter_t * */
-	int64_t delivered; /* all below was delivered */
+	int64_t delivered; /* all records below it were delivered or dropped */
 	bool started;
-	bool refusing;
+	bool is_finishing;
 	bool appends_ended;
 	int64_t finish_ms;
 	GThread *reader;
 	GThread *appender;
-	GRecMutex deliver_lock; /* one callback at a time */
+	GRecMutex deliver_lock; /* serializes callbacks and restore */
 };
 
-/* Client and generation of a read, for its visits. */
+/* The client and generation of a read, passed to visit_entry. */
 typedef struct {
 	wwh_log_client_t *client;
 	int64_t generation;
-} visit_t;
+} read_context_t;
 
-/* Counters and where wwh_log_stats_t has their values. */
+/* Counter names and the offsets of their values in wwh_log_stats_t. */
 static const struct {
 	const char *name;
 	size_t at;
@@ -61,16 +61,16 @@
 
 static gpointer run_reader(gpointer data);
 static void read_once(wwh_log_client_t *client, const wwh_log_read_t *read);
-static bool visit(const wwh_log_entry_t *entry, void *client_data);
+static bool visit_entry(const wwh_log_entry_t *entry, void *client_data);
 static void deliver(wwh_log_client_t *client, wwh_log_verdict_t verdict,
 		    const wwh_log_entry_t *entry);
 static gpointer run_appender(gpointer data);
-static bool appender_ended(wwh_log_client_t *client);
-static void hand_out_settled(wwh_log_client_t *client);
+static bool end_appender_if_done(wwh_log_client_t *client);
+static void report_settled(wwh_log_client_t *client);
 static wwh_status_t submit(wwh_log_client_t *client, const uint8_t *data,
 			   size_t size, int64_t deadline_ms, uint64_t *ticket);
 static void wait_settled(wwh_log_client_t *client, int64_t deadline_ms);
-static void publish(wwh_log_client_t *client);
+static void publish_counters(wwh_log_client_t *client);
 static void wait_ms(wwh_log_client_t *client, int64_t ms);
 
 void wwh_log_client_options_defaults(wwh_log_client_options_t *options)
@@ -128,7 +128,7 @@
 	if (!client->started)
 		return;
 	g_mutex_lock(&client->lock);
-	client->refusing = true;
+	client->is_finishing = true;
 	client->finish_ms = deadline_ms;
 	g_cond_broadcast(&client->changed);
 	g_mutex_unlock(&client->lock);
@@ -193,7 +193,7 @@
 	bool delivered;
 
 	g_mutex_lock(&client->lock);
-	deadline_ms = MIN(deadline_ms, wwh_log_client_now_ms() + FAR_MS);
+	deadline_ms = MIN(deadline_ms, wwh_log_client_now_ms() + MAX_WAIT_MS);
 	while (client->delivered <= offset)
 		if (!g_cond_wait_until(&client->changed, &client->lock,
 				       deadline_ms * 1000))
@@ -287,7 +287,7 @@
 		g_mutex_unlock(&client->lock);
 		if (now)
 			read_once(client, &read);
-		hand_out_settled(client);
+		report_settled(client);
 	}
 }
 
@@ -295,7 +295,7 @@
 {
 	const wwh_platform_t *platform = &client->options.platform;
 	const wwh_log_callbacks_t *callbacks = &client->options.callbacks;
-	visit_t context = { client, read->generation };
+	read_context_t context = { client, read->generation };
 	wwh_log_state_t before;
 	wwh_log_state_t after;
 	int64_t first = 1;
@@ -305,7 +305,7 @@
 	bool caught_up;
 	wwh_status_t status = platform->read(
 		platform->context, client->stream, read->from, read->wait_ms,
-		read->timeout_ms, visit, &context, &first, &next);
+		read->timeout_ms, visit_entry, &context, &first, &next);
 
 	g_rec_mutex_lock(&client->deliver_lock);
 	g_mutex_lock(&client->lock);
@@ -316,7 +316,7 @@
 	trims = wwh_log_core_stats(client->core)->trims - trims;
 	caught_up = wwh_log_core_caught_up(client->core);
 	cursor = client->delivered;
-	publish(client);
+	publish_counters(client);
 	g_cond_broadcast(&client->changed);
 	g_mutex_unlock(&client->lock);
 	if (after == WWH_LOG_TRIMMED && callbacks->on_trimmed != NULL &&
@@ -329,27 +329,31 @@
 	g_rec_mutex_unlock(&client->deliver_lock);
 }
 
-static bool visit(const wwh_log_entry_t *entry, void *client_data)
+static bool visit_entry(const wwh_log_entry_t *entry, void *client_data)
 {
-	const visit_t *context = client_data;
+	const read_context_t *context = client_data;
 	wwh_log_client_t *client = context->client;
 	const wwh_log_callbacks_t *callbacks = &client->options.callbacks;
 	wwh_log_verdict_t verdict;
 
 	g_rec_mutex_lock(&client->deliver_lock);
 	g_mutex_lock(&client->lock);
-	verdict = wwh_log_core_record(client->core, context->generation, entry);
+	verdict = wwh_log_core_handle_record(client->core, context->generation,
+					     entry);
 	g_mutex_unlock(&client->lock);
 	deliver(client, verdict, entry);
 	if (verdict == WWH_LOG_AMBIGUOUS && callbacks->on_trimmed != NULL)
 		callbacks->on_trimmed(client->stream, entry->offset,
 				      callbacks->client_data);
 	g_rec_mutex_unlock(&client->deliver_lock);
-	hand_out_settled(client);
+	report_settled(client);
 	return verdict != WWH_LOG_STALE && verdict != WWH_LOG_AMBIGUOUS;
 }
 
-/* The delivery comes first, so that a settled append has been applied. */
+/*
+ * Called before the outcomes are reported, so that an append that is reported
+ * as OK has been applied.
+ */
 static void deliver(wwh_log_client_t *client, wwh_log_verdict_t verdict,
 		    const wwh_log_entry_t *entry)
 {
@@ -375,7 +379,7 @@
 	wwh_log_client_t *client = data;
 	const wwh_platform_t *platform = &client->options.platform;
 
-	while (!appender_ended(client)) {
+	while (!end_appender_if_done(client)) {
 		wwh_log_attempt_t attempt;
 		wwh_status_t status;
 		int64_t pause_ms;
@@ -388,9 +392,10 @@
 						wwh_log_client_now_ms(),
 						&attempt, &pause_ms);
 		if (!now && wwh_log_core_waiting(client->core) > 0)
-			wait_ms(client, pause_ms < 0 ? TICK_MS
-						     : MIN(pause_ms, TICK_MS));
-		else if (!now && !client->refusing)
+			wait_ms(client, pause_ms < 0 ? DEADLINE_CHECK_MS
+						     : MIN(pause_ms,
+							   DEADLINE_CHECK_MS));
+		else if (!now && !client->is_finishing)
 			g_cond_wait(&client->changed, &client->lock);
 		g_mutex_unlock(&client->lock);
 		if (now) {
@@ -403,39 +408,43 @@
 						  wwh_log_client_now_ms());
 			g_mutex_unlock(&client->lock);
 		}
-		hand_out_settled(client);
+		report_settled(client);
 	}
 	return NULL;
 }
 
-/* When it is to end, settles what is left and lets the reader end too. */
-static bool appender_ended(wwh_log_client_t *client)
+/*
+ * Returns false while the appender must go on. Otherwise reports the remaining
+ * outcomes and makes the reader end too.
+ */
+static bool end_appender_if_done(wwh_log_client_t *client)
 {
 	bool ended;
 
 	g_mutex_lock(&client->lock);
-	if (client->refusing && client->finish_ms <= wwh_log_client_now_ms())
-		wwh_log_core_give_up(client->core);
-	ended = client->refusing && wwh_log_core_waiting(client->core) == 0;
+	if (client->is_finishing &&
+	    client->finish_ms <= wwh_log_client_now_ms())
+		wwh_log_core_abort_all(client->core);
+	ended = client->is_finishing && wwh_log_core_waiting(client->core) == 0;
 	g_mutex_unlock(&client->lock);
 	if (!ended)
 		return false;
-	hand_out_settled(client);
+	report_settled(client);
 	g_mutex_lock(&client->lock);
 	client->appends_ended = true;
-	publish(client);
+	publish_counters(client);
 	g_cond_broadcast(&client->changed);
 	g_mutex_unlock(&client->lock);
 	return true;
 }
 
-static void hand_out_settled(wwh_log_client_t *client)
+static void report_settled(wwh_log_client_t *client)
 {
 	const wwh_log_callbacks_t *callbacks = &client->options.callbacks;
 	wwh_log_settled_t settled;
 
 	g_mutex_lock(&client->lock);
-	while (wwh_log_core_take_settled(client->core, &settled)) {
+	while (wwh_log_core_pop_settled(client->core, &settled)) {
 		gpointer key = GSIZE_TO_POINTER((gsize)settled.ticket);
 		waiter_t *waiter = g_hash_table_lookup(client->waiters, key);
 
@@ -460,7 +469,7 @@
 	GBytes *payload;
 	wwh_status_t status;
 
-	if (client->refusing)
+	if (client->is_finishing)
 		return WWH_STATUS_UNAVAILABLE;
 	payload = g_bytes_new(data, size);
 	status = wwh_log_core_submit(client->core, payload, deadline_ms,
@@ -470,20 +479,21 @@
 	return status;
 }
 
-/* The appender may be in an attempt when the deadline comes. */
+/* Settles expired payloads here: the appender may be in an attempt then. */
 static void wait_settled(wwh_log_client_t *client, int64_t deadline_ms)
 {
-	int64_t end_ms = MIN(deadline_ms, wwh_log_client_now_ms() + FAR_MS);
+	int64_t end_ms =
+		MIN(deadline_ms, wwh_log_client_now_ms() + MAX_WAIT_MS);
 
 	if (g_cond_wait_until(&client->changed, &client->lock, end_ms * 1000))
 		return;
 	wwh_log_core_tick(client->core, wwh_log_client_now_ms());
 	g_mutex_unlock(&client->lock);
-	hand_out_settled(client);
+	report_settled(client);
 	g_mutex_lock(&client->lock);
 }
 
-static void publish(wwh_log_client_t *client)
+static void publish_counters(wwh_log_client_t *client)
 {
 	const wwh_log_stats_t *stats = wwh_log_core_stats(client->core);
 
@@ -503,7 +513,7 @@
 	}
 }
 
-/* The lock must be held. */
+/* The caller must hold the lock. */
 static void wait_ms(wwh_log_client_t *client, int64_t ms)
 {
 	g_cond_wait_until(&client->changed, &client->lock,
--- a/src/libwaxwinghollow/log_core.c
+++ b/src/libwaxwinghollow/log_core.c
@@ -13,21 +13,21 @@
 static void settle_all(wwh_log_core_t *core, wwh_append_t *append,
 		       wwh_status_t status, int64_t offset);
 static bool all_settled(const wwh_append_t *append);
-static void drop_if_settled(wwh_log_core_t *core, wwh_append_t *append);
+static void remove_if_settled(wwh_log_core_t *core, wwh_append_t *append);
 static wwh_status_t outcome_so_far(const wwh_append_t *append);
 static wwh_append_t *due_retry(wwh_log_core_t *core, int64_t now_ms,
 			       int64_t *wait_ms);
 static bool batch_ready(wwh_log_core_t *core, int64_t now_ms, int64_t *wait_ms);
 static wwh_append_t *open_append(wwh_log_core_t *core);
 static GBytes *join(wwh_log_core_t *core, const wwh_append_t *append);
-static void make_anew(wwh_log_core_t *core, wwh_append_t *append);
+static void prepare_new_append(wwh_log_core_t *core, wwh_append_t *append);
 static void send(wwh_log_core_t *core, wwh_append_t *append,
 		 wwh_log_attempt_t *attempt);
-static void answered(wwh_log_core_t *core, wwh_append_t *append,
-		     int64_t offset);
-static void attempt_failed(wwh_log_core_t *core, wwh_append_t *append,
+static void handle_answer(wwh_log_core_t *core, wwh_append_t *append,
+			  int64_t offset);
+static void schedule_retry(wwh_log_core_t *core, wwh_append_t *append,
 			   int64_t now_ms);
-static void sooner(int64_t *wait_ms, int64_t candidate_ms);
+static void shorten_wait(int64_t *wait_ms, int64_t candidate_ms);
 
 void wwh_log_core_options_defaults(wwh_log_core_options_t *options)
 {
@@ -136,17 +136,17 @@
 				settle(core, append, (int32_t)k,
 				       outcome_so_far(append), 0);
 		}
-		drop_if_settled(core, append);
+		remove_if_settled(core, append);
 	}
 }
 
-void wwh_log_core_give_up(wwh_log_core_t *core)
+void wwh_log_core_abort_all(wwh_log_core_t *core)
 {
 	wwh_log_core_tick(core, INT64_MAX);
 	assert(core->unsettled == 0);
 }
 
-bool wwh_log_core_take_settled(wwh_log_core_t *core, wwh_log_settled_t *settled)
+bool wwh_log_core_pop_settled(wwh_log_core_t *core, wwh_log_settled_t *settled)
 {
 	wwh_log_settled_t *head = g_queue_pop_head(&core->settled);
 
@@ -164,7 +164,7 @@
 
 	assert(core->current == NULL);
 	*wait_ms = -1;
-	/* Without a known end of the log an append has no base. */
+	/* An append needs the known end of the log as its base. */
 	if (core->unsettled == 0 || core->known_next == 0)
 		return false;
 	if (core->pause_until_ms > now_ms) {
@@ -191,7 +191,7 @@
 	switch (status) {
 	case WWH_STATUS_OK:
 		core->failures = 0;
-		answered(core, append, offset);
+		handle_answer(core, append, offset);
 		break;
 	case WWH_STATUS_BAD_INPUT:
 		append->retry_ms = INT64_MAX;
@@ -199,15 +199,15 @@
 			settle_all(core, append, status, 0);
 		break;
 	case WWH_STATUS_UNAVAILABLE:
-		attempt_failed(core, append, now_ms);
+		schedule_retry(core, append, now_ms);
 		break;
 	default:
 		core->stats.lost_answers++;
 		append->outcome_unknown = true;
-		attempt_failed(core, append, now_ms);
+		schedule_retry(core, append, now_ms);
 		break;
 	}
-	drop_if_settled(core, append);
+	remove_if_settled(core, append);
 }
 
 int32_t wwh_log_core_waiting(const wwh_log_core_t *core)
@@ -220,8 +220,8 @@
 	return &core->stats;
 }
 
-void wwh_log_core_seen(wwh_log_core_t *core, const wwh_append_id_t *id,
-		       int64_t offset)
+void wwh_log_core_settle_by_reading(wwh_log_core_t *core,
+				    const wwh_append_id_t *id, int64_t offset)
 {
 	for (guint i = 0; i < core->open->len; i++) {
 		wwh_append_t *append = core->open->pdata[i];
@@ -233,14 +233,14 @@
 		core->failures = 0;
 		core->pause_until_ms = 0;
 		settle_all(core, append, WWH_STATUS_OK, offset);
-		drop_if_settled(core, append);
+		remove_if_settled(core, append);
 		return;
 	}
 }
 
 /*
- * Everything from an append's base to the end of its window was read, and it
- * was not there: any copy that still comes is void.
+ * An append expires when everything from its base to the end of its window was
+ * read without its id: any copy that still arrives is void.
  */
 void wwh_log_core_expire(wwh_log_core_t *core)
 {
@@ -255,7 +255,7 @@
 			continue;
 		core->stats.expired_unseen++;
 		settle_all(core, append, WWH_STATUS_UNAVAILABLE, 0);
-		drop_if_settled(core, append);
+		remove_if_settled(core, append);
 	}
 }
 
@@ -323,8 +323,8 @@
 	return true;
 }
 
-/* An attempt that is being made holds its append until it ends. */
-static void drop_if_settled(wwh_log_core_t *core, wwh_append_t *append)
+/* An append with an attempt in progress is removed when the attempt ends. */
+static void remove_if_settled(wwh_log_core_t *core, wwh_append_t *append)
 {
 	if (!append->in_flight && all_settled(append))
 		g_ptr_array_remove(core->open, append);
@@ -346,18 +346,18 @@
 
 		if (append->answered || append->retry_ms == INT64_MAX)
 			continue;
-		/* Its next copy would be void. */
+		/* The next copy of this append would be void. */
 		if (append->outcome_unknown &&
 		    core->known_next - append->base >= core->options.window)
 			continue;
 		if (append->retry_ms > now_ms) {
-			sooner(wait_ms, append->retry_ms - now_ms);
+			shorten_wait(wait_ms, append->retry_ms - now_ms);
 			continue;
 		}
 		budget_ms = wwh_log_budget_try_acquire(core->budget, now_ms);
 		if (budget_ms == 0)
 			return append;
-		sooner(wait_ms, budget_ms);
+		shorten_wait(wait_ms, budget_ms);
 		break;
 	}
 	return NULL;
@@ -376,7 +376,7 @@
 	    core->queued_bytes >= core->options.batch_bytes ||
 	    (int32_t)core->waiting.length >= core->options.batch_items)
 		return true;
-	sooner(wait_ms, due_ms - now_ms);
+	shorten_wait(wait_ms, due_ms - now_ms);
 	return false;
 }
 
@@ -430,10 +430,10 @@
 
 /*
  * While no copy can be in the log, each attempt is a new append: a fresh base
- * lasts longer, and a payload that was given up as without effect must not
- * go along with the others of its batch.
+ * is valid longer, and a payload that was settled as without effect must not be
+ * sent with the others of its batch.
  */
-static void make_anew(wwh_log_core_t *core, wwh_append_t *append)
+static void prepare_new_append(wwh_log_core_t *core, wwh_append_t *append)
 {
 	for (guint i = append->submissions->len; i > 0; i--) {
 		const wwh_submission_t *s = append->submissions->pdata[i - 1];
@@ -457,7 +457,7 @@
 	gsize size;
 
 	if (!append->outcome_unknown)
-		make_anew(core, append);
+		prepare_new_append(core, append);
 	core->current = append;
 	append->in_flight = true;
 	append->attempts++;
@@ -472,10 +472,11 @@
 }
 
 /*
- * One copy is at offset. It is the one that counts only if there can be no
- * other; else the replay tells which one came first.
+ * A copy of the append is at offset. It is known to be the effective one only
+ * if no other copy can exist; otherwise the replay finds the first copy.
  */
-static void answered(wwh_log_core_t *core, wwh_append_t *append, int64_t offset)
+static void handle_answer(wwh_log_core_t *core, wwh_append_t *append,
+			  int64_t offset)
 {
 	bool is_void = offset - append->base >= core->options.window;
 
@@ -491,7 +492,7 @@
 	append->answered = !is_void;
 }
 
-static void attempt_failed(wwh_log_core_t *core, wwh_append_t *append,
+static void schedule_retry(wwh_log_core_t *core, wwh_append_t *append,
 			   int64_t now_ms)
 {
 	int32_t cap_ms = core->options.backoff_cap_ms;
@@ -503,7 +504,7 @@
 			   wwh_log_core_jitter(core, cap_ms, append->attempts);
 }
 
-static void sooner(int64_t *wait_ms, int64_t candidate_ms)
+static void shorten_wait(int64_t *wait_ms, int64_t candidate_ms)
 {
 	if (*wait_ms < 0 || candidate_ms < *wait_ms)
 		*wait_ms = candidate_ms;
--- a/src/libwaxwinghollow/log_replay.c
+++ b/src/libwaxwinghollow/log_replay.c
@@ -11,10 +11,10 @@
 	"trimmed",
 };
 
-static wwh_log_verdict_t judge(wwh_log_core_t *core,
-			       const wwh_log_entry_t *entry);
-static void read_failed(wwh_log_core_t *core, int64_t now_ms);
-static void on_trimmed(wwh_log_core_t *core, int64_t first);
+static wwh_log_verdict_t classify(wwh_log_core_t *core,
+				  const wwh_log_entry_t *entry);
+static void handle_read_failure(wwh_log_core_t *core, int64_t now_ms);
+static void handle_trim(wwh_log_core_t *core, int64_t first);
 static void enter_trimmed(wwh_log_core_t *core, int64_t scan_from);
 
 bool wwh_log_core_read_begin(wwh_log_core_t *core, int64_t now_ms,
@@ -33,14 +33,15 @@
 	return true;
 }
 
-wwh_log_verdict_t wwh_log_core_record(wwh_log_core_t *core, int64_t generation,
-				      const wwh_log_entry_t *entry)
+wwh_log_verdict_t wwh_log_core_handle_record(wwh_log_core_t *core,
+					     int64_t generation,
+					     const wwh_log_entry_t *entry)
 {
 	wwh_log_verdict_t verdict;
 
 	if (generation != core->generation || entry->offset < core->cursor)
 		return WWH_LOG_STALE;
-	verdict = judge(core, entry);
+	verdict = classify(core, entry);
 	switch (verdict) {
 	case WWH_LOG_AMBIGUOUS:
 		core->stats.ambiguous++;
@@ -63,12 +64,12 @@
 	if (core->known_next < core->cursor)
 		core->known_next = core->cursor;
 	if (verdict == WWH_LOG_DELIVER || verdict == WWH_LOG_WARM_UP) {
-		wwh_log_window_note(core->window, &entry->append_id,
-				    entry->offset);
-		/* An earlier copy may be where nothing was read. */
+		wwh_log_window_add(core->window, &entry->append_id,
+				   entry->offset);
+		/* An earlier copy may be at an offset that wasn't read. */
 		if (wwh_append_id_base(&entry->append_id) >= core->read_from)
-			wwh_log_core_seen(core, &entry->append_id,
-					  entry->offset);
+			wwh_log_core_settle_by_reading(core, &entry->append_id,
+						       entry->offset);
 	}
 	return verdict;
 }
@@ -80,23 +81,23 @@
 	if (generation != core->generation)
 		return core->state;
 	if (status != WWH_STATUS_OK && status != WWH_STATUS_NOT_FOUND) {
-		read_failed(core, now_ms);
+		handle_read_failure(core, now_ms);
 		return core->state;
 	}
 	core->read_failures = 0;
 	if (next < core->cursor && status == WWH_STATUS_OK) {
 		/*
-		 * Offsets never fall on a log that keeps its promise. Going
-		 * on would replay other records at offsets already applied.
+		 * The log guarantees that offsets never fall. Continuing
+		 * would replay other records at offsets already applied.
 		 */
 		core->stats.went_back++;
-		read_failed(core, now_ms);
+		handle_read_failure(core, now_ms);
 		return core->state;
 	}
 	if (core->known_next < next)
 		core->known_next = next;
 	if (status == WWH_STATUS_NOT_FOUND)
-		on_trimmed(core, first);
+		handle_trim(core, first);
 	core->at_end = core->state == WWH_LOG_REPLAYING &&
 		       core->cursor >= core->deliver_from &&
 		       core->cursor >= next;
@@ -150,8 +151,8 @@
 	return base > INT64_MAX ? INT64_MAX : (int64_t)base;
 }
 
-static wwh_log_verdict_t judge(wwh_log_core_t *core,
-			       const wwh_log_entry_t *entry)
+static wwh_log_verdict_t classify(wwh_log_core_t *core,
+				  const wwh_log_entry_t *entry)
 {
 	int64_t base = wwh_append_id_base(&entry->append_id);
 
@@ -169,7 +170,7 @@
 	return WWH_LOG_DELIVER;
 }
 
-static void read_failed(wwh_log_core_t *core, int64_t now_ms)
+static void handle_read_failure(wwh_log_core_t *core, int64_t now_ms)
 {
 	core->stats.read_failures++;
 	core->read_failures++;
@@ -180,12 +181,12 @@
 					     core->read_failures);
 }
 
-static void on_trimmed(wwh_log_core_t *core, int64_t first)
+static void handle_trim(wwh_log_core_t *core, int64_t first)
 {
 	if (first <= core->cursor)
 		return;
 	if (core->state == WWH_LOG_REPLAYING && first <= core->deliver_from) {
-		/* Only a part of the window before the snapshot is gone. */
+		/* Only part of the window before the snapshot is trimmed. */
 		core->cursor = first;
 		core->read_from = first;
 		wwh_log_window_clear(core->window);
@@ -195,7 +196,7 @@
 	enter_trimmed(core, first);
 }
 
-/* What was delivered stays delivered: a restore below it is refused. */
+/* Raises deliver_from, so that a restore below delivered records fails. */
 static void enter_trimmed(wwh_log_core_t *core, int64_t scan_from)
 {
 	if (core->state == WWH_LOG_REPLAYING)
--- a/src/libwaxwinghollow/log_window.c
+++ b/src/libwaxwinghollow/log_window.c
@@ -53,8 +53,8 @@
 	return slot == NULL ? 0 : slot->offset;
 }
 
-void wwh_log_window_note(wwh_log_window_t *window, const wwh_append_id_t *id,
-			 int64_t offset)
+void wwh_log_window_add(wwh_log_window_t *window, const wwh_append_id_t *id,
+			int64_t offset)
 {
 	slot_t *slot = &window->slots[offset % window->size];
 
@@ -68,7 +68,7 @@
 	window->last = offset;
 }
 
-/* The second half of an id is random. */
+/* Bytes 8 and up of an id are random, so they serve as the hash. */
 static guint hash_id(gconstpointer key)
 {
 	guint hash;
--- a/src/libwaxwinghollow/record_codec.c
+++ b/src/libwaxwinghollow/record_codec.c
@@ -33,9 +33,9 @@
 	return false;
 }
 
-/* Ids are printed into logs and paths: no control characters in them. */
-static bool printable(const wwh_codec_field_t *field, const char *text,
-		      size_t size, wwh_message_t *message)
+/* Ids appear in logs and paths, so control characters are not allowed. */
+static bool is_valid_text(const wwh_codec_field_t *field, const char *text,
+			  size_t size, wwh_message_t *message)
 {
 	if (!in_bounds(field, (int64_t)size, message))
 		return false;
@@ -60,7 +60,7 @@
 {
 	size_t size = strlen(text);
 
-	if (!printable(field, text, size, message))
+	if (!is_valid_text(field, text, size, message))
 		return false;
 	msgpack_pack_str_with_body(packer, text, size);
 	return true;
@@ -204,11 +204,11 @@
 {
 	if (object->type != MSGPACK_OBJECT_STR)
 		return wrong_type(field, message);
-	if (!printable(field, object->via.str.ptr, object->via.str.size,
-		       message))
+	if (!is_valid_text(field, object->via.str.ptr, object->via.str.size,
+			   message))
 		return false;
 	g_free(*text);
-	/* msgpack-c may give an empty string without a pointer. */
+	/* msgpack-c may set the pointer of an empty string to NULL. */
 	*text = object->via.str.size == 0
 			? g_strdup("")
 			: g_strndup(object->via.str.ptr, object->via.str.size);
@@ -363,7 +363,7 @@
 			  wwh_message_t *message)
 {
 	if (count != (uint32_t)fields->count) {
-		wwh_message_set(message, "%u fields in place of %d", count,
+		wwh_message_set(message, "%u fields, expected %d", count,
 				fields->count);
 		return false;
 	}
@@ -377,7 +377,7 @@
 	return true;
 }
 
-/* Format and kind; the rest of the array depends on them. */
+/* Checks format and kind, on which the rest of the array depends. */
 static bool decode_kind(const msgpack_object *object, wwh_record_kind_t *kind,
 			wwh_message_t *message)
 {
@@ -392,7 +392,7 @@
 
 	if (object->type != MSGPACK_OBJECT_ARRAY ||
 	    object->via.array.size < HEADER_FIELDS) {
-		wwh_message_set(message, "not an array of a record's fields");
+		wwh_message_set(message, "expected an array of record fields");
 		return false;
 	}
 	if (!decode_int(&object->via.array.ptr[0], &format_field, &value,
@@ -441,7 +441,7 @@
 	    MSGPACK_UNPACK_SUCCESS)
 		valid = decode_record(&unpacked.data, record, message);
 	else
-		wwh_message_set(message, "not msgpack");
+		wwh_message_set(message, "invalid MessagePack");
 	msgpack_unpacked_destroy(&unpacked);
 	if (valid)
 		return WWH_STATUS_OK;
@@ -481,7 +481,7 @@
 	if (msgpack_unpack_next(&unpacked, (const char *)data, size, &offset) !=
 		    MSGPACK_UNPACK_SUCCESS ||
 	    unpacked.data.type != MSGPACK_OBJECT_ARRAY)
-		wwh_message_set(message, "not a msgpack array");
+		wwh_message_set(message, "expected a MessagePack array");
 	else
 		valid = decode_fields(unpacked.data.via.array.ptr,
 				      unpacked.data.via.array.size, fields,
--- a/src/test_frame/test_frame.c
+++ b/src/test_frame/test_frame.c
@@ -11,8 +11,8 @@
 
 static const uint8_t payload[] = { 0x93, 1, 2, 3 };
 
-static bool note(wwh_frame_kind_t kind, const uint8_t *data, size_t size,
-		 void *client_data)
+static bool record_frame(wwh_frame_kind_t kind, const uint8_t *data,
+			 size_t size, void *client_data)
 {
 	g_string_append_printf(client_data, "%s:%d:%d;",
 			       wwh_frame_kind_names[kind], (int)size,
@@ -20,7 +20,7 @@
 	return kind != WWH_FRAME_LOAN;
 }
 
-static GByteArray *frames(wwh_frame_kind_t kind, int32_t count)
+static GByteArray *write_frames(wwh_frame_kind_t kind, int32_t count)
 {
 	GByteArray *out = g_byte_array_new();
 
@@ -31,36 +31,36 @@
 	return out;
 }
 
-static void frames_come_whole_however_they_are_cut(void **unused)
+static void split_input_yields_complete_frames(void **unused)
 {
-	GByteArray *bytes = frames(WWH_FRAME_GOSSIP, 3);
+	GByteArray *bytes = write_frames(WWH_FRAME_GOSSIP, 3);
 
 	(void)unused;
 	for (guint cut = 1; cut <= bytes->len; cut++) {
 		wwh_frame_reader_t *reader = wwh_frame_reader_new(MAX_PAYLOAD);
-		GString *seen = g_string_new(NULL);
+		GString *visited = g_string_new(NULL);
 
 		for (guint at = 0; at < bytes->len; at += cut)
 			assert_int_equal(
 				wwh_frame_reader_feed(reader, bytes->data + at,
 						      MIN(cut, bytes->len - at),
-						      note, seen),
+						      record_frame, visited),
 				WWH_STATUS_OK);
-		assert_string_equal(seen->str,
+		assert_string_equal(visited->str,
 				    "gossip:4:3;gossip:4:3;gossip:4:3;");
-		assert_int_equal(wwh_frame_reader_held(reader), 0);
-		g_string_free(seen, TRUE);
+		assert_int_equal(wwh_frame_reader_buffered_bytes(reader), 0);
+		g_string_free(visited, TRUE);
 		wwh_frame_reader_delete(reader);
 	}
 	g_byte_array_unref(bytes);
 }
 
 /*
- * Something else talks to the port, or a peer of another release does. The
- * bytes are refused at the first that can't be a frame's, with the reason,
- * and nothing after them is read, not even a fine frame.
+ * Another program or a peer of another release may connect to the port. The
+ * reader rejects the input at the first byte that can't belong to a frame,
+ * reports the fault and reads nothing after it, not even a valid frame.
  */
-static void what_is_no_frame_is_refused(void **unused)
+static void invalid_frame_is_rejected(void **unused)
 {
 	static const struct {
 		size_t at;
@@ -81,37 +81,38 @@
 	(void)unused;
 	for (size_t i = 0; i < G_N_ELEMENTS(rows); i++) {
 		wwh_frame_reader_t *reader = wwh_frame_reader_new(MAX_PAYLOAD);
-		GByteArray *bytes = frames(WWH_FRAME_GOSSIP, 2);
-		GString *seen = g_string_new(NULL);
+		GByteArray *bytes = write_frames(WWH_FRAME_GOSSIP, 2);
+		GString *visited = g_string_new(NULL);
 
 		bytes->data[rows[i].at] = rows[i].value;
 		assert_int_equal(wwh_frame_reader_feed(reader, bytes->data,
-						       bytes->len, note, seen),
+						       bytes->len, record_frame,
+						       visited),
 				 WWH_STATUS_BAD_INPUT);
 		assert_int_equal(wwh_frame_reader_fault(reader), rows[i].fault);
 		assert_int_equal(wwh_frame_reader_feed(reader, bytes->data, 1,
-						       note, seen),
+						       record_frame, visited),
 				 WWH_STATUS_BAD_INPUT);
-		assert_string_equal(seen->str, "");
-		g_string_free(seen, TRUE);
+		assert_string_equal(visited->str, "");
+		g_string_free(visited, TRUE);
 		g_byte_array_unref(bytes);
 		wwh_frame_reader_delete(reader);
 	}
 }
 
-static void visitor_can_refuse(void **unused)
+static void visitor_can_reject(void **unused)
 {
 	wwh_frame_reader_t *reader = wwh_frame_reader_new(MAX_PAYLOAD);
-	GByteArray *bytes = frames(WWH_FRAME_LOAN, 2);
-	GString *seen = g_string_new(NULL);
+	GByteArray *bytes = write_frames(WWH_FRAME_LOAN, 2);
+	GString *visited = g_string_new(NULL);
 
 	(void)unused;
 	assert_int_equal(wwh_frame_reader_feed(reader, bytes->data, bytes->len,
-					       note, seen),
+					       record_frame, visited),
 			 WWH_STATUS_BAD_INPUT);
-	assert_string_equal(seen->str, "loan:4:3;");
-	assert_int_equal(wwh_frame_reader_fault(reader), WWH_FRAME_FINE);
-	g_string_free(seen, TRUE);
+	assert_string_equal(visited->str, "loan:4:3;");
+	assert_int_equal(wwh_frame_reader_fault(reader), WWH_FRAME_NO_FAULT);
+	g_string_free(visited, TRUE);
 	g_byte_array_unref(bytes);
 	wwh_frame_reader_delete(reader);
 }
@@ -119,9 +120,9 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(frames_come_whole_however_they_are_cut),
-		cmocka_unit_test(what_is_no_frame_is_refused),
-		cmocka_unit_test(visitor_can_refuse),
+		cmocka_unit_test(split_input_yields_complete_frames),
+		cmocka_unit_test(invalid_frame_is_rejected),
+		cmocka_unit_test(visitor_can_reject),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/src/test_log_client/test_log_client.c
+++ b/src/test_log_client/test_log_client.c
@@ -10,7 +10,7 @@
 
 #define THREADS 6
 #define APPENDS 40
-#define PATIENCE_MS 30000
+#define TIMEOUT_MS 30000
 
 typedef struct {
 	wwh_append_id_t id;
@@ -23,7 +23,7 @@
 	GCond grown;
 	GPtrArray *records; /* record_t *, offset - 1 */
 	int64_t first;
-	int32_t lose_every; /* 0: none; the answer of each Nth append is lost */
+	int32_t lose_answer_every; /* loses each Nth answer; 0: none */
 	int32_t appends;
 	bool down;
 } fake_t;
@@ -58,15 +58,15 @@
 		g_ptr_array_add(fake->records, record);
 		*offset = fake->records->len;
 		g_cond_broadcast(&fake->grown);
-		if (fake->lose_every > 0 &&
-		    fake->appends % fake->lose_every == 0)
+		if (fake->lose_answer_every > 0 &&
+		    fake->appends % fake->lose_answer_every == 0)
 			status = WWH_STATUS_UNKNOWN;
 	}
 	g_mutex_unlock(&fake->lock);
 	return status;
 }
 
-/* platform.h sets the count of parameters. */
+/* platform.h defines the number of parameters. */
 /* NOLINTNEXTLINE(readability-function-size) */
 static wwh_status_t fake_read(void *context, const char *stream, int64_t from,
 			      int32_t wait_ms, int32_t timeout_ms,
@@ -119,7 +119,7 @@
 	g_mutex_clear(&fake->lock);
 }
 
-/* One reader's view: texts in order. */
+/* What one client delivered: the texts in order. */
 typedef struct {
 	GMutex lock;
 	GString *texts;
@@ -149,7 +149,7 @@
 	g_string_assign(view->texts, "snapshot;");
 }
 
-/* The first record that is left stands for a snapshot up to itself. */
+/* Treats the first scanned record as a snapshot up to its offset. */
 static void on_scan(const char *stream, const wwh_log_entry_t *entry,
 		    void *client_data)
 {
@@ -209,7 +209,7 @@
 static void view_stop(view_t *view)
 {
 	wwh_log_client_finish(view->client,
-			      wwh_log_client_now_ms() + PATIENCE_MS);
+			      wwh_log_client_now_ms() + TIMEOUT_MS);
 	wwh_log_client_delete(view->client);
 	g_string_free(view->texts, TRUE);
 	g_mutex_clear(&view->lock);
@@ -232,7 +232,7 @@
 		assert_int_equal(wwh_log_client_append(
 					 appender->client,
 					 (const uint8_t *)text, strlen(text),
-					 wwh_log_client_now_ms() + PATIENCE_MS,
+					 wwh_log_client_now_ms() + TIMEOUT_MS,
 					 &offset),
 				 WWH_STATUS_OK);
 		assert_true(offset > 0);
@@ -242,8 +242,8 @@
 }
 
 /*
- * Several callers append through two processes while each third answer is
- * lost. Every caller is told OK, and both processes deliver each text once,
+ * Several callers append through two processes while every third answer is
+ * lost. Every caller gets OK, and both processes deliver each text once,
  * in one order, though the log holds copies.
  */
 static void every_append_is_delivered_once_everywhere(void **unused)
@@ -257,7 +257,7 @@
 
 	(void)unused;
 	fake_init(&fake);
-	fake.lose_every = 3;
+	fake.lose_answer_every = 3;
 	for (int i = 0; i < 2; i++)
 		view_start(&views[i], &fake, budget, NULL);
 	for (int i = 0; i < THREADS; i++) {
@@ -270,7 +270,7 @@
 	for (int i = 0; i < 2; i++)
 		assert_true(wwh_log_client_wait(views[i].client, last,
 						wwh_log_client_now_ms() +
-							PATIENCE_MS));
+							TIMEOUT_MS));
 	assert_string_equal(views[0].texts->str, views[1].texts->str);
 	for (int i = 0; i < THREADS * APPENDS; i++) {
 		char *text =
@@ -287,7 +287,7 @@
 	fake_clear(&fake);
 }
 
-static void trimmed_client_goes_on_from_a_snapshot(void **unused)
+static void trimmed_client_continues_from_a_snapshot(void **unused)
 {
 	wwh_log_budget_t *budget = wwh_log_budget_new(wwh_log_client_now_ms());
 	wwh_counters_t *counters = wwh_counters_new();
@@ -306,7 +306,7 @@
 	fake.first = 5;
 	view_start(&view, &fake, budget, counters);
 	assert_true(wwh_log_client_wait(view.client, 6,
-					wwh_log_client_now_ms() + PATIENCE_MS));
+					wwh_log_client_now_ms() + TIMEOUT_MS));
 	assert_string_equal(view.texts->str, "snapshot;a;a;");
 	assert_int_equal(view.trims, 1);
 	assert_int_equal(wwh_counter_value(wwh_counters_get(
@@ -318,8 +318,8 @@
 	fake_clear(&fake);
 }
 
-/* Shutting down while the log is down: nobody waits for good. */
-static void finish_settles_what_waits(void **unused)
+/* Shutting down while the log is unavailable must settle all appends. */
+static void finish_settles_pending_appends(void **unused)
 {
 	wwh_log_budget_t *budget = wwh_log_budget_new(wwh_log_client_now_ms());
 	view_t view;
@@ -350,8 +350,8 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(every_append_is_delivered_once_everywhere),
-		cmocka_unit_test(trimmed_client_goes_on_from_a_snapshot),
-		cmocka_unit_test(finish_settles_what_waits),
+		cmocka_unit_test(trimmed_client_continues_from_a_snapshot),
+		cmocka_unit_test(finish_settles_pending_appends),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/src/test_log_core/test_log_core.c
+++ b/src/test_log_core/test_log_core.c
@@ -11,14 +11,14 @@
 #define HOUR_MS ((int64_t)3600 * 1000)
 #define WINDOW 32
 
-/* A log in memory, one core, and what the core delivered. */
+/* A log in memory, one core, and the core's verdicts on the records read. */
 typedef struct {
 	GArray *ids; /* wwh_append_id_t by offset - 1 */
 	int64_t first;
 	wwh_log_budget_t *budget;
 	GRand *rand;
 	wwh_log_core_t *core;
-	GString *seen;
+	GString *verdicts;
 	int64_t now_ms;
 	wwh_log_attempt_t attempt; /* the last one */
 } fixture_t;
@@ -29,7 +29,7 @@
 	f->ids = g_array_new(FALSE, TRUE, sizeof(wwh_append_id_t));
 	f->budget = wwh_log_budget_new(f->now_ms);
 	f->rand = g_rand_new_with_seed(5);
-	f->seen = g_string_new(NULL);
+	f->verdicts = g_string_new(NULL);
 	f->core = wwh_log_core_new(options, f->budget, f->rand);
 }
 
@@ -45,7 +45,7 @@
 static void teardown(fixture_t *f)
 {
 	wwh_log_core_delete(f->core);
-	g_string_free(f->seen, TRUE);
+	g_string_free(f->verdicts, TRUE);
 	g_rand_free(f->rand);
 	wwh_log_budget_delete(f->budget);
 	g_array_unref(f->ids);
@@ -74,7 +74,10 @@
 	}
 }
 
-/* Reads all there is; writes verdicts that aren't "deliver" by name. */
+/*
+ * Reads all records. Appends each offset to the verdicts, with the verdict's
+ * name unless it is "deliver".
+ */
 static wwh_log_state_t read_all(fixture_t *f)
 {
 	wwh_log_read_t read;
@@ -91,11 +94,12 @@
 		wwh_log_verdict_t verdict;
 
 		entry.append_id = g_array_index(f->ids, wwh_append_id_t, o - 1);
-		verdict = wwh_log_core_record(f->core, read.generation, &entry);
+		verdict = wwh_log_core_handle_record(f->core, read.generation,
+						     &entry);
 		if (verdict == WWH_LOG_DELIVER)
-			g_string_append_printf(f->seen, "%d;", (int)o);
+			g_string_append_printf(f->verdicts, "%d;", (int)o);
 		else
-			g_string_append_printf(f->seen, "%d:%s;", (int)o,
+			g_string_append_printf(f->verdicts, "%d:%s;", (int)o,
 					       wwh_log_verdict_names[verdict]);
 	}
 	return wwh_log_core_read_done(f->core, read.generation, status,
@@ -119,7 +123,7 @@
 	return submit_until(f, f->now_ms + 60000);
 }
 
-/* Goes on in time until an attempt is due. */
+/* Advances the time until an attempt is due. */
 static void begin_attempt(fixture_t *f)
 {
 	int64_t wait_ms;
@@ -141,7 +145,7 @@
 {
 	wwh_log_settled_t settled;
 
-	assert_true(wwh_log_core_take_settled(f->core, &settled));
+	assert_true(wwh_log_core_pop_settled(f->core, &settled));
 	assert_int_equal(settled.ticket, ticket);
 	assert_int_equal(settled.status, status);
 	if (status == WWH_STATUS_OK)
@@ -152,12 +156,12 @@
 {
 	wwh_log_settled_t settled;
 
-	assert_false(wwh_log_core_take_settled(f->core, &settled));
+	assert_false(wwh_log_core_pop_settled(f->core, &settled));
 }
 
 /*
  * The caller of an append must learn that it is in the log although the
- * platform's answer was lost: the record comes by reading, with its id.
+ * platform's answer was lost: the reader finds the record by its id.
  */
 static void lost_answer_is_found_by_reading(void **unused)
 {
@@ -174,16 +178,16 @@
 	expect_nothing_settled(&f);
 	read_all(&f);
 	expect_settled(&f, ticket, WWH_STATUS_OK, 1);
-	assert_string_equal(f.seen->str, "1;");
+	assert_string_equal(f.verdicts->str, "1;");
 	teardown(&f);
 }
 
 /*
  * One publication must not take effect twice: the first copy was sent, its
- * answer was lost and its effect is late; the retry is answered; then the
- * first copy arrives. Both have one id, so every reader drops the second.
+ * answer was lost and its effect is delayed; the retry is answered; then the
+ * first copy arrives. Both have the same id, so every reader drops the second.
  */
-static void late_copy_is_dropped(void **unused)
+static void second_copy_is_dropped(void **unused)
 {
 	fixture_t f;
 	uint64_t ticket;
@@ -199,19 +203,19 @@
 	begin_attempt(&f);
 	assert_memory_equal(&late, &f.attempt.id, sizeof(late));
 	end_attempt(&f, WWH_STATUS_OK, log_append(&f, f.attempt.id));
-	/* Which copy counts is known when it is read. */
+	/* Which copy takes effect is known only when it is read. */
 	expect_nothing_settled(&f);
 	log_append(&f, late);
 	read_all(&f);
 	expect_settled(&f, ticket, WWH_STATUS_OK, 1);
-	assert_string_equal(f.seen->str, "1;2:duplicate;");
+	assert_string_equal(f.verdicts->str, "1;2:duplicate;");
 	teardown(&f);
 }
 
 /*
- * A caller that was told "without effect" must never see the effect: the
- * append vanishes, others fill the window after its base, the reader has seen
- * all of it. A copy that still comes is void.
+ * An append reported as without effect must never take effect: it is lost,
+ * others fill the window after its base, and the reader has read all of the
+ * window. A copy that still arrives is void.
  */
 static void unseen_append_expires_with_its_window(void **unused)
 {
@@ -230,14 +234,14 @@
 	log_append_others(&f, 1);
 	read_all(&f);
 	expect_settled(&f, ticket, WWH_STATUS_UNAVAILABLE, 0);
-	g_string_truncate(f.seen, 0);
+	g_string_truncate(f.verdicts, 0);
 	log_append(&f, f.attempt.id);
 	read_all(&f);
-	assert_string_equal(f.seen->str, "33:void;");
+	assert_string_equal(f.verdicts->str, "33:void;");
 	teardown(&f);
 }
 
-static void deadline_tells_what_is_known(void **unused)
+static void expired_deadline_settles_by_known_outcome(void **unused)
 {
 	fixture_t f;
 	uint64_t sent;
@@ -257,9 +261,9 @@
 }
 
 /*
- * The log is down for an hour while a caller a second wants to append, each
- * for ten seconds. Every one gets UNAVAILABLE, memory stays bounded, and the
- * log sees at most a few attempts a second when it is coming back.
+ * The log is down for an hour while one caller a second submits an append
+ * with a deadline of ten seconds. All get UNAVAILABLE, memory stays bounded,
+ * and the log receives at most a few attempts a second.
  */
 static void hour_of_outage_is_bounded(void **unused)
 {
@@ -285,7 +289,7 @@
 		if (wwh_log_core_next_attempt(f.core, f.now_ms, &f.attempt,
 					      &wait_ms))
 			end_attempt(&f, WWH_STATUS_UNAVAILABLE, 0);
-		while (wwh_log_core_take_settled(f.core, &settled)) {
+		while (wwh_log_core_pop_settled(f.core, &settled)) {
 			assert_int_equal(settled.status,
 					 WWH_STATUS_UNAVAILABLE);
 			unavailable++;
@@ -300,7 +304,7 @@
 	teardown(&f);
 }
 
-static void full_queue_refuses_at_once(void **unused)
+static void full_queue_rejects_at_once(void **unused)
 {
 	wwh_log_core_options_t options;
 	GBytes *payload = g_bytes_new("12345", 5);
@@ -321,10 +325,10 @@
 }
 
 /*
- * A log that loses every second request must not get a multiple of the load
+ * A log that loses half of the requests must not get a multiple of the load
  * while the others succeed, which keeps the pause between attempts short.
  */
-static void retries_keep_to_the_budget(void **unused)
+static void retries_stay_within_the_budget(void **unused)
 {
 	fixture_t f;
 	int64_t start_ms;
@@ -350,7 +354,7 @@
 		}
 		f.now_ms += 5;
 		wwh_log_core_tick(f.core, f.now_ms);
-		while (wwh_log_core_take_settled(f.core, &settled))
+		while (wwh_log_core_pop_settled(f.core, &settled))
 			;
 	}
 	print_message("retries for 1000 first sends: %d\n",
@@ -362,9 +366,9 @@
 }
 
 /*
- * A process that fell behind must not skip records: those it needs are
- * trimmed. It says so, looks on for a snapshot, and goes on from one; a
- * snapshot older than what it has applied is refused.
+ * A process that fell behind must not skip records that were trimmed. The
+ * core reports the trim, scans for a snapshot and continues from it; a snapshot
+ * older than the applied records is rejected.
  */
 static void trimmed_reader_waits_for_a_snapshot(void **unused)
 {
@@ -378,15 +382,15 @@
 	f.first = 8;
 	assert_int_equal(read_all(&f), WWH_LOG_TRIMMED);
 	read_all(&f);
-	assert_string_equal(f.seen->str, "1;2;3;8:scan;9:scan;10:scan;");
+	assert_string_equal(f.verdicts->str, "1;2;3;8:scan;9:scan;10:scan;");
 	assert_false(wwh_log_core_caught_up(f.core));
 	assert_int_equal(wwh_log_core_restore(f.core, 3), WWH_STATUS_CONFLICT);
 	assert_int_equal(wwh_log_core_restore(f.core, 10), WWH_STATUS_OK);
-	g_string_truncate(f.seen, 0);
-	/* Offsets 1 to 7 of the window before the snapshot are gone. */
+	g_string_truncate(f.verdicts, 0);
+	/* Offsets 1 to 7 of the window before the snapshot are trimmed. */
 	assert_int_equal(read_all(&f), WWH_LOG_REPLAYING);
 	read_all(&f);
-	assert_string_equal(f.seen->str, "8:warm_up;9:warm_up;10;");
+	assert_string_equal(f.verdicts->str, "8:warm_up;9:warm_up;10;");
 	assert_true(wwh_log_core_caught_up(f.core));
 	teardown(&f);
 }
@@ -394,7 +398,7 @@
 /*
  * A new process starts from a snapshot whose window is partly trimmed. A
  * record whose base is in the trimmed part may be a copy that the others
- * dropped: it waits for a newer snapshot instead of guessing.
+ * dropped: the replay waits for a newer snapshot.
  */
 static void possible_copy_of_a_trimmed_record_stops_the_replay(void **unused)
 {
@@ -410,7 +414,7 @@
 	assert_int_equal(wwh_log_core_restore(f.core, 9), WWH_STATUS_OK);
 	read_all(&f);
 	read_all(&f);
-	assert_string_equal(f.seen->str,
+	assert_string_equal(f.verdicts->str,
 			    "5:warm_up;6:warm_up;7:warm_up;8:warm_up;9;"
 			    "10:ambiguous;11:stale;12:stale;");
 	assert_int_equal(wwh_log_core_state(f.core), WWH_LOG_TRIMMED);
@@ -420,9 +424,9 @@
 }
 
 /*
- * A caller must not be given the offset of a copy that has no effect: its
- * append is seen in the window before a snapshot, but an earlier copy may be
- * in the part that is trimmed. The outcome is unknown here.
+ * A caller must not receive the offset of a copy that has no effect: its
+ * append is read in the window before a snapshot, but an earlier copy may be
+ * in the trimmed part. The outcome stays unknown.
  */
 static void possible_copy_settles_nothing(void **unused)
 {
@@ -443,9 +447,10 @@
 	assert_int_equal(wwh_log_core_restore(f.core, 7), WWH_STATUS_OK);
 	read_all(&f);
 	read_all(&f);
-	assert_string_equal(f.seen->str, "4:warm_up;5:warm_up;6:warm_up;7;8;");
+	assert_string_equal(f.verdicts->str,
+			    "4:warm_up;5:warm_up;6:warm_up;7;8;");
 	expect_nothing_settled(&f);
-	wwh_log_core_give_up(f.core);
+	wwh_log_core_abort_all(f.core);
 	expect_settled(&f, ticket, WWH_STATUS_UNKNOWN, 0);
 	teardown(&f);
 }
@@ -496,12 +501,12 @@
 {
 	const struct CMUnitTest tests[] = {
 		cmocka_unit_test(lost_answer_is_found_by_reading),
-		cmocka_unit_test(late_copy_is_dropped),
+		cmocka_unit_test(second_copy_is_dropped),
 		cmocka_unit_test(unseen_append_expires_with_its_window),
-		cmocka_unit_test(deadline_tells_what_is_known),
+		cmocka_unit_test(expired_deadline_settles_by_known_outcome),
 		cmocka_unit_test(hour_of_outage_is_bounded),
-		cmocka_unit_test(full_queue_refuses_at_once),
-		cmocka_unit_test(retries_keep_to_the_budget),
+		cmocka_unit_test(full_queue_rejects_at_once),
+		cmocka_unit_test(retries_stay_within_the_budget),
 		cmocka_unit_test(trimmed_reader_waits_for_a_snapshot),
 		cmocka_unit_test(
 			possible_copy_of_a_trimmed_record_stops_the_replay),
--- a/src/test_log_http/test_log_http.c
+++ b/src/test_log_http/test_log_http.c
@@ -14,18 +14,18 @@
 #define CALLERS 6
 #define FAULT_ROUNDS 12
 #define FAULT_MS 300
-#define PATIENT_MS 3000
-#define HASTY_MS 150
+#define LONG_TIMEOUT_MS 3000
+#define SHORT_TIMEOUT_MS 150
 
-/* What one caller was told about its appends, by their number. */
+/* The outcomes reported to one caller, by the number of the append. */
 typedef struct {
 	wwh_log_client_t *client;
 	int32_t number;
-	GArray *told; /* wwh_status_t */
+	GArray *statuses; /* wwh_status_t */
 	volatile gint *stop;
 } caller_t;
 
-/* One entry process as far as the log goes. */
+/* The log client of one entry process. */
 typedef struct {
 	wwh_platform_http_t *http;
 	wwh_log_budget_t *budget;
@@ -98,23 +98,24 @@
 static gpointer run_caller(gpointer data)
 {
 	caller_t *caller = data;
-	int64_t patience_ms = caller->number < 2 ? PATIENT_MS : HASTY_MS;
+	int64_t timeout_ms =
+		caller->number < 2 ? LONG_TIMEOUT_MS : SHORT_TIMEOUT_MS;
 
 	while (!g_atomic_int_get(caller->stop)) {
-		char *text = text_of(caller->number, caller->told->len);
+		char *text = text_of(caller->number, caller->statuses->len);
 		int64_t offset;
 		wwh_status_t status = wwh_log_client_append(
 			caller->client, (const uint8_t *)text, strlen(text),
-			wwh_log_client_now_ms() + patience_ms, &offset);
+			wwh_log_client_now_ms() + timeout_ms, &offset);
 
-		g_array_append_val(caller->told, status);
+		g_array_append_val(caller->statuses, status);
 		g_free(text);
 		g_usleep(2000);
 	}
 	return NULL;
 }
 
-static void play_faults(int32_t port)
+static void inject_faults(int32_t port)
 {
 	static const char *const faults[] = {
 		"/fault?lose_append_answers=40",
@@ -132,13 +133,16 @@
 			   "&log_down=0&log_slow_ms=0");
 }
 
-/* Each text is there at most once; told OK: once; told not: never. */
+/*
+ * Each text was delivered at most once: once after OK, never after a status
+ * other than OK and UNKNOWN.
+ */
 static void check_caller(const caller_t *caller, const char *delivered,
 			 int32_t *counts)
 {
-	for (guint i = 0; i < caller->told->len; i++) {
+	for (guint i = 0; i < caller->statuses->len; i++) {
 		wwh_status_t status =
-			g_array_index(caller->told, wwh_status_t, i);
+			g_array_index(caller->statuses, wwh_status_t, i);
 		char *text = text_of(caller->number, i);
 		const char *found = strstr(delivered, text);
 
@@ -155,11 +159,11 @@
 
 /*
  * Two processes append over HTTP for some seconds, while the log loses
- * answers, takes effect after the attempt's deadline, answers late and is
- * down. Both deliver the same, each text once at most, and what each caller
- * was told is true.
+ * answers, applies appends after the attempt's deadline, answers late and is
+ * unavailable. Both deliver the same texts, each at most once, and the outcomes
+ * reported to the callers are true.
  */
-static void callers_are_told_the_truth_through_faults(void **unused)
+static void reported_outcomes_are_true_under_faults(void **unused)
 {
 	standin_process_t standin;
 	process_t processes[PROCESSES];
@@ -177,16 +181,16 @@
 		callers[i] =
 			(caller_t){ .client = processes[i % PROCESSES].client,
 				    .number = i,
-				    .told = g_array_new(FALSE, FALSE,
-							sizeof(wwh_status_t)),
+				    .statuses = g_array_new(
+					    FALSE, FALSE, sizeof(wwh_status_t)),
 				    .stop = &stop };
 		threads[i] = g_thread_new("caller", run_caller, &callers[i]);
 	}
-	play_faults(standin.port);
+	inject_faults(standin.port);
 	g_atomic_int_set(&stop, 1);
 	for (int i = 0; i < CALLERS; i++)
 		g_thread_join(threads[i]);
-	/* Late effects are over when this one is in the log. */
+	/* Delayed appends are in the log before this one. */
 	g_usleep(200 * 1000);
 	assert_int_equal(wwh_log_client_append(
 				 processes[0].client, (const uint8_t *)"end", 3,
@@ -201,7 +205,7 @@
 	for (int i = 0; i < CALLERS; i++)
 		check_caller(&callers[i], processes[0].delivered->str, counts);
 	print_message(
-		"told: %d ok, %d without effect, %d unknown; "
+		"reported: %d ok, %d without effect, %d unknown; "
 		"%d copies dropped\n",
 		(int)counts[WWH_STATUS_OK], (int)counts[WWH_STATUS_UNAVAILABLE],
 		(int)counts[WWH_STATUS_UNKNOWN],
@@ -210,7 +214,7 @@
 	assert_true(counts[WWH_STATUS_OK] > 0);
 	assert_true(counts[WWH_STATUS_UNAVAILABLE] > 0);
 	for (int i = 0; i < CALLERS; i++)
-		g_array_unref(callers[i].told);
+		g_array_unref(callers[i].statuses);
 	for (int i = 0; i < PROCESSES; i++)
 		process_stop(&processes[i]);
 	assert_true(standin_process_stop(&standin));
@@ -219,7 +223,7 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(callers_are_told_the_truth_through_faults),
+		cmocka_unit_test(reported_outcomes_are_true_under_faults),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/src/test_record/test_record.c
+++ b/src/test_record/test_record.c
@@ -26,8 +26,8 @@
 	return wwh_record_decode(data, size, record, NULL);
 }
 
-/* A record of kind whose required strings are set. */
-static void fill(wwh_record_t *record, wwh_record_kind_t kind)
+/* Initializes a record of kind and sets its required strings. */
+static void init_valid_record(wwh_record_t *record, wwh_record_kind_t kind)
 {
 	wwh_record_init(record, kind, "entry-1.7");
 	if (kind == WWH_RECORD_INTENTS)
@@ -48,7 +48,7 @@
 		wwh_record_set(&record->body.abandon.process, "entry-2.1");
 }
 
-static void every_kind_survives_the_codec(void **unused)
+static void every_kind_round_trips(void **unused)
 {
 	(void)unused;
 	for (int32_t kind = 0; kind < WWH_RECORD_KIND_COUNT; kind++) {
@@ -57,7 +57,7 @@
 		GBytes *first;
 		GBytes *second;
 
-		fill(&record, (wwh_record_kind_t)kind);
+		init_valid_record(&record, (wwh_record_kind_t)kind);
 		first = encode(&record);
 		assert_int_equal(decode(first, &copy), WWH_STATUS_OK);
 		assert_int_equal(copy.kind, kind);
@@ -95,15 +95,15 @@
 	g_bytes_unref(bytes);
 }
 
-static void a_field_out_of_bounds_is_not_encoded(void **unused)
+static void field_out_of_bounds_is_not_encoded(void **unused)
 {
 	wwh_message_t message = { "" };
 	wwh_record_t record;
-	char *longest = g_strnfill(WWH_ID_BYTES_MAX + 1, 'x');
+	char *too_long = g_strnfill(WWH_ID_BYTES_MAX + 1, 'x');
 
 	(void)unused;
 	wwh_record_init(&record, WWH_RECORD_ABANDON, "e");
-	wwh_record_set(&record.body.abandon.process, longest);
+	wwh_record_set(&record.body.abandon.process, too_long);
 	assert_null(wwh_record_encode(&record, &message));
 	assert_non_null(strstr(message.text, "process"));
 	wwh_record_set(&record.body.abandon.process, "a\nb");
@@ -111,15 +111,14 @@
 	wwh_record_set(&record.body.abandon.process, "\xff");
 	assert_null(wwh_record_encode(&record, &message));
 	wwh_record_clear(&record);
-	g_free(longest);
+	g_free(too_long);
 }
 
 /*
- * A foreign writer puts bytes on the stream that are cut short, too long or
- * of the wrong type. Every process must refuse them alike and go on: a cut
- * of a valid record is tried at every length.
+ * A foreign writer may append bytes that are truncated or too long. Every
+ * process must reject them alike: a valid record is truncated at every length.
  */
-static void a_cut_or_lengthened_record_is_refused(void **unused)
+static void truncated_or_extended_record_is_rejected(void **unused)
 {
 	wwh_record_t record;
 	GBytes *bytes;
@@ -128,7 +127,7 @@
 	uint8_t *longer;
 
 	(void)unused;
-	fill(&record, WWH_RECORD_INTENTS);
+	init_valid_record(&record, WWH_RECORD_INTENTS);
 	bytes = encode(&record);
 	wwh_record_clear(&record);
 	data = g_bytes_get_data(bytes, &size);
@@ -153,7 +152,7 @@
 	msgpack_pack_str_with_body(packer, "e", 1);
 }
 
-static void foreign_shapes_are_refused(void **unused)
+static void malformed_records_are_rejected(void **unused)
 {
 	static const struct {
 		int32_t format;
@@ -190,15 +189,19 @@
 	}
 }
 
-/* Five bytes that claim four thousand million elements must cost nothing. */
-static void a_huge_claim_is_refused(void **unused)
+/*
+ * Five bytes that declare 4294967295 elements must be rejected before memory is
+ * allocated for the elements.
+ */
+static void huge_declared_length_is_rejected(void **unused)
 {
-	static const uint8_t claim[] = { 0xdd, 0xff, 0xff, 0xff, 0xff };
+	static const uint8_t declared[] = { 0xdd, 0xff, 0xff, 0xff, 0xff };
 	wwh_record_t record;
 
 	(void)unused;
-	assert_int_equal(wwh_record_decode(claim, sizeof(claim), &record, NULL),
-			 WWH_STATUS_BAD_INPUT);
+	assert_int_equal(
+		wwh_record_decode(declared, sizeof(declared), &record, NULL),
+		WWH_STATUS_BAD_INPUT);
 }
 
 static void a_kind_belongs_to_its_stream(void **unused)
@@ -216,10 +219,10 @@
 
 /*
  * A release that reads another number for a kind, or its fields in another
- * order, would reach other verdicts than the processes that still run: what
- * stands on the log must not change.
+ * order, would decide otherwise than the running processes, so the encoding of
+ * records in the log must not change.
  */
-static void what_stands_on_the_log_stays(void **unused)
+static void encoding_is_stable(void **unused)
 {
 	static const char grant[] = "\x97\x01\x04\xa3"
 				    "e.1"
@@ -255,14 +258,14 @@
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(every_kind_survives_the_codec),
+		cmocka_unit_test(every_kind_round_trips),
 		cmocka_unit_test(fields_keep_their_values),
-		cmocka_unit_test(a_field_out_of_bounds_is_not_encoded),
-		cmocka_unit_test(a_cut_or_lengthened_record_is_refused),
-		cmocka_unit_test(foreign_shapes_are_refused),
-		cmocka_unit_test(a_huge_claim_is_refused),
+		cmocka_unit_test(field_out_of_bounds_is_not_encoded),
+		cmocka_unit_test(truncated_or_extended_record_is_rejected),
+		cmocka_unit_test(malformed_records_are_rejected),
+		cmocka_unit_test(huge_declared_length_is_rejected),
 		cmocka_unit_test(a_kind_belongs_to_its_stream),
-		cmocka_unit_test(what_stands_on_the_log_stays),
+		cmocka_unit_test(encoding_is_stable),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
