--- a/src/libwaxwinghollow/peer.c
+++ b/src/libwaxwinghollow/peer.c
@@ -412,8 +412,9 @@
 	g_mutex_lock(&peer->lock);
 	age_ms = now_ms - connection->progress_ms;
 	if (connection->inbound)
-		is_pending = connection->id == NULL ||
-			     wwh_frame_reader_held(connection->reader) > 0;
+		is_pending =
+			connection->id == NULL ||
+			wwh_frame_reader_buffered_bytes(connection->reader) > 0;
 	else
 		is_pending = is_pending || connection->out->len > 0;
 	g_mutex_unlock(&peer->lock);
