--- a/include/waxwinghollow/fleet_view.h
+++ b/include/waxwinghollow/fleet_view.h
@@ -3,20 +3,20 @@
 
 /*
  * NAME
- *	fleet_view - what the decisions about the fleet see, as plain structs
+ *	fleet_view - the input of decisions about the fleet, as plain structs
  *
  * USE
  *	Capacity, planner, conductor and placement read a wwh_fleet_view_t and
  *	nothing else: no log, no platform, no configuration object. The view
- *	is made afresh from the log-ordered state and the platform's reports
- *	(fleet_bridge.h), or by a test. Ids are kept once; everything else
- *	refers to workers, racks, zones, pools and jobs by index. Indexes hold
- *	only within one view.
+ *	is built anew from the log-ordered state and the platform's reports
+ *	(fleet_bridge.h), or by a test. Each id is stored once; everything else
+ *	refers to workers, racks, zones, pools and jobs by index. Indexes are
+ *	valid only within one view.
  *
  * ORDER OF CALLS
  *	wwh_fleet_view_new; add pools, then workers, then jobs; then
- *	wwh_fleet_view_seal; then read. After the seal the contents of an item
- *	may be changed, not its id, pool, rack, zone, or a job's worker.
+ *	wwh_fleet_view_seal; then read. After sealing, the contents of an item
+ *	may be changed, but not its id, pool, rack, zone, or a job's worker.
  */
 
 #include <glib.h>
@@ -55,24 +55,24 @@
 	wwh_grant_reason_t grant_reason;
 	const char *grant_owner; /* id of the wave or rehearsal; "" */
 	int64_t failed; /* offset of the failure; WWH_NO_OFFSET: none */
-	int32_t wanted_pool; /* of the inventory; differs: a move is due */
-	int32_t move_from; /* WWH_FLEET_NONE: it isn't between pools */
+	int32_t wanted_pool; /* by the inventory; a move is due if not pool */
+	int32_t move_from; /* WWH_FLEET_NONE: not between pools */
 	int32_t move_to;
-	bool in_wave; /* its pool's wave is to maintain it */
-	bool maintained; /* by the wave that is being planned or run */
-	bool quarantined; /* takes no new jobs; counts as lost */
+	bool in_wave; /* is to be maintained by its pool's wave */
+	bool maintained; /* already, by its pool's wave that has not ended */
+	bool quarantined; /* receives no new jobs; counts as lost */
 	int32_t host_state; /* wwh_host_state_t; WWH_FLEET_UNKNOWN */
 	int32_t requests_in_progress; /* WWH_FLEET_UNKNOWN: not reported */
-	int32_t first_job; /* set by the seal: into the jobs by worker */
+	int32_t first_job; /* set by sealing: into the jobs by worker */
 	int32_t job_count;
 } wwh_fleet_worker_t;
 
 typedef struct {
 	const char *id;
-	wwh_pool_t rule; /* rule.id is id */
-	int64_t fence; /* of the lease held here; WWH_NO_OFFSET: not held */
-	int32_t wave; /* that runs or is paused; WWH_FLEET_NONE */
-	int32_t first_member; /* set by the seal: into the members by pool */
+	wwh_pool_t rule; /* rule.id equals id */
+	int64_t fence; /* of the lease held here; WWH_NO_OFFSET: none */
+	int32_t wave; /* running or paused; WWH_FLEET_NONE: none */
+	int32_t first_member; /* set by sealing: into the members by pool */
 	int32_t size;
 } wwh_fleet_pool_t;
 
@@ -97,28 +97,28 @@
 	const char *id;
 	wwh_domain_t domain;
 	const char *domain_id;
-	int64_t offset; /* of its start */
+	int64_t offset; /* of its start record */
 	bool running;
 } wwh_fleet_rehearsal_t;
 
 typedef struct {
 	const char *id;
 	const char *team;
-	const char *group; /* spread over zones among its like; "": none */
+	const char *group; /* its jobs are spread over zones; "": none */
 	int32_t pool;
-	int32_t worker; /* where it runs; WWH_FLEET_NONE */
+	int32_t worker; /* that runs it; WWH_FLEET_NONE: none */
 	wwh_job_phase_t phase;
-	bool checkpointed; /* pending; goes on from where it was */
+	bool checkpointed; /* pending; resumes from its checkpoint */
 	wwh_load_t declared;
 	wwh_load_t used; /* observed, lagging; 0 before the first report */
 	bool urgent;
 	bool idempotent; /* may run twice */
-	int64_t queued_ms; /* since when it waits */
-	int64_t started_ms; /* since when it runs */
+	int64_t queued_ms; /* start of its waiting time */
+	int64_t started_ms; /* start of its run */
 	int64_t renewed_ms; /* when its lease was last renewed */
-	int64_t expected_end_ms; /* as observed of its like; 0: unknown */
+	int64_t expected_end_ms; /* from earlier jobs of its team; 0: unknown */
 	int64_t lease; /* offset of its placement; WWH_NO_OFFSET: none */
-	int32_t report; /* wwh_task_state_t under that lease; UNKNOWN */
+	int32_t report; /* wwh_task_state_t for lease; WWH_FLEET_UNKNOWN */
 } wwh_fleet_job_t;
 
 typedef struct wwh_fleet_view wwh_fleet_view_t;
@@ -126,18 +126,24 @@
 wwh_fleet_view_t *wwh_fleet_view_new(void);
 void wwh_fleet_view_delete(wwh_fleet_view_t *view);
 
-/* Each returns the index. Ids must differ within their kind. */
+/*
+ * The add functions of pools, workers, jobs, waves and rehearsals return the
+ * index of the new item. Ids must be unique within a kind.
+ */
 int32_t wwh_fleet_view_add_pool(wwh_fleet_view_t *view, const wwh_pool_t *rule);
 
-/* A pool that isn't known counts as none. The worker is serving. */
+/*
+ * The worker is added as serving, or as between pools if its pool is unknown or
+ * not set.
+ */
 int32_t wwh_fleet_view_add_worker(wwh_fleet_view_t *view,
 				  const wwh_worker_t *worker);
 
-/* Copies job and its strings; the indexes in it must hold. */
+/* Copies job and its strings; its indexes must be valid in this view. */
 int32_t wwh_fleet_view_add_job(wwh_fleet_view_t *view,
 			       const wwh_fleet_job_t *job);
 
-/* A running or paused wave becomes its pool's. Each returns the index. */
+/* A running or paused wave is set as its pool's wave. */
 int32_t wwh_fleet_view_add_wave(wwh_fleet_view_t *view,
 				const wwh_fleet_wave_t *wave);
 int32_t wwh_fleet_view_add_rehearsal(wwh_fleet_view_t *view,
@@ -148,13 +154,14 @@
 void wwh_fleet_view_add_team(wwh_fleet_view_t *view, const wwh_team_t *team);
 void wwh_fleet_view_set_rules(wwh_fleet_view_t *view, const wwh_rules_t *rules);
 
-/* The last record that the view was made from. */
+/* Sets the offset of the last record that the view was built from. */
 void wwh_fleet_view_set_offset(wwh_fleet_view_t *view, int64_t offset);
 
-/* A copy of text that lives as long as the view. */
-const char *wwh_fleet_view_keep(wwh_fleet_view_t *view, const char *text);
+/* Returns a copy of text that is valid until the view is deleted. */
+const char *wwh_fleet_view_copy_string(wwh_fleet_view_t *view,
+				       const char *text);
 
-/* Builds the members by pool and the jobs by worker. */
+/* Builds the indexes of members by pool and of jobs by worker. */
 void wwh_fleet_view_seal(wwh_fleet_view_t *view);
 
 int32_t wwh_fleet_worker_count(const wwh_fleet_view_t *view);
@@ -183,15 +190,15 @@
 const wwh_rules_t *wwh_fleet_rules(const wwh_fleet_view_t *view);
 int64_t wwh_fleet_offset(const wwh_fleet_view_t *view);
 
-/* Index of the pool's member at position, below the pool's size. */
+/* Returns the worker index of the pool's member; position < the pool's size. */
 int32_t wwh_fleet_member(const wwh_fleet_view_t *view, int32_t pool,
 			 int32_t position);
 
-/* Index of the job at position on the worker, below its job_count. */
+/* Returns the index of a job on the worker; position < its job_count. */
 int32_t wwh_fleet_worker_job(const wwh_fleet_view_t *view, int32_t worker,
 			     int32_t position);
 
-/* Indexes by id; WWH_FLEET_NONE when there is none. */
+/* Each returns the index of the item with this id, or WWH_FLEET_NONE. */
 int32_t wwh_fleet_find_worker(const wwh_fleet_view_t *view, const char *id);
 int32_t wwh_fleet_find_pool(const wwh_fleet_view_t *view, const char *id);
 int32_t wwh_fleet_find_rack(const wwh_fleet_view_t *view, const char *id);
@@ -200,11 +207,11 @@
 int32_t wwh_fleet_find_wave(const wwh_fleet_view_t *view, const char *id);
 int32_t wwh_fleet_find_rehearsal(const wwh_fleet_view_t *view, const char *id);
 
-/* Whether the worker stands in that domain. */
-bool wwh_fleet_in_domain(const wwh_fleet_view_t *view, int32_t worker,
-			 wwh_domain_t domain, const char *domain_id);
+/* Returns whether the worker is in that failure domain. */
+bool wwh_fleet_is_in_domain(const wwh_fleet_view_t *view, int32_t worker,
+			    wwh_domain_t domain, const char *domain_id);
 
-/* Whether the worker counts as lost to its pool. */
+/* Returns whether the worker counts as lost capacity of its pool. */
 bool wwh_fleet_is_lost(const wwh_fleet_worker_t *worker);
 
 #endif
--- a/include/waxwinghollow/intent.h
+++ b/include/waxwinghollow/intent.h
@@ -3,64 +3,66 @@
 
 /*
  * NAME
- *	intent - the reducer of stream intents: at most once for keyed requests
+ *	intent - the reducer of stream intents: at-most-once execution of keyed
+ *	requests
  *
  * USE
- *	Before the first byte of a request that is not idempotent leaves
- *	towards a minion, its intent (service, key, fingerprint, sequence) is
+ *	Before the first byte of a request that is not idempotent is sent to
+ *	a minion, its intent (service, key, fingerprint, sequence) is
  *	appended; the first intent for a key in log order wins. The process
- *	sends only when wwh_intents_may_send says so after it read its own
- *	intent back. When the request ended it appends the result.
+ *	sends only if wwh_intents_may_send returns true after it has read its
+ *	own intent back. When the request has ended, it appends the result.
  *
- *	What goes wrong without it: a caller repeats a charge through another
- *	entry process while the first is on its way, and it runs twice; or it
- *	is told "not run" by a process that knows nothing of the first.
+ *	Without it, a charge that a caller repeats through another entry
+ *	process while the first attempt is in progress would run twice, or
+ *	a process without knowledge of the first attempt would answer
+ *	"not run".
  *
  *	Who may run a request: only the author of the key's intent, once. A
  *	key gets a second intent only after that author recorded "not-run".
- *	An intent that was read back may be sent late by a process that was
- *	paused, so nobody else may take a key over, whatever any clock says.
- *	One bound is the sender's: it must not send once the request's own
- *	deadline is over by its CLOCK_BOOTTIME, and deadlines must be shorter
- *	than the window of keys. Else a process that was paused for longer
- *	than both windows below could send an intent whose key was forgotten
- *	and used anew.
+ *	A process that was paused may send a request late, after it read the
+ *	intent back; so no other process may take over a key, whatever any
+ *	clock shows. The sender itself must observe one bound: it must not
+ *	send after the request's own deadline by its CLOCK_BOOTTIME, and
+ *	deadlines must be shorter than the window of keys. Otherwise a process
+ *	that was paused for longer than both windows below could send a request
+ *	whose key was forgotten and used again.
  *
- *	A process that is gone for good. Any process that sees the platform
- *	list it as gone may append WWH_RECORD_ABANDON for its incarnation:
+ *	A process that has ended for good: once the platform lists it as gone,
+ *	any process may append WWH_RECORD_ABANDON for its incarnation, and its
  *	keys in progress become unknown. A wrong abandon runs nothing twice:
  *	it turns "in progress" into "unknown" and stops the process, whose
- *	later intents are refused (WWH_INTENT_ABANDONED) and for which
- *	wwh_intents_may_send is false; it has to restart as a new
+ *	later intents are rejected (WWH_INTENT_ABANDONED) and for which
+ *	wwh_intents_may_send returns false; it has to restart as a new
  *	incarnation. Residual risk: a process paused between that check and
- *	its send still sends when it wakes. The request then runs late, but at
- *	most once, because the key stays with it: nobody else may run it. The
- *	answer it then records turns "unknown" into "answered".
+ *	its send still sends when it resumes. The request then runs late, but
+ *	at most once, because no other process may run its key. The answer
+ *	that it then records turns "unknown" into "answered".
  *
- *	Windows, without a clock in the reducer. WWH_RECORD_EXPIRE_KEYS comes
- *	from a process whose own clock says that all records below an offset
- *	are older than the window of keys (rules: key_window_s). Keys below
- *	keys_upto leave a tombstone, a hash of 16 bytes: a repeat gets
- *	"expired" and is not run. Tombstones below tombstones_upto are
- *	dropped; that offset must not exceed the keys_upto of an earlier
- *	record, so that no single wrong clock drops both. After that the key
- *	is forgotten and a repeat would run: callers must not repeat a key
- *	later than both windows. Offsets only grow; a late record of a paused
- *	process has no effect. A hash that collides refuses a request that
- *	could have run, never the other way.
+ *	The reducer reads no clock; records end the windows. A process appends
+ *	WWH_RECORD_EXPIRE_KEYS when by its own clock all records below an
+ *	offset are older than the window of keys (rules: key_window_s). Keys
+ *	below keys_upto are replaced by a tombstone, a hash of 16 bytes:
+ *	a repeat is answered "expired" and is not run. Tombstones below
+ *	tombstones_upto are dropped; that offset must not exceed the keys_upto
+ *	of an earlier record, so that no single wrong clock drops both. After
+ *	that the key is unknown and a repeat would run: callers must not repeat
+ *	a key after both windows. Offsets only grow; a late record of a paused
+ *	process has no effect. A hash collision can reject a request that
+ *	could have run, but never admits one that must not run.
  *
- *	Bounded memory. With keys_max keys the oldest becomes a tombstone
- *	early; with tombstones_max tombstones new intents are refused as full
- *	(not run, Retry-After): refusing is safe, forgetting is not. Beyond
- *	bodies_max_bytes the oldest kept answers lose their body ("answer not
- *	kept"). The limits decide verdicts, so they are part of the state's
- *	bytes and must be alike in all processes: use the defaults.
+ *	Memory is bounded. With keys_max keys the oldest becomes a tombstone
+ *	early; with tombstones_max tombstones new intents are rejected as full
+ *	(not run, Retry-After): rejecting is safe, forgetting is not. Beyond
+ *	bodies_max_bytes the oldest stored answers lose their body ("answer not
+ *	kept"). The limits influence verdicts, so they are part of the encoded
+ *	state and must be equal in all processes: use the defaults.
  *
  * ORDER OF CALLS
  *	wwh_intents_new or wwh_snapshot_decode_intents; wwh_intents_apply or
  *	wwh_intents_apply_entry for each record in the order of offsets;
  *	lookups in between; wwh_intents_delete. Not thread safe. Pointers from
- *	accessors hold until the next apply.
+ *	accessors are valid until the next apply.
  */
 
 #include <glib.h>
@@ -81,14 +83,14 @@
 void wwh_intent_limits_defaults(wwh_intent_limits_t *limits);
 
 typedef enum {
-	WWH_INTENT_ACCEPTED = 0, /* the author may send, see may_send */
+	WWH_INTENT_ACCEPTED = 0, /* see wwh_intents_may_send */
 	WWH_INTENT_REPEATED, /* the same intent was appended twice */
 	WWH_INTENT_IN_PROGRESS,
 	WWH_INTENT_ANSWERED,
 	WWH_INTENT_UNKNOWN,
 	WWH_INTENT_OTHER_REQUEST, /* same key, another fingerprint */
 	WWH_INTENT_EXPIRED,
-	WWH_INTENT_ABANDONED, /* the author was declared gone */
+	WWH_INTENT_ABANDONED, /* the author was abandoned */
 	WWH_INTENT_FULL,
 	WWH_INTENT_RESULT_ACCEPTED,
 	WWH_INTENT_RESULT_ALREADY, /* answered or not-run is final */
@@ -107,20 +109,20 @@
 
 typedef struct wwh_intents wwh_intents_t;
 
-/* limits NULL: the defaults. */
+/* The defaults apply if limits is NULL. */
 wwh_intents_t *wwh_intents_new(const wwh_intent_limits_t *limits);
 void wwh_intents_delete(wwh_intents_t *intents);
 
 /*
- * The verdict of the record as a whole; items of a batch have their own,
- * told to visit, which may be NULL. detail may be NULL.
+ * Applies the record and returns its verdict. Each item of a batch has its own
+ * verdict, which is passed to visit. visit and detail may be NULL.
  */
 wwh_verdict_t wwh_intents_apply(wwh_intents_t *intents, int64_t offset,
 				const wwh_record_t *record,
 				wwh_intent_visit_t visit, void *client_data,
 				wwh_verdict_detail_t *detail);
 
-/* Decodes and applies; see wwh_state_apply_entry. */
+/* Decodes and applies a record; see wwh_state_apply_entry. */
 wwh_verdict_t wwh_intents_apply_entry(wwh_intents_t *intents, int64_t offset,
 				      const uint8_t *data, size_t size,
 				      wwh_record_t *record,
@@ -128,12 +130,15 @@
 				      void *client_data,
 				      wwh_verdict_detail_t *detail);
 
-/* Asserts every invariant by recounting; O(state). */
+/* Asserts every invariant by recounting; takes time linear in the state. */
 void wwh_intents_check(const wwh_intents_t *intents);
 
 int64_t wwh_intents_last_offset(const wwh_intents_t *intents); /* -1: none */
 
-/* How often a record, an item got this verdict; not in the state's bytes. */
+/*
+ * Numbers of records and of items with this verdict; not part of the encoded
+ * state.
+ */
 int64_t wwh_intents_verdict_count(const wwh_intents_t *intents,
 				  wwh_verdict_t verdict);
 int64_t wwh_intents_item_count(const wwh_intents_t *intents,
@@ -158,27 +163,31 @@
 	int64_t offset; /* of the intent, or -1 */
 	int64_t sequence; /* of the intent */
 	const char *process; /* its author, or "" */
-	int32_t http_status; /* answered */
-	bool body_kept; /* false: it ran, its answer is gone */
+	int32_t http_status; /* if answered */
+	bool body_kept; /* false if answered: the answer is no longer stored */
 	const char *content_type;
 	GBytes *body; /* owned by the state; may be NULL */
 } wwh_key_view_t;
 
-/* fingerprint may be NULL: not compared. */
-wwh_key_state_t wwh_intents_key(const wwh_intents_t *intents,
-				const char *service, const char *key,
-				const uint8_t *fingerprint,
-				wwh_key_view_t *view);
+/*
+ * Returns the state of the key; view may be NULL. The fingerprint is not
+ * compared if it is NULL.
+ */
+wwh_key_state_t wwh_intents_lookup_key(const wwh_intents_t *intents,
+				       const char *service, const char *key,
+				       const uint8_t *fingerprint,
+				       wwh_key_view_t *view);
 
 /*
- * Whether process may send the request of its intent now: the intent is in
- * progress, its own, and process was not abandoned.
+ * Returns whether process may send the request of its intent now: the intent is
+ * in progress and its own, and process was not abandoned.
  */
 bool wwh_intents_may_send(const wwh_intents_t *intents, const char *service,
 			  const char *key, const char *process,
 			  int64_t sequence);
 
-bool wwh_intents_abandoned(const wwh_intents_t *intents, const char *process);
+bool wwh_intents_is_abandoned(const wwh_intents_t *intents,
+			      const char *process);
 
 typedef struct {
 	int64_t keys;
@@ -186,14 +195,14 @@
 	int64_t unknown;
 	int64_t tombstones;
 	int64_t body_bytes;
-	int64_t keys_upto; /* the windows' ends */
+	int64_t keys_upto; /* offset where the window of keys ends */
 	int64_t tombstones_upto;
-	int64_t expired_early; /* keys beyond keys_max; a counter */
+	int64_t expired_early; /* number of keys that expired by keys_max */
 } wwh_intents_totals_t;
 
 wwh_intents_totals_t wwh_intents_totals(const wwh_intents_t *intents);
 
-/* XXH3 of a request's method, path and body. */
+/* Computes the XXH3 hash of a request's method, path and body. */
 void wwh_intent_fingerprint(const char *method, const char *path,
 			    const uint8_t *body, size_t size,
 			    uint8_t fingerprint[WWH_FINGERPRINT_BYTES]);
--- a/src/libwaxwinghollow/conductor_rehearsal.c
+++ b/src/libwaxwinghollow/conductor_rehearsal.c
@@ -189,8 +189,8 @@
 static bool is_in(const wwh_conductor_t *conductor,
 		  const wwh_fleet_rehearsal_t *rehearsal, int32_t worker)
 {
-	return wwh_fleet_in_domain(conductor->view, worker, rehearsal->domain,
-				   rehearsal->domain_id);
+	return wwh_fleet_is_in_domain(conductor->view, worker,
+				      rehearsal->domain, rehearsal->domain_id);
 }
 
 static wwh_rehearsal_run_t *run_for(wwh_conductor_t *conductor,
--- a/src/libwaxwinghollow/entry_fleet.c
+++ b/src/libwaxwinghollow/entry_fleet.c
@@ -149,7 +149,7 @@
 void wwh_entry_fleet_host(wwh_entry_fleet_t *fleet, const wwh_host_t *host)
 {
 	g_mutex_lock(&fleet->lock);
-	wwh_observations_host(fleet->observations, host);
+	wwh_observations_set_host(fleet->observations, host);
 	g_mutex_unlock(&fleet->lock);
 }
 
@@ -221,8 +221,8 @@
 	wwh_plan_options_defaults(&options);
 	g_mutex_lock(&entry->state_lock);
 	g_mutex_lock(&fleet->lock);
-	view = wwh_fleet_bridge_view(entry->state, fleet->observations,
-				     entry->author, wwh_now_ms());
+	view = wwh_fleet_bridge_create_view(entry->state, fleet->observations,
+					    entry->author, wwh_now_ms());
 	rules = wwh_config_rules(wwh_state_config(entry->state));
 	options.buffer_weight = rules->buffer_weight;
 	options.move_weight = rules->move_weight;
@@ -257,8 +257,8 @@
 
 	g_mutex_lock(&entry->state_lock);
 	g_mutex_lock(&fleet->lock);
-	view = wwh_fleet_bridge_view(entry->state, fleet->observations,
-				     entry->author, wwh_now_ms());
+	view = wwh_fleet_bridge_create_view(entry->state, fleet->observations,
+					    entry->author, wwh_now_ms());
 	g_mutex_unlock(&fleet->lock);
 	g_mutex_unlock(&entry->state_lock);
 	text = wwh_capacity_json(view);
@@ -331,7 +331,8 @@
 	wwh_entry_fleet_t *fleet = client_data;
 
 	g_mutex_lock(&fleet->lock);
-	wwh_observations_task(fleet->observations, report, wwh_now_ms());
+	wwh_observations_add_task_report(fleet->observations, report,
+					 wwh_now_ms());
 	g_mutex_unlock(&fleet->lock);
 }
 
@@ -375,8 +376,8 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const out_t *out = value;
 
-		wwh_observations_requests(fleet->observations, out->worker,
-					  requests_on(fleet, out, now_ms));
+		wwh_observations_set_requests(fleet->observations, out->worker,
+					      requests_on(fleet, out, now_ms));
 	}
 }
 
@@ -441,8 +442,8 @@
 	g_mutex_lock(&entry->state_lock);
 	g_mutex_lock(&fleet->lock);
 	observe_requests(fleet, now_ms);
-	view = wwh_fleet_bridge_view(entry->state, fleet->observations,
-				     entry->author, now_ms);
+	view = wwh_fleet_bridge_create_view(entry->state, fleet->observations,
+					    entry->author, now_ms);
 	g_mutex_unlock(&entry->state_lock);
 	while ((result = g_async_queue_try_pop(fleet->results)) != NULL) {
 		wwh_conductor_result(fleet->conductor, result, now_ms);
--- a/src/libwaxwinghollow/fleet_bridge.c
+++ b/src/libwaxwinghollow/fleet_bridge.c
@@ -2,12 +2,12 @@
 
 #include <string.h>
 
-#define RUN_TIMES_KEPT 32 /* of a team's last jobs */
-#define SPARE_TASKS 1024 /* reports of tasks that no job in the view has */
+#define RUN_TIMES_MAX 32 /* last completed jobs per team */
+#define STALE_TASKS_MAX 1024 /* beyond the jobs in the view */
 
-/* How long a team's last jobs ran. */
+/* Ring of the run times of a team's last completed jobs. */
 typedef struct {
-	int64_t ms[RUN_TIMES_KEPT];
+	int64_t ms[RUN_TIMES_MAX];
 	int32_t count;
 	int32_t next;
 } run_times_t;
@@ -17,12 +17,12 @@
 	wwh_task_state_t state;
 	wwh_load_t used;
 	int64_t started_ms; /* first report of this fence */
-	int64_t queued_ms; /* first seen as waiting */
+	int64_t queued_ms; /* when the job first occurred in a view */
 	bool ended;
 } task_t;
 
 struct wwh_observations {
-	GHashTable *hosts; /* worker id to state + 1 */
+	GHashTable *hosts; /* worker id to host state + 1 */
 	GHashTable *tasks; /* task id to task_t */
 	GHashTable *requests; /* worker id to count + 1 */
 	GHashTable *run_times; /* team to run_times_t */
@@ -36,13 +36,13 @@
 	int64_t now_ms;
 } bridge_t;
 
-static task_t *task_of(wwh_observations_t *observations, const char *id);
+static task_t *ensure_task(wwh_observations_t *observations, const char *id);
 static void add_config(bridge_t *bridge);
 static void add_pools(bridge_t *bridge);
 static bool add_worker(const wwh_worker_view_t *worker, void *client_data);
-static void set_state(bridge_t *bridge, const wwh_worker_view_t *worker,
-		      wwh_fleet_worker_t *item);
-static int32_t pool_of(const bridge_t *bridge, const char *id);
+static void set_worker_state(bridge_t *bridge, const wwh_worker_view_t *worker,
+			     wwh_fleet_worker_t *item);
+static int32_t find_pool(const bridge_t *bridge, const char *id);
 static bool add_wave(const wwh_wave_view_t *wave, void *client_data);
 static void mark_wave(bridge_t *bridge, const wwh_wave_view_t *wave);
 static bool add_rehearsal(const wwh_rehearsal_view_t *rehearsal,
@@ -52,11 +52,10 @@
 		       wwh_fleet_job_t *item);
 static int64_t expected_end_ms(const run_times_t *times, int64_t started_ms,
 			       int64_t now_ms);
-static void note_run_time(bridge_t *bridge, const wwh_job_view_t *job);
-static void sum_use(wwh_fleet_view_t *view);
-static void drop_old_tasks(const bridge_t *bridge);
-static gboolean is_forgotten(gpointer key, gpointer value,
-			     gpointer client_data);
+static void record_run_time(bridge_t *bridge, const wwh_job_view_t *job);
+static void sum_worker_use(wwh_fleet_view_t *view);
+static void remove_stale_tasks(const bridge_t *bridge);
+static gboolean has_no_job(gpointer key, gpointer value, gpointer client_data);
 
 wwh_observations_t *wwh_observations_new(void)
 {
@@ -84,8 +83,8 @@
 	g_free(observations);
 }
 
-void wwh_observations_host(wwh_observations_t *observations,
-			   const wwh_host_t *host)
+void wwh_observations_set_host(wwh_observations_t *observations,
+			       const wwh_host_t *host)
 {
 	if (host->kind != WWH_HOST_WORKER)
 		return;
@@ -93,10 +92,11 @@
 			    GINT_TO_POINTER((gint)host->state + 1));
 }
 
-void wwh_observations_task(wwh_observations_t *observations,
-			   const wwh_task_report_t *report, int64_t now_ms)
+void wwh_observations_add_task_report(wwh_observations_t *observations,
+				      const wwh_task_report_t *report,
+				      int64_t now_ms)
 {
-	task_t *task = task_of(observations, report->task_id);
+	task_t *task = ensure_task(observations, report->task_id);
 
 	if (report->fence < task->fence)
 		return;
@@ -110,16 +110,17 @@
 	task->used.memory_mb = report->used_memory_mb;
 }
 
-void wwh_observations_requests(wwh_observations_t *observations,
-			       const char *worker, int32_t in_progress)
+void wwh_observations_set_requests(wwh_observations_t *observations,
+				   const char *worker, int32_t in_progress)
 {
 	g_hash_table_insert(observations->requests, g_strdup(worker),
 			    GINT_TO_POINTER(in_progress + 1));
 }
 
-wwh_fleet_view_t *wwh_fleet_bridge_view(const wwh_state_t *state,
-					wwh_observations_t *observations,
-					const char *author, int64_t now_ms)
+wwh_fleet_view_t *wwh_fleet_bridge_create_view(const wwh_state_t *state,
+					       wwh_observations_t *observations,
+					       const char *author,
+					       int64_t now_ms)
 {
 	bridge_t bridge = { .state = state,
 			    .observations = observations,
@@ -135,12 +136,12 @@
 	wwh_state_each_job(state, add_job, &bridge);
 	wwh_fleet_view_set_offset(bridge.view, wwh_state_last_offset(state));
 	wwh_fleet_view_seal(bridge.view);
-	sum_use(bridge.view);
-	drop_old_tasks(&bridge);
+	sum_worker_use(bridge.view);
+	remove_stale_tasks(&bridge);
 	return bridge.view;
 }
 
-static task_t *task_of(wwh_observations_t *observations, const char *id)
+static task_t *ensure_task(wwh_observations_t *observations, const char *id)
 {
 	task_t *task = g_hash_table_lookup(observations->tasks, id);
 
@@ -189,12 +190,12 @@
 
 	declared.pool = (char *)worker->pool;
 	index = wwh_fleet_view_add_worker(bridge->view, &declared);
-	set_state(bridge, worker, wwh_fleet_worker(bridge->view, index));
+	set_worker_state(bridge, worker, wwh_fleet_worker(bridge->view, index));
 	return true;
 }
 
-static void set_state(bridge_t *bridge, const wwh_worker_view_t *worker,
-		      wwh_fleet_worker_t *item)
+static void set_worker_state(bridge_t *bridge, const wwh_worker_view_t *worker,
+			     wwh_fleet_worker_t *item)
 {
 	const wwh_observations_t *observations = bridge->observations;
 	gpointer host = g_hash_table_lookup(observations->hosts, worker->id);
@@ -204,15 +205,15 @@
 	item->grant = worker->grant;
 	item->failed = worker->failed;
 	item->quarantined = worker->quarantined != WWH_NO_OFFSET;
-	item->wanted_pool = pool_of(bridge, worker->wanted_pool);
+	item->wanted_pool = find_pool(bridge, worker->wanted_pool);
 	if (worker->grant != WWH_NO_OFFSET) {
 		item->grant_reason = worker->grant_reason;
-		item->grant_owner =
-			wwh_fleet_view_keep(bridge->view, worker->grant_owner);
+		item->grant_owner = wwh_fleet_view_copy_string(
+			bridge->view, worker->grant_owner);
 	}
 	if (worker->move != WWH_NO_OFFSET) {
-		item->move_from = pool_of(bridge, worker->move_from);
-		item->move_to = pool_of(bridge, worker->move_to);
+		item->move_from = find_pool(bridge, worker->move_from);
+		item->move_to = find_pool(bridge, worker->move_to);
 	}
 	if (worker->pool[0] == '\0')
 		item->state = WWH_FLEET_BETWEEN;
@@ -226,17 +227,17 @@
 		item->requests_in_progress = GPOINTER_TO_INT(requests) - 1;
 }
 
-static int32_t pool_of(const bridge_t *bridge, const char *id)
+static int32_t find_pool(const bridge_t *bridge, const char *id)
 {
 	return wwh_fleet_find_pool(bridge->view, id);
 }
 
-/* Ended waves are needed while workers are out under them. */
+/* Aborted waves stay in the view: workers may be out under their grants. */
 static bool add_wave(const wwh_wave_view_t *wave, void *client_data)
 {
 	bridge_t *bridge = client_data;
 	wwh_fleet_wave_t item = { .id = wave->id,
-				  .pool = pool_of(bridge, wave->pool),
+				  .pool = find_pool(bridge, wave->pool),
 				  .phase = wave->phase };
 
 	if (item.pool == WWH_FLEET_NONE ||
@@ -248,11 +249,11 @@
 	return true;
 }
 
-/* Sets in_wave and maintained of the wave's workers. */
+/* Sets in_wave and maintained of the wave's workers; no list means all. */
 static void mark_wave(bridge_t *bridge, const wwh_wave_view_t *wave)
 {
 	wwh_fleet_view_t *view = bridge->view;
-	int32_t pool = pool_of(bridge, wave->pool);
+	int32_t pool = find_pool(bridge, wave->pool);
 	int32_t worker_count = wwh_fleet_worker_count(view);
 
 	for (int32_t i = 0; i < worker_count && wave->worker_count == 0; i++) {
@@ -296,8 +297,8 @@
 	wwh_fleet_job_t item = {
 		.id = job->id,
 		.team = job->team,
-		.group = job->team, /* its jobs are spread over zones */
-		.pool = pool_of(bridge, job->pool),
+		.group = job->team, /* a team's jobs are spread over zones */
+		.pool = find_pool(bridge, job->pool),
 		.worker = WWH_FLEET_NONE,
 		.phase = job->phase,
 		.declared = { job->cores * 1000, job->memory_mb,
@@ -310,7 +311,7 @@
 
 	if (job->phase == WWH_JOB_PHASE_DONE ||
 	    job->phase == WWH_JOB_PHASE_FAILED) {
-		note_run_time(bridge, job);
+		record_run_time(bridge, job);
 		return true;
 	}
 	if (item.pool == WWH_FLEET_NONE)
@@ -330,7 +331,7 @@
 static void add_report(bridge_t *bridge, const wwh_job_view_t *job,
 		       wwh_fleet_job_t *item)
 {
-	task_t *task = task_of(bridge->observations, job->id);
+	task_t *task = ensure_task(bridge->observations, job->id);
 	const run_times_t *times =
 		g_hash_table_lookup(bridge->observations->run_times, job->team);
 
@@ -339,7 +340,7 @@
 	item->queued_ms = task->queued_ms;
 	if (job->phase == WWH_JOB_PHASE_PENDING)
 		return;
-	/* Without a report yet it is a moment old. */
+	/* A job without a report is taken to have started now. */
 	item->started_ms = bridge->now_ms;
 	if (task->fence != job->fence)
 		return;
@@ -352,13 +353,13 @@
 }
 
 /*
- * Half of those of the team's jobs that ran longer than this one has so far
- * had ended by then; 0 when none ran as long.
+ * Returns the start plus the median run time of those of the team's jobs that
+ * ran longer than this one has so far; 0 if there are none.
  */
 static int64_t expected_end_ms(const run_times_t *times, int64_t started_ms,
 			       int64_t now_ms)
 {
-	int64_t longer[RUN_TIMES_KEPT];
+	int64_t longer[RUN_TIMES_MAX];
 	int32_t count = 0;
 
 	for (int32_t i = 0; i < times->count; i++) {
@@ -374,8 +375,8 @@
 	return count == 0 ? 0 : started_ms + longer[count / 2];
 }
 
-/* Run times are learnt per team: declared ones are far from the truth. */
-static void note_run_time(bridge_t *bridge, const wwh_job_view_t *job)
+/* Run times are measured per team, because declared ones are inaccurate. */
+static void record_run_time(bridge_t *bridge, const wwh_job_view_t *job)
 {
 	wwh_observations_t *observations = bridge->observations;
 	task_t *task = g_hash_table_lookup(observations->tasks, job->id);
@@ -391,14 +392,14 @@
 	}
 	if (task->fence == job->fence && job->phase == WWH_JOB_PHASE_DONE) {
 		times->ms[times->next] = bridge->now_ms - task->started_ms;
-		times->next = (times->next + 1) % RUN_TIMES_KEPT;
-		times->count = MIN(times->count + 1, RUN_TIMES_KEPT);
+		times->next = (times->next + 1) % RUN_TIMES_MAX;
+		times->count = MIN(times->count + 1, RUN_TIMES_MAX);
 	}
 	g_hash_table_remove(observations->tasks, job->id);
 }
 
-/* Observed use of each worker, from its jobs. */
-static void sum_use(wwh_fleet_view_t *view)
+/* Sums the observed use of each worker over its jobs. */
+static void sum_worker_use(wwh_fleet_view_t *view)
 {
 	int32_t job_count = wwh_fleet_job_count(view);
 
@@ -414,17 +415,20 @@
 	}
 }
 
-/* The platform may report tasks for long after their jobs are forgotten. */
-static void drop_old_tasks(const bridge_t *bridge)
+/*
+ * Removes tasks that have no job in the view: the platform may report tasks
+ * long after their jobs were removed.
+ */
+static void remove_stale_tasks(const bridge_t *bridge)
 {
 	GHashTable *tasks = bridge->observations->tasks;
 	guint jobs = (guint)wwh_fleet_job_count(bridge->view);
 
-	if (g_hash_table_size(tasks) > jobs + SPARE_TASKS)
-		g_hash_table_foreach_remove(tasks, is_forgotten, bridge->view);
+	if (g_hash_table_size(tasks) > jobs + STALE_TASKS_MAX)
+		g_hash_table_foreach_remove(tasks, has_no_job, bridge->view);
 }
 
-static gboolean is_forgotten(gpointer key, gpointer value, gpointer client_data)
+static gboolean has_no_job(gpointer key, gpointer value, gpointer client_data)
 {
 	(void)value;
 	return wwh_fleet_find_job(client_data, key) == WWH_FLEET_NONE;
--- a/src/libwaxwinghollow/fleet_view.c
+++ b/src/libwaxwinghollow/fleet_view.c
@@ -5,7 +5,7 @@
 
 typedef struct {
 	GArray *items;
-	GHashTable *indexes; /* id to index + 1; looked up, never iterated */
+	GHashTable *indexes; /* id to index + 1; never iterated */
 } table_t;
 
 struct wwh_fleet_view {
@@ -21,8 +21,8 @@
 	GArray *teams; /* of wwh_team_t */
 	wwh_rules_t rules;
 	int64_t offset;
-	int32_t *members; /* by pool */
-	int32_t *jobs_by_worker;
+	int32_t *members; /* worker indexes, grouped by pool */
+	int32_t *jobs_by_worker; /* job indexes */
 	bool sealed;
 };
 
@@ -37,7 +37,7 @@
 static void table_clear(table_t *table);
 static int32_t table_find(const table_t *table, const char *id);
 static void table_add(table_t *table, const char *id, const void *item);
-static const char *keep(wwh_fleet_view_t *view, const char *text);
+static const char *copy_string(wwh_fleet_view_t *view, const char *text);
 static int32_t zone_index(wwh_fleet_view_t *view, const char *id);
 static int32_t rack_index(wwh_fleet_view_t *view, const char *id, int32_t zone);
 static void seal_members(wwh_fleet_view_t *view);
@@ -82,7 +82,7 @@
 
 int32_t wwh_fleet_view_add_pool(wwh_fleet_view_t *view, const wwh_pool_t *rule)
 {
-	wwh_fleet_pool_t pool = { .id = keep(view, rule->id),
+	wwh_fleet_pool_t pool = { .id = copy_string(view, rule->id),
 				  .rule = *rule,
 				  .fence = WWH_NO_OFFSET,
 				  .wave = WWH_FLEET_NONE };
@@ -130,8 +130,8 @@
 	assert(job->worker < (int32_t)view->workers.items->len);
 	assert(job->pool < (int32_t)view->pools.items->len);
 	item.id = g_string_chunk_insert(view->strings, job->id);
-	item.team = keep(view, job->team);
-	item.group = keep(view, job->group);
+	item.team = copy_string(view, job->team);
+	item.group = copy_string(view, job->group);
 	table_add(&view->jobs, item.id, &item);
 	return (int32_t)view->jobs.items->len - 1;
 }
@@ -142,7 +142,7 @@
 	wwh_fleet_wave_t item = *wave;
 	int32_t index = (int32_t)view->waves.items->len;
 
-	item.id = keep(view, wave->id);
+	item.id = copy_string(view, wave->id);
 	table_add(&view->waves, item.id, &item);
 	if (wave->phase == WWH_WAVE_PHASE_RUNNING ||
 	    wave->phase == WWH_WAVE_PHASE_PAUSED)
@@ -155,8 +155,8 @@
 {
 	wwh_fleet_rehearsal_t item = *rehearsal;
 
-	item.id = keep(view, rehearsal->id);
-	item.domain_id = keep(view, rehearsal->domain_id);
+	item.id = copy_string(view, rehearsal->id);
+	item.domain_id = copy_string(view, rehearsal->domain_id);
 	table_add(&view->rehearsals, item.id, &item);
 	return (int32_t)view->rehearsals.items->len - 1;
 }
@@ -166,8 +166,8 @@
 {
 	wwh_window_t item = *window;
 
-	item.id = (char *)keep(view, window->id);
-	item.pool = (char *)keep(view, window->pool);
+	item.id = (char *)copy_string(view, window->id);
+	item.pool = (char *)copy_string(view, window->pool);
 	g_array_append_val(view->windows, item);
 }
 
@@ -175,7 +175,7 @@
 {
 	wwh_team_t item = *team;
 
-	item.id = (char *)keep(view, team->id);
+	item.id = (char *)copy_string(view, team->id);
 	g_array_append_val(view->teams, item);
 }
 
@@ -189,9 +189,9 @@
 	view->offset = offset;
 }
 
-const char *wwh_fleet_view_keep(wwh_fleet_view_t *view, const char *text)
+const char *wwh_fleet_view_copy_string(wwh_fleet_view_t *view, const char *text)
 {
-	return keep(view, text);
+	return copy_string(view, text);
 }
 
 void wwh_fleet_view_seal(wwh_fleet_view_t *view)
@@ -362,8 +362,8 @@
 	return table_find(&view->rehearsals, id);
 }
 
-bool wwh_fleet_in_domain(const wwh_fleet_view_t *view, int32_t worker,
-			 wwh_domain_t domain, const char *domain_id)
+bool wwh_fleet_is_in_domain(const wwh_fleet_view_t *view, int32_t worker,
+			    wwh_domain_t domain, const char *domain_id)
 {
 	const wwh_fleet_worker_t *item = wwh_fleet_worker(view, worker);
 	const char *id = item->id;
@@ -407,20 +407,20 @@
 	assert(is_new);
 }
 
-static const char *keep(wwh_fleet_view_t *view, const char *text)
+static const char *copy_string(wwh_fleet_view_t *view, const char *text)
 {
 	return g_string_chunk_insert_const(view->strings, text ? text : "");
 }
 
 static int32_t zone_index(wwh_fleet_view_t *view, const char *id)
 {
-	const char *kept = keep(view, id);
-	int32_t index = table_find(&view->zones, kept);
-	wwh_fleet_zone_t zone = { .id = kept };
+	const char *copy = copy_string(view, id);
+	int32_t index = table_find(&view->zones, copy);
+	wwh_fleet_zone_t zone = { .id = copy };
 
 	if (index == WWH_FLEET_NONE) {
 		index = (int32_t)view->zones.items->len;
-		table_add(&view->zones, kept, &zone);
+		table_add(&view->zones, copy, &zone);
 	}
 	g_array_index(view->zones.items, wwh_fleet_zone_t, index).size++;
 	return index;
@@ -428,13 +428,13 @@
 
 static int32_t rack_index(wwh_fleet_view_t *view, const char *id, int32_t zone)
 {
-	const char *kept = keep(view, id);
-	int32_t index = table_find(&view->racks, kept);
-	wwh_fleet_rack_t rack = { .id = kept, .zone = zone };
+	const char *copy = copy_string(view, id);
+	int32_t index = table_find(&view->racks, copy);
+	wwh_fleet_rack_t rack = { .id = copy, .zone = zone };
 
 	if (index == WWH_FLEET_NONE) {
 		index = (int32_t)view->racks.items->len;
-		table_add(&view->racks, kept, &rack);
+		table_add(&view->racks, copy, &rack);
 	}
 	g_array_index(view->racks.items, wwh_fleet_rack_t, index).size++;
 	return index;
--- a/src/libwaxwinghollow/intent.c
+++ b/src/libwaxwinghollow/intent.c
@@ -9,9 +9,9 @@
 #include "private/intent_internal.h"
 
 /*
- * With 300 bytes a key, its kept answer aside, and 120 a tombstone (see
- * docs/measurements/state.md) these and the bodies stay under 45 MB of the
- * 64 MB that a node has for control.
+ * With 300 bytes a key, without its stored answer, and 120 bytes a tombstone
+ * (see docs/measurements/state.md) keys, tombstones and bodies stay under 45 MB
+ * of the 64 MB that a node has for control.
  */
 #define DEFAULT_KEYS_MAX 65536
 #define DEFAULT_TOMBSTONES_MAX 131072
@@ -37,8 +37,8 @@
 	limits->abandoned_max = DEFAULT_ABANDONED_MAX;
 }
 
-/* Where the message goes; NULL: nowhere. */
-static wwh_message_t *detail_at(wwh_verdict_detail_t *detail, int64_t offset)
+/* Sets the detail's offset and returns its message; NULL without a detail. */
+static wwh_message_t *init_detail(wwh_verdict_detail_t *detail, int64_t offset)
 {
 	if (detail == NULL)
 		return NULL;
@@ -47,10 +47,10 @@
 	return &detail->message;
 }
 
-/* What a key that is known says to another intent for it. */
-static wwh_intent_verdict_t known_verdict(const wwh_intent_key_t *known,
-					  const char *author,
-					  const wwh_intent_item_t *item)
+/* Returns the verdict on an intent whose key is known. */
+static wwh_intent_verdict_t verdict_on_known_key(const wwh_intent_key_t *known,
+						 const char *author,
+						 const wwh_intent_item_t *item)
 {
 	if (strcmp(known->process->name, author) == 0 &&
 	    known->sequence == item->sequence)
@@ -68,10 +68,11 @@
 }
 
 /*
- * Room for one more key. Dropping a tombstone for it could run a request
- * twice, so a full table of tombstones refuses instead.
+ * Ensures that one more key fits; expires the oldest one if necessary. Dropping
+ * a tombstone instead could run a request twice, so the function returns false
+ * if the table of tombstones is full.
  */
-static bool make_room(wwh_intents_t *intents)
+static bool reserve_key(wwh_intents_t *intents)
 {
 	guint tombstones = g_hash_table_size(intents->by_hash);
 
@@ -94,16 +95,16 @@
 
 	if (author->abandoned != WWH_NO_OFFSET)
 		return WWH_INTENT_ABANDONED;
-	if (wwh_intents_buried(intents, item->service, item->key))
+	if (wwh_intents_has_tombstone(intents, item->service, item->key))
 		return WWH_INTENT_EXPIRED;
 	key = wwh_intents_find(intents, item->service, item->key);
 	if (key != NULL)
-		verdict = known_verdict(key, author->name, item);
+		verdict = verdict_on_known_key(key, author->name, item);
 	if (verdict != WWH_INTENT_ACCEPTED)
 		return verdict;
 	if (key != NULL)
 		wwh_intents_remove(intents, key);
-	if (!make_room(intents))
+	if (!reserve_key(intents))
 		return WWH_INTENT_FULL;
 	key = wwh_intents_add(intents, item->service, item->key, author->name);
 	key->offset = offset;
@@ -118,9 +119,9 @@
 {
 	const GPtrArray *items = record->body.intents.items;
 	wwh_intent_process_t *author =
-		wwh_intents_process(intents, record->author);
+		wwh_intents_ensure_process(intents, record->author);
 
-	author->keys++; /* keeps it while its own keys come and go */
+	author->keys++; /* holds the process while its keys change */
 	for (guint i = 0; i < items->len; i++) {
 		const wwh_intent_item_t *item = items->pdata[i];
 		wwh_intent_verdict_t verdict =
@@ -186,8 +187,8 @@
 				   const char *process,
 				   wwh_verdict_detail_t *detail)
 {
-	if (wwh_intents_abandoned(intents, process)) {
-		wwh_message_set(detail_at(detail, WWH_NO_OFFSET),
+	if (wwh_intents_is_abandoned(intents, process)) {
+		wwh_message_set(init_detail(detail, WWH_NO_OFFSET),
 				"%s was abandoned before", process);
 		return WWH_VERDICT_ALREADY;
 	}
@@ -207,7 +208,7 @@
 {
 	if (body->keys_upto > offset ||
 	    body->tombstones_upto > intents->keys_upto) {
-		wwh_message_set(detail_at(detail, WWH_NO_OFFSET),
+		wwh_message_set(init_detail(detail, WWH_NO_OFFSET),
 				"keys up to %" PRId64 " of %" PRId64
 				", tombstones up to %" PRId64 " of %" PRId64,
 				body->keys_upto, offset, body->tombstones_upto,
@@ -216,7 +217,7 @@
 	}
 	if (body->keys_upto <= intents->keys_upto &&
 	    body->tombstones_upto <= intents->tombstones_upto) {
-		wwh_message_set(detail_at(detail, WWH_NO_OFFSET),
+		wwh_message_set(init_detail(detail, WWH_NO_OFFSET),
 				"the windows end later");
 		return WWH_VERDICT_ALREADY;
 	}
@@ -230,10 +231,11 @@
 	return WWH_VERDICT_ACCEPTED;
 }
 
-static wwh_verdict_t dispatch(wwh_intents_t *intents, int64_t offset,
-			      const wwh_record_t *record,
-			      wwh_intent_visit_t visit, void *client_data,
-			      wwh_verdict_detail_t *detail)
+static wwh_verdict_t dispatch_record(wwh_intents_t *intents, int64_t offset,
+				     const wwh_record_t *record,
+				     wwh_intent_visit_t visit,
+				     void *client_data,
+				     wwh_verdict_detail_t *detail)
 {
 	switch (record->kind) {
 	case WWH_RECORD_INTENTS:
@@ -251,35 +253,36 @@
 	case WWH_RECORD_SNAPSHOT:
 		if (record->body.snapshot.upto <= offset)
 			return WWH_VERDICT_ACCEPTED;
-		wwh_message_set(detail_at(detail, WWH_NO_OFFSET),
+		wwh_message_set(init_detail(detail, WWH_NO_OFFSET),
 				"a snapshot of records that are not written");
 		return WWH_VERDICT_INVALID;
 	default:
-		wwh_message_set(detail_at(detail, WWH_NO_OFFSET),
+		wwh_message_set(init_detail(detail, WWH_NO_OFFSET),
 				"%s is no record of intents",
 				wwh_record_kind_names[record->kind]);
 		return WWH_VERDICT_MALFORMED;
 	}
 }
 
-static wwh_verdict_t count(wwh_intents_t *intents, wwh_verdict_t verdict)
+static wwh_verdict_t count_verdict(wwh_intents_t *intents,
+				   wwh_verdict_t verdict)
 {
 	intents->verdict_counts[verdict]++;
 	return verdict;
 }
 
-static bool advance(wwh_intents_t *intents, int64_t offset,
-		    wwh_verdict_detail_t *detail)
+static bool advance_offset(wwh_intents_t *intents, int64_t offset,
+			   wwh_verdict_detail_t *detail)
 {
 	assert(offset >= 0);
 	if (offset <= intents->last_offset) {
-		wwh_message_set(detail_at(detail, intents->last_offset),
+		wwh_message_set(init_detail(detail, intents->last_offset),
 				"offset %" PRId64 " was applied before",
 				offset);
 		return false;
 	}
 	intents->last_offset = offset;
-	wwh_message_set(detail_at(detail, WWH_NO_OFFSET), "%s", "");
+	wwh_message_set(init_detail(detail, WWH_NO_OFFSET), "%s", "");
 	return true;
 }
 
@@ -288,10 +291,11 @@
 				wwh_intent_visit_t visit, void *client_data,
 				wwh_verdict_detail_t *detail)
 {
-	if (!advance(intents, offset, detail))
-		return count(intents, WWH_VERDICT_OLD_OFFSET);
-	return count(intents, dispatch(intents, offset, record, visit,
-				       client_data, detail));
+	if (!advance_offset(intents, offset, detail))
+		return count_verdict(intents, WWH_VERDICT_OLD_OFFSET);
+	return count_verdict(intents,
+			     dispatch_record(intents, offset, record, visit,
+					     client_data, detail));
 }
 
 wwh_verdict_t wwh_intents_apply_entry(wwh_intents_t *intents, int64_t offset,
@@ -306,10 +310,10 @@
 	if (wwh_record_decode(data, size, record, &message) == WWH_STATUS_OK)
 		return wwh_intents_apply(intents, offset, record, visit,
 					 client_data, detail);
-	if (!advance(intents, offset, detail))
-		return count(intents, WWH_VERDICT_OLD_OFFSET);
-	wwh_message_set(detail_at(detail, WWH_NO_OFFSET), "%s", message.text);
-	return count(intents, WWH_VERDICT_MALFORMED);
+	if (!advance_offset(intents, offset, detail))
+		return count_verdict(intents, WWH_VERDICT_OLD_OFFSET);
+	wwh_message_set(init_detail(detail, WWH_NO_OFFSET), "%s", message.text);
+	return count_verdict(intents, WWH_VERDICT_MALFORMED);
 }
 
 void wwh_intent_fingerprint(const char *method, const char *path,
--- a/src/libwaxwinghollow/intent_key.c
+++ b/src/libwaxwinghollow/intent_key.c
@@ -24,7 +24,7 @@
 		      (size_t)left->service_size + 1 + left->key_size) == 0;
 }
 
-static guint hash_hash(gconstpointer data)
+static guint hash_tombstone(gconstpointer data)
 {
 	const wwh_tombstone_t *tombstone = data;
 	guint hash;
@@ -33,7 +33,7 @@
 	return hash;
 }
 
-static gboolean equal_hashes(gconstpointer a, gconstpointer b)
+static gboolean equal_tombstones(gconstpointer a, gconstpointer b)
 {
 	const wwh_tombstone_t *left = a;
 	const wwh_tombstone_t *right = b;
@@ -45,20 +45,20 @@
 {
 	size_t service_size = strlen(service);
 	size_t key_size = strlen(key);
-	wwh_intent_key_t *made =
-		g_malloc0(sizeof(*made) + service_size + key_size + 2);
+	wwh_intent_key_t *created =
+		g_malloc0(sizeof(*created) + service_size + key_size + 2);
 
 	assert(service_size <= WWH_ID_BYTES_MAX);
 	assert(key_size <= WWH_KEY_BYTES_MAX);
-	made->service_size = (uint16_t)service_size;
-	made->key_size = (uint16_t)key_size;
-	memcpy(made->name, service, service_size);
-	memcpy(made->name + service_size + 1, key, key_size);
-	return made;
+	created->service_size = (uint16_t)service_size;
+	created->key_size = (uint16_t)key_size;
+	memcpy(created->name, service, service_size);
+	memcpy(created->name + service_size + 1, key, key_size);
+	return created;
 }
 
-static void make_hash(const wwh_intent_key_t *key,
-		      uint8_t hash[WWH_KEY_HASH_BYTES])
+static void compute_key_hash(const wwh_intent_key_t *key,
+			     uint8_t hash[WWH_KEY_HASH_BYTES])
 {
 	XXH128_canonical_t canonical;
 
@@ -68,7 +68,7 @@
 	memcpy(hash, canonical.digest, WWH_KEY_HASH_BYTES);
 }
 
-static bool fits(const char *service, const char *key)
+static bool has_valid_size(const char *service, const char *key)
 {
 	return strlen(service) <= WWH_ID_BYTES_MAX &&
 	       strlen(key) <= WWH_KEY_BYTES_MAX;
@@ -85,7 +85,7 @@
 	assert(intents->limits.tombstones_max > 0);
 	intents->last_offset = WWH_NO_OFFSET;
 	intents->by_name = g_hash_table_new(hash_name, equal_names);
-	intents->by_hash = g_hash_table_new(hash_hash, equal_hashes);
+	intents->by_hash = g_hash_table_new(hash_tombstone, equal_tombstones);
 	intents->processes = g_hash_table_new(g_str_hash, g_str_equal);
 	g_queue_init(&intents->bodies);
 	g_queue_init(&intents->abandoned);
@@ -120,7 +120,7 @@
 	wwh_intent_key_t *wanted;
 	wwh_intent_key_t *found;
 
-	if (!fits(service, key))
+	if (!has_valid_size(service, key))
 		return NULL;
 	wanted = new_key(service, key);
 	found = g_hash_table_lookup(intents->by_name, wanted);
@@ -128,22 +128,22 @@
 	return found;
 }
 
-bool wwh_intents_buried(const wwh_intents_t *intents, const char *service,
-			const char *key)
+bool wwh_intents_has_tombstone(const wwh_intents_t *intents,
+			       const char *service, const char *key)
 {
 	wwh_tombstone_t wanted;
 	wwh_intent_key_t *name;
 
-	if (!fits(service, key))
+	if (!has_valid_size(service, key))
 		return false;
 	name = new_key(service, key);
-	make_hash(name, wanted.hash);
+	compute_key_hash(name, wanted.hash);
 	g_free(name);
 	return g_hash_table_contains(intents->by_hash, &wanted);
 }
 
-wwh_intent_process_t *wwh_intents_process(wwh_intents_t *intents,
-					  const char *name)
+wwh_intent_process_t *wwh_intents_ensure_process(wwh_intents_t *intents,
+						 const char *name)
 {
 	wwh_intent_process_t *process =
 		g_hash_table_lookup(intents->processes, name);
@@ -168,14 +168,15 @@
 }
 
 /*
- * Each lost process would stay in memory for good. Forgetting the oldest
- * loses no safety: its keys are unknown already, so nothing of it may be
- * sent, see wwh_intents_may_send.
+ * The limit exists because each abandoned process would stay in memory forever.
+ * Dropping the oldest mark is safe: the keys of that process are unknown
+ * already, so none of its requests may be sent, see wwh_intents_may_send.
  */
 void wwh_intents_set_abandoned(wwh_intents_t *intents, const char *name,
 			       int64_t offset)
 {
-	wwh_intent_process_t *process = wwh_intents_process(intents, name);
+	wwh_intent_process_t *process =
+		wwh_intents_ensure_process(intents, name);
 
 	assert(process->abandoned == WWH_NO_OFFSET);
 	process->abandoned = offset;
@@ -191,20 +192,20 @@
 wwh_intent_key_t *wwh_intents_add(wwh_intents_t *intents, const char *service,
 				  const char *key, const char *process)
 {
-	wwh_intent_key_t *made = new_key(service, key);
-
-	assert(!g_hash_table_contains(intents->by_name, made));
-	g_hash_table_add(intents->by_name, made);
-	made->process = wwh_intents_process(intents, process);
-	made->process->keys++;
-	made->state = WWH_KEY_IN_PROGRESS;
-	made->previous = intents->last_key;
+	wwh_intent_key_t *created = new_key(service, key);
+
+	assert(!g_hash_table_contains(intents->by_name, created));
+	g_hash_table_add(intents->by_name, created);
+	created->process = wwh_intents_ensure_process(intents, process);
+	created->process->keys++;
+	created->state = WWH_KEY_IN_PROGRESS;
+	created->previous = intents->last_key;
 	if (intents->last_key != NULL)
-		intents->last_key->next = made;
+		intents->last_key->next = created;
 	else
-		intents->first_key = made;
-	intents->last_key = made;
-	return made;
+		intents->first_key = created;
+	intents->last_key = created;
+	return created;
 }
 
 void wwh_intents_drop_body(wwh_intents_t *intents, wwh_intent_key_t *key)
@@ -231,7 +232,7 @@
 	if (order == WWH_NO_OFFSET)
 		order = intents->next_body_order++;
 	key->body_order = order;
-	/* A copy: body may be a slice of a whole batch's bytes. */
+	/* Copied, because body may be a slice of the bytes of a whole batch. */
 	key->body = g_bytes_new(g_bytes_get_data(body, NULL),
 				g_bytes_get_size(body));
 	g_queue_push_tail(&intents->bodies, key);
@@ -263,14 +264,14 @@
 	wwh_intents_release_process(intents, process);
 }
 
-void wwh_intents_bury(wwh_intents_t *intents, const uint8_t *hash,
-		      int64_t offset)
+void wwh_intents_add_tombstone(wwh_intents_t *intents, const uint8_t *hash,
+			       int64_t offset)
 {
 	wwh_tombstone_t *tombstone = g_new0(wwh_tombstone_t, 1);
 
 	memcpy(tombstone->hash, hash, WWH_KEY_HASH_BYTES);
 	tombstone->offset = offset;
-	/* Two keys of one hash share a tombstone: the younger one counts. */
+	/* Of two tombstones with the same hash the younger one is looked up. */
 	if (g_hash_table_contains(intents->by_hash, tombstone)) {
 		g_hash_table_replace(intents->by_hash, tombstone, tombstone);
 	} else {
@@ -288,8 +289,8 @@
 	uint8_t hash[WWH_KEY_HASH_BYTES];
 
 	if (key->state != WWH_KEY_NOT_RUN) {
-		make_hash(key, hash);
-		wwh_intents_bury(intents, hash, key->offset);
+		compute_key_hash(key, hash);
+		wwh_intents_add_tombstone(intents, hash, key->offset);
 	}
 	wwh_intents_remove(intents, key);
 }
--- a/src/libwaxwinghollow/intent_snapshot.c
+++ b/src/libwaxwinghollow/intent_snapshot.c
@@ -42,8 +42,8 @@
 	int64_t bodies_max_bytes;
 	GPtrArray *keys; /* of key_row_t, in the order of the list */
 	GPtrArray *abandoned; /* of abandoned_row_t, in the order of offsets */
-	GBytes *tombstones; /* hash and offset of each, in their order */
-} whole_t;
+	GBytes *tombstones; /* hash and offset of each, in order */
+} encoded_intents_t;
 
 #define TEXT(type, member, max)                                                \
 	{                                                                      \
@@ -97,25 +97,29 @@
 	abandoned_row, G_N_ELEMENTS(abandoned_row), sizeof(abandoned_row_t)
 };
 
-static const wwh_codec_field_t whole[] = {
-	INT32(whole_t, format, WWH_SNAPSHOT_FORMAT, WWH_SNAPSHOT_FORMAT),
-	INT32(whole_t, stream, WWH_STREAM_INTENTS, WWH_STREAM_INTENTS),
-	INT64(whole_t, last_offset, WWH_NO_OFFSET),
-	INT64(whole_t, keys_upto, 0),
-	INT64(whole_t, tombstones_upto, 0),
-	INT64(whole_t, next_body_order, 0),
-	INT64(whole_t, expired_early, 0),
-	INT32(whole_t, keys_max, 1, INT32_MAX),
-	INT32(whole_t, tombstones_max, 1, INT32_MAX),
-	INT32(whole_t, abandoned_max, 0, INT32_MAX),
-	INT64(whole_t, bodies_max_bytes, 0),
-	ITEMS(whole_t, keys, &key_row_fields),
-	ITEMS(whole_t, abandoned, &abandoned_row_fields),
-	BYTES(whole_t, tombstones, INT32_MAX),
+static const wwh_codec_field_t intents_members[] = {
+	INT32(encoded_intents_t, format, WWH_SNAPSHOT_FORMAT,
+	      WWH_SNAPSHOT_FORMAT),
+	INT32(encoded_intents_t, stream, WWH_STREAM_INTENTS,
+	      WWH_STREAM_INTENTS),
+	INT64(encoded_intents_t, last_offset, WWH_NO_OFFSET),
+	INT64(encoded_intents_t, keys_upto, 0),
+	INT64(encoded_intents_t, tombstones_upto, 0),
+	INT64(encoded_intents_t, next_body_order, 0),
+	INT64(encoded_intents_t, expired_early, 0),
+	INT32(encoded_intents_t, keys_max, 1, INT32_MAX),
+	INT32(encoded_intents_t, tombstones_max, 1, INT32_MAX),
+	INT32(encoded_intents_t, abandoned_max, 0, INT32_MAX),
+	INT64(encoded_intents_t, bodies_max_bytes, 0),
+	ITEMS(encoded_intents_t, keys, &key_row_fields),
+	ITEMS(encoded_intents_t, abandoned, &abandoned_row_fields),
+	BYTES(encoded_intents_t, tombstones, INT32_MAX),
 };
 
-static const wwh_codec_fields_t whole_fields = { whole, G_N_ELEMENTS(whole),
-						 sizeof(whole_t) };
+static const wwh_codec_fields_t intents_fields = {
+	intents_members, G_N_ELEMENTS(intents_members),
+	sizeof(encoded_intents_t)
+};
 
 static void free_key_row(void *row)
 {
@@ -194,7 +198,7 @@
 
 GBytes *wwh_snapshot_encode_intents(const wwh_intents_t *intents)
 {
-	whole_t view = {
+	encoded_intents_t view = {
 		.format = WWH_SNAPSHOT_FORMAT,
 		.stream = WWH_STREAM_INTENTS,
 		.last_offset = intents->last_offset,
@@ -211,7 +215,7 @@
 		.tombstones = tombstone_bytes(intents),
 	};
 	wwh_message_t message = { "" };
-	GBytes *bytes = wwh_codec_encode(&whole_fields, &view, &message);
+	GBytes *bytes = wwh_codec_encode(&intents_fields, &view, &message);
 
 	if (bytes == NULL)
 		g_error("the intents can't be encoded: %s", message.text);
@@ -221,7 +225,8 @@
 	return bytes;
 }
 
-static void restore_totals(wwh_intents_t *intents, const whole_t *from)
+static void restore_totals(wwh_intents_t *intents,
+			   const encoded_intents_t *from)
 {
 	intents->last_offset = from->last_offset;
 	intents->keys_upto = from->keys_upto;
@@ -241,7 +246,7 @@
 
 		if (row->name[0] == '\0' || row->offset <= last ||
 		    row->offset > intents->last_offset ||
-		    wwh_intents_abandoned(intents, row->name))
+		    wwh_intents_is_abandoned(intents, row->name))
 			return false;
 		wwh_intents_set_abandoned(intents, row->name, row->offset);
 		last = row->offset;
@@ -265,13 +270,13 @@
 		if (offset > (uint64_t)intents->last_offset ||
 		    intents->last_offset < 0 || (int64_t)offset < last)
 			return false;
-		wwh_intents_bury(intents, data + at, (int64_t)offset);
+		wwh_intents_add_tombstone(intents, data + at, (int64_t)offset);
 		last = (int64_t)offset;
 	}
 	return true;
 }
 
-static bool valid_key_row(const wwh_intents_t *intents, const key_row_t *row)
+static bool is_valid_key_row(const wwh_intents_t *intents, const key_row_t *row)
 {
 	bool has_body = g_bytes_get_size(row->body) > 0;
 
@@ -292,9 +297,9 @@
 	if (row->body_kept && row->state != WWH_KEY_ANSWERED)
 		return false;
 	if (row->state == WWH_KEY_IN_PROGRESS &&
-	    wwh_intents_abandoned(intents, row->process))
+	    wwh_intents_is_abandoned(intents, row->process))
 		return false;
-	return !wwh_intents_buried(intents, row->service, row->key) &&
+	return !wwh_intents_has_tombstone(intents, row->service, row->key) &&
 	       wwh_intents_find(intents, row->service, row->key) == NULL;
 }
 
@@ -302,7 +307,7 @@
 {
 	wwh_intent_key_t *key;
 
-	if (!valid_key_row(intents, row))
+	if (!is_valid_key_row(intents, row))
 		return false;
 	key = wwh_intents_add(intents, row->service, row->key, row->process);
 	memcpy(key->fingerprint, row->fingerprint, WWH_FINGERPRINT_BYTES);
@@ -313,7 +318,7 @@
 	return true;
 }
 
-static gint by_body_order(gconstpointer a, gconstpointer b)
+static gint compare_body_order(gconstpointer a, gconstpointer b)
 {
 	const key_row_t *left = *(key_row_t *const *)a;
 	const key_row_t *right = *(key_row_t *const *)b;
@@ -323,12 +328,12 @@
 		       : left->body_order > right->body_order;
 }
 
-/* The oldest answer loses its body first, so their order is state too. */
+/* The order of answers is state, as the oldest loses its body first. */
 static bool restore_bodies(wwh_intents_t *intents, GPtrArray *rows)
 {
 	int64_t last = WWH_NO_OFFSET;
 
-	g_ptr_array_sort(rows, by_body_order);
+	g_ptr_array_sort(rows, compare_body_order);
 	for (guint i = 0; i < rows->len; i++) {
 		const key_row_t *row = rows->pdata[i];
 
@@ -347,7 +352,7 @@
 	return true;
 }
 
-static bool restore(wwh_intents_t *intents, const whole_t *from)
+static bool restore(wwh_intents_t *intents, const encoded_intents_t *from)
 {
 	restore_totals(intents, from);
 	if (intents->tombstones_upto > intents->keys_upto ||
@@ -362,14 +367,14 @@
 	return restore_bodies(intents, from->keys);
 }
 
-static bool same_again(const wwh_intents_t *intents, const uint8_t *data,
-		       size_t size)
+static bool reencodes_identically(const wwh_intents_t *intents,
+				  const uint8_t *data, size_t size)
 {
-	GBytes *again = wwh_snapshot_encode_intents(intents);
-	bool same = g_bytes_get_size(again) == size &&
-		    memcmp(g_bytes_get_data(again, NULL), data, size) == 0;
+	GBytes *reencoded = wwh_snapshot_encode_intents(intents);
+	bool same = g_bytes_get_size(reencoded) == size &&
+		    memcmp(g_bytes_get_data(reencoded, NULL), data, size) == 0;
 
-	g_bytes_unref(again);
+	g_bytes_unref(reencoded);
 	return same;
 }
 
@@ -377,12 +382,12 @@
 					 wwh_intents_t **intents,
 					 wwh_message_t *message)
 {
-	wwh_intents_t *made = NULL;
-	whole_t from;
+	wwh_intents_t *decoded = NULL;
+	encoded_intents_t from;
 
 	*intents = NULL;
 	wwh_message_set(message, "the snapshot contradicts itself");
-	if (wwh_codec_decode(&whole_fields, data, size, &from, message)) {
+	if (wwh_codec_decode(&intents_fields, data, size, &from, message)) {
 		wwh_intent_limits_t limits = {
 			.keys_max = from.keys_max,
 			.tombstones_max = from.tombstones_max,
@@ -390,11 +395,12 @@
 			.abandoned_max = from.abandoned_max,
 		};
 
-		made = wwh_intents_new(&limits);
-		if (!restore(made, &from) || !same_again(made, data, size))
-			g_clear_pointer(&made, wwh_intents_delete);
+		decoded = wwh_intents_new(&limits);
+		if (!restore(decoded, &from) ||
+		    !reencodes_identically(decoded, data, size))
+			g_clear_pointer(&decoded, wwh_intents_delete);
 	}
-	wwh_codec_clear(&whole_fields, &from);
-	*intents = made;
-	return made != NULL ? WWH_STATUS_OK : WWH_STATUS_BAD_INPUT;
+	wwh_codec_clear(&intents_fields, &from);
+	*intents = decoded;
+	return decoded != NULL ? WWH_STATUS_OK : WWH_STATUS_BAD_INPUT;
 }
--- a/src/libwaxwinghollow/intent_writer.c
+++ b/src/libwaxwinghollow/intent_writer.c
@@ -3,7 +3,7 @@
 #include <glib.h>
 
 #define MILLISECOND_US 1000
-#define RETRY_WAIT_MS 200
+#define RETRY_DELAY_MS 200
 
 struct wwh_intent_writer {
 	wwh_intent_writer_options_t options;
@@ -13,7 +13,7 @@
 	GQueue intents; /* of wwh_intent_item_t *, oldest first */
 	GQueue results; /* of wwh_result_item_t * */
 	bool stopping;
-	int64_t stop_limit_us;
+	int64_t stop_deadline_us;
 	GThread *thread;
 	wwh_counter_t *batches;
 	wwh_counter_t *items;
@@ -25,8 +25,8 @@
 static gpointer writer_main(gpointer data);
 static void write_intents(wwh_intent_writer_t *writer, GQueue *batch);
 static bool write_results(wwh_intent_writer_t *writer, GQueue *batch);
-static void take(GQueue *from, GQueue *to, guint limit);
-static void put_back(GQueue *to, GQueue *from);
+static void move_items(GQueue *from, GQueue *to, guint limit);
+static void requeue_items(GQueue *to, GQueue *from);
 static bool wait_for_work(wwh_intent_writer_t *writer, int64_t not_before_us);
 static void free_intent(gpointer data);
 static void free_result(gpointer data);
@@ -53,14 +53,14 @@
 	return writer;
 }
 
-void wwh_intent_writer_finish(wwh_intent_writer_t *writer, int64_t limit_ms)
+void wwh_intent_writer_finish(wwh_intent_writer_t *writer, int64_t timeout_ms)
 {
 	if (writer->thread == NULL)
 		return;
 	g_mutex_lock(&writer->lock);
 	writer->stopping = true;
-	writer->stop_limit_us =
-		g_get_monotonic_time() + limit_ms * MILLISECOND_US;
+	writer->stop_deadline_us =
+		g_get_monotonic_time() + timeout_ms * MILLISECOND_US;
 	g_cond_signal(&writer->changed);
 	g_mutex_unlock(&writer->lock);
 	g_thread_join(writer->thread);
@@ -83,28 +83,28 @@
 bool wwh_intent_writer_add_intent(wwh_intent_writer_t *writer,
 				  wwh_intent_item_t *item)
 {
-	bool taken;
+	bool accepted;
 
 	g_mutex_lock(&writer->lock);
-	taken = !writer->stopping &&
-		(int32_t)(writer->intents.length + writer->results.length) <
-			writer->options.waiting_max;
-	if (taken) {
+	accepted = !writer->stopping &&
+		   (int32_t)(writer->intents.length + writer->results.length) <
+			   writer->options.waiting_max;
+	if (accepted) {
 		g_queue_push_tail(&writer->intents, item);
 		g_cond_signal(&writer->changed);
 	}
 	g_mutex_unlock(&writer->lock);
-	if (!taken) {
+	if (!accepted) {
 		wwh_counter_add(writer->refused, 1);
 		free_intent(item);
 	}
-	return taken;
+	return accepted;
 }
 
 /*
- * A result is never refused: each belongs to an intent that was let in, so
- * their number is bounded by the requests in progress and, in an outage of
- * the log, by the intents that were accepted before it.
+ * Results are never rejected: each belongs to an intent that was accepted, so
+ * their number is bounded by the requests in progress and, in an outage of the
+ * log, by the intents that were accepted before it.
  */
 void wwh_intent_writer_add_result(wwh_intent_writer_t *writer,
 				  wwh_result_item_t *item)
@@ -129,16 +129,16 @@
 			g_get_monotonic_time() +
 			(int64_t)writer->options.batch_ms * MILLISECOND_US;
 		g_mutex_lock(&writer->lock);
-		take(&writer->intents, &intents, WWH_BATCH_ITEMS_MAX);
-		take(&writer->results, &results, WWH_BATCH_ITEMS_MAX);
+		move_items(&writer->intents, &intents, WWH_BATCH_ITEMS_MAX);
+		move_items(&writer->results, &results, WWH_BATCH_ITEMS_MAX);
 		g_mutex_unlock(&writer->lock);
-		/* callers wait for intents, nobody waits for results */
+		/* Intents are first: callers wait for them, not for results. */
 		write_intents(writer, &intents);
 		if (!write_results(writer, &results))
 			not_before_us = g_get_monotonic_time() +
-					RETRY_WAIT_MS * MILLISECOND_US;
+					RETRY_DELAY_MS * MILLISECOND_US;
 		g_mutex_lock(&writer->lock);
-		put_back(&writer->results, &results);
+		requeue_items(&writer->results, &results);
 		wwh_counter_set(writer->results_waiting,
 				writer->results.length);
 		g_mutex_unlock(&writer->lock);
@@ -147,8 +147,8 @@
 }
 
 /*
- * Where the append surely has no effect, its requests are told at once.
- * Where it may have one, they wait: the batch may yet be read back.
+ * If the append certainly had no effect, its requests fail at once. If its
+ * outcome is unknown they wait, because the batch may still be read back.
  */
 static void write_intents(wwh_intent_writer_t *writer, GQueue *batch)
 {
@@ -179,9 +179,9 @@
 }
 
 /*
- * False when the results are not surely on the log; batch then holds them
- * again. A result that is read back twice changes nothing the second time,
- * but one that is missing leaves its key in progress for good.
+ * Returns false if the results are not certainly in the log; batch then holds
+ * them again. A result that is read back twice has no effect the second time,
+ * but a missing result leaves its key in progress forever.
  */
 static bool write_results(wwh_intent_writer_t *writer, GQueue *batch)
 {
@@ -196,7 +196,7 @@
 		g_ptr_array_add(record.body.results.items, item);
 	wwh_counter_add(writer->batches, 1);
 	status = writer->options.append(&record, writer->options.client_data);
-	/* what can't be written now can't be written later either */
+	/* A record that can't be encoded is dropped: a retry would fail too. */
 	if (status == WWH_STATUS_BAD_INPUT)
 		wwh_counter_add(writer->dropped,
 				record.body.results.items->len);
@@ -212,13 +212,13 @@
 	return g_queue_is_empty(batch);
 }
 
-static void take(GQueue *from, GQueue *to, guint limit)
+static void move_items(GQueue *from, GQueue *to, guint limit)
 {
 	while (to->length < limit && from->length > 0)
 		g_queue_push_tail(to, g_queue_pop_head(from));
 }
 
-static void put_back(GQueue *to, GQueue *from)
+static void requeue_items(GQueue *to, GQueue *from)
 {
 	gpointer item;
 
@@ -226,31 +226,35 @@
 		g_queue_push_head(to, item);
 }
 
-/* False when the writer stops and nothing is left, or its limit passed. */
+/*
+ * Returns false if the writer is stopping and its queues are empty or its
+ * deadline has passed.
+ */
 static bool wait_for_work(wwh_intent_writer_t *writer, int64_t not_before_us)
 {
-	bool work = false;
+	bool has_items = false;
 
 	g_mutex_lock(&writer->lock);
 	for (;;) {
 		int64_t now_us = g_get_monotonic_time();
 
-		work = writer->intents.length > 0 || writer->results.length > 0;
+		has_items = writer->intents.length > 0 ||
+			    writer->results.length > 0;
 		if (writer->stopping &&
-		    (!work || now_us >= writer->stop_limit_us)) {
-			work = false;
+		    (!has_items || now_us >= writer->stop_deadline_us)) {
+			has_items = false;
 			break;
 		}
-		if (work && now_us >= not_before_us)
+		if (has_items && now_us >= not_before_us)
 			break;
-		if (work)
+		if (has_items)
 			g_cond_wait_until(&writer->changed, &writer->lock,
 					  not_before_us);
 		else
 			g_cond_wait(&writer->changed, &writer->lock);
 	}
 	g_mutex_unlock(&writer->lock);
-	return work;
+	return has_items;
 }
 
 static void free_intent(gpointer data)
--- a/src/test_intent/intent_fixture.h
+++ b/src/test_intent/intent_fixture.h
@@ -3,10 +3,11 @@
 
 /*
  * NAME
- *	intent_fixture - records of stream intents for tests
+ *	intent_fixture - builds records of stream intents for tests
  *
  * USE
- *	Each *_record function fills a record in; the caller clears it.
+ *	Each *_record function initializes a record; the caller clears it.
+ *	Each *_add function adds an item to such a record.
  */
 
 #include <glib.h>
--- a/src/test_snapshot/test_snapshot.c
+++ b/src/test_snapshot/test_snapshot.c
@@ -8,8 +8,8 @@
 #include "../test_state/fleet_fixture.h"
 #include "waxwinghollow/snapshot.h"
 
-#define P1 "entry-1.1"
-#define EVERY 8
+#define ENTRY_1 "entry-1.1"
+#define INTERVAL_OFFSETS 8
 
 static const fleet_t fleet = {
 	.workers = 240,
@@ -25,8 +25,8 @@
 	wwh_record_clear(record);
 }
 
-/* A state with something in each of its parts. */
-static wwh_state_t *busy_state(void)
+/* Returns a state that has an entry in each of its tables. */
+static wwh_state_t *new_full_state(void)
 {
 	wwh_state_t *state = wwh_state_new();
 	wwh_record_t record;
@@ -35,36 +35,38 @@
 	config_record(&record, "operator:aoife", wwh_state_config(state), 0,
 		      &fleet);
 	apply(state, &record);
-	lease_record(&record, WWH_RECORD_LEASE_TAKE, P1,
+	lease_record(&record, WWH_RECORD_LEASE_TAKE, ENTRY_1,
 		     wwh_shard_of_pool("p000"), WWH_NO_OFFSET);
 	apply(state, &record);
 	fence = wwh_state_last_offset(state);
 	wave_record(&record, WWH_RECORD_WAVE_START, "operator:aoife", "a",
 		    "p000", WWH_NO_OFFSET);
 	apply(state, &record);
-	grant_record(&record, P1, "w0004", WWH_GRANT_WAVE, "a", fence);
+	grant_record(&record, ENTRY_1, "w0004", WWH_GRANT_WAVE, "a", fence);
 	apply(state, &record);
-	grant_record(&record, P1, "w0008", WWH_GRANT_MOVE, "m", fence);
+	grant_record(&record, ENTRY_1, "w0008", WWH_GRANT_MOVE, "m", fence);
 	apply(state, &record);
-	move_record(&record, WWH_RECORD_MOVE_START, P1, "w0008", "p001",
+	move_record(&record, WWH_RECORD_MOVE_START, ENTRY_1, "w0008", "p001",
 		    wwh_state_last_offset(state), fence);
 	apply(state, &record);
-	worker_record(&record, WWH_RECORD_WORKER_FAILED, P1, "w0001",
+	worker_record(&record, WWH_RECORD_WORKER_FAILED, ENTRY_1, "w0001",
 		      WWH_NO_OFFSET, WWH_NO_OFFSET);
 	apply(state, &record);
-	worker_record(&record, WWH_RECORD_WORKER_QUARANTINE, P1, "w0002",
+	worker_record(&record, WWH_RECORD_WORKER_QUARANTINE, ENTRY_1, "w0002",
 		      WWH_NO_OFFSET, WWH_NO_OFFSET);
 	apply(state, &record);
 	rehearsal_record(&record, WWH_RECORD_REHEARSAL_START, "operator:dee",
 			 "r", WWH_DOMAIN_ZONE, "z01");
 	apply(state, &record);
-	submit_record(&record, P1, "j1", "p000", false);
+	submit_record(&record, ENTRY_1, "j1", "p000", false);
 	apply(state, &record);
-	job_record(&record, WWH_RECORD_JOB_PLACE, P1, "j1", "w0012", fence);
+	job_record(&record, WWH_RECORD_JOB_PLACE, ENTRY_1, "j1", "w0012",
+		   fence);
 	apply(state, &record);
-	submit_record(&record, P1, "j2", "p000", true);
+	submit_record(&record, ENTRY_1, "j2", "p000", true);
 	apply(state, &record);
-	job_record(&record, WWH_RECORD_JOB_CANCEL, P1, "j2", "", WWH_NO_OFFSET);
+	job_record(&record, WWH_RECORD_JOB_CANCEL, ENTRY_1, "j2", "",
+		   WWH_NO_OFFSET);
 	apply(state, &record);
 	assert_int_equal(wwh_state_verdict_count(state, WWH_VERDICT_ACCEPTED),
 			 13);
@@ -86,13 +88,12 @@
 }
 
 /*
- * A process starts after the records were trimmed and takes up a snapshot.
- * From then on it must reach the same verdicts and the same bytes as one that
- * read everything.
+ * A process starts after records were trimmed and restores a snapshot. From
+ * then on it must reach the same bytes as a process that read all records.
  */
-static void a_restored_state_goes_on_alike(void **unused)
+static void a_restored_state_reaches_the_same_bytes(void **unused)
 {
-	wwh_state_t *state = busy_state();
+	wwh_state_t *state = new_full_state();
 	GBytes *bytes = wwh_snapshot_encode_state(state);
 	wwh_state_t *restored = restore_state(bytes);
 	GBytes *left;
@@ -103,10 +104,10 @@
 		wwh_state_t *each = i == 0 ? state : restored;
 		wwh_record_t record;
 
-		grant_record(&record, P1, "w0020", WWH_GRANT_WAVE, "a", 1);
+		grant_record(&record, ENTRY_1, "w0020", WWH_GRANT_WAVE, "a", 1);
 		apply(each, &record);
-		move_record(&record, WWH_RECORD_MOVE_FINISH, P1, "w0008", "", 4,
-			    1);
+		move_record(&record, WWH_RECORD_MOVE_FINISH, ENTRY_1, "w0008",
+			    "", 4, 1);
 		apply(each, &record);
 	}
 	left = wwh_snapshot_encode_state(state);
@@ -120,7 +121,7 @@
 	wwh_state_delete(restored);
 }
 
-static void an_empty_state_survives(void **unused)
+static void an_empty_state_is_restored(void **unused)
 {
 	wwh_state_t *state = wwh_state_new();
 	GBytes *bytes = wwh_snapshot_encode_state(state);
@@ -134,10 +135,10 @@
 	wwh_state_delete(restored);
 }
 
-/* A cut or changed snapshot must be refused whole, at any byte. */
-static void a_damaged_snapshot_is_refused(void **unused)
+/* A snapshot that is truncated or of another format must be rejected. */
+static void a_damaged_snapshot_is_rejected(void **unused)
 {
-	wwh_state_t *state = busy_state();
+	wwh_state_t *state = new_full_state();
 	GBytes *bytes = wwh_snapshot_encode_state(state);
 	wwh_state_t *restored;
 	gsize size;
@@ -158,7 +159,7 @@
 	wwh_state_delete(state);
 }
 
-static wwh_intents_t *busy_intents(void)
+static wwh_intents_t *new_full_intents(void)
 {
 	wwh_intent_limits_t limits = { .keys_max = 64,
 				       .tombstones_max = 64,
@@ -189,21 +190,21 @@
 	for (int32_t i = 0; i < 5; i++) {
 		char *process = g_strdup_printf("entry-%d.1", i);
 
-		abandon_record(&record, P1, process);
+		abandon_record(&record, ENTRY_1, process);
 		wwh_intents_apply(intents, offset++, &record, NULL, NULL, NULL);
 		wwh_record_clear(&record);
 		g_free(process);
 	}
-	expire_record(&record, P1, 9, 0);
+	expire_record(&record, ENTRY_1, 9, 0);
 	wwh_intents_apply(intents, offset++, &record, NULL, NULL, NULL);
 	wwh_record_clear(&record);
 	wwh_intents_check(intents);
 	return intents;
 }
 
-static void restored_intents_go_on_alike(void **unused)
+static void restored_intents_reach_the_same_bytes(void **unused)
 {
-	wwh_intents_t *intents = busy_intents();
+	wwh_intents_t *intents = new_full_intents();
 	GBytes *bytes = wwh_snapshot_encode_intents(intents);
 	wwh_intents_t *restored;
 	GBytes *left;
@@ -236,9 +237,9 @@
 	left = wwh_snapshot_encode_intents(intents);
 	right = wwh_snapshot_encode_intents(restored);
 	assert_true(g_bytes_equal(left, right));
-	assert_int_equal(
-		wwh_intents_key(restored, FIXTURE_SERVICE, "key-0", NULL, NULL),
-		WWH_KEY_EXPIRED);
+	assert_int_equal(wwh_intents_lookup_key(restored, FIXTURE_SERVICE,
+						"key-0", NULL, NULL),
+			 WWH_KEY_EXPIRED);
 	for (gsize cut = 0; cut < size; cut += 31) {
 		wwh_intents_t *none;
 
@@ -254,11 +255,11 @@
 }
 
 /*
- * Answers come in another order than their intents. After a restore the
- * oldest answer must still be the first to lose its body, or a repeat gets
- * its answer from one process and not from another.
+ * Answers are recorded in another order than their intents. After a restore the
+ * oldest answer must still be the first to lose its body; otherwise one process
+ * would answer a repeat and another would not.
  */
-static void bodies_are_dropped_alike_after_a_restore(void **unused)
+static void bodies_are_dropped_in_order_after_a_restore(void **unused)
 {
 	wwh_intent_limits_t limits = { .keys_max = 8,
 				       .tombstones_max = 8,
@@ -273,7 +274,7 @@
 	GBytes *bytes = NULL;
 
 	(void)unused;
-	intents_record(&record, P1);
+	intents_record(&record, ENTRY_1);
 	for (int32_t i = 0; i < 3; i++)
 		intents_add(&record, keys[i], 1, i);
 	wwh_intents_apply(intents, 0, &record, NULL, NULL, NULL);
@@ -287,27 +288,27 @@
 						 &restored, NULL),
 					 WWH_STATUS_OK);
 		}
-		results_record(&record, P1);
+		results_record(&record, ENTRY_1);
 		results_add(&record, keys[order[i]], order[i],
 			    WWH_RESULT_ANSWERED, "12345");
 		wwh_intents_apply(i == 2 ? restored : intents, 1 + i, &record,
 				  NULL, NULL, NULL);
 		wwh_record_clear(&record);
 	}
-	wwh_intents_key(restored, FIXTURE_SERVICE, "b", NULL, &view);
+	wwh_intents_lookup_key(restored, FIXTURE_SERVICE, "b", NULL, &view);
 	assert_false(view.body_kept);
-	wwh_intents_key(restored, FIXTURE_SERVICE, "a", NULL, &view);
+	wwh_intents_lookup_key(restored, FIXTURE_SERVICE, "a", NULL, &view);
 	assert_true(view.body_kept);
 	g_bytes_unref(bytes);
 	wwh_intents_delete(intents);
 	wwh_intents_delete(restored);
 }
 
-/* Feeds the parts that are chosen to a reader; returns the whole or NULL. */
-static GBytes *feed(wwh_snapshot_parts_t *parts, GPtrArray *records, guint from,
-		    guint upto)
+/* Adds the records from..upto-1 to parts; returns the snapshot or NULL. */
+static GBytes *add_parts(wwh_snapshot_parts_t *parts, GPtrArray *records,
+			 guint from, guint upto)
 {
-	GBytes *whole = NULL;
+	GBytes *snapshot_bytes = NULL;
 
 	for (guint i = from; i < upto; i++) {
 		wwh_record_t record;
@@ -317,47 +318,47 @@
 
 		assert_int_equal(wwh_record_decode(data, size, &record, NULL),
 				 WWH_STATUS_OK);
-		assert_null(whole);
-		whole = wwh_snapshot_parts_add(parts, &record);
+		assert_null(snapshot_bytes);
+		snapshot_bytes = wwh_snapshot_parts_add(parts, &record);
 		wwh_record_clear(&record);
 	}
-	return whole;
+	return snapshot_bytes;
 }
 
 /*
- * Two processes publish the same snapshot at once and one dies in between.
- * The parts of both together make the whole; repeated parts do no harm.
+ * Two processes publish the same snapshot concurrently and one ends before its
+ * last part. The parts of both are combined; repeated parts have no effect.
  */
-static void racing_snapshots_make_one_whole(void **unused)
+static void parts_of_racing_snapshots_are_combined(void **unused)
 {
 	gsize size = 2 * WWH_SNAPSHOT_PART_BYTES_MAX + 5;
 	GBytes *bytes = g_bytes_new_take(g_malloc0(size), size);
-	GPtrArray *first = wwh_snapshot_records(bytes, 8, P1);
+	GPtrArray *first = wwh_snapshot_records(bytes, 8, ENTRY_1);
 	GPtrArray *second = wwh_snapshot_records(bytes, 8, "entry-2.1");
 	wwh_snapshot_parts_t *parts = wwh_snapshot_parts_new();
-	GBytes *whole;
+	GBytes *snapshot_bytes;
 
 	(void)unused;
 	assert_int_equal(first->len, 3);
-	assert_null(feed(parts, first, 0, 2));
-	assert_null(feed(parts, second, 0, 2));
-	whole = feed(parts, second, 2, 3);
-	assert_non_null(whole);
-	assert_true(g_bytes_equal(whole, bytes));
-	g_bytes_unref(whole);
+	assert_null(add_parts(parts, first, 0, 2));
+	assert_null(add_parts(parts, second, 0, 2));
+	snapshot_bytes = add_parts(parts, second, 2, 3);
+	assert_non_null(snapshot_bytes);
+	assert_true(g_bytes_equal(snapshot_bytes, bytes));
+	g_bytes_unref(snapshot_bytes);
 	wwh_snapshot_parts_delete(parts);
 	g_ptr_array_unref(first);
 	g_ptr_array_unref(second);
 	g_bytes_unref(bytes);
 }
 
-static void a_whole_with_another_hash_is_refused(void **unused)
+static void a_snapshot_with_a_wrong_hash_is_rejected(void **unused)
 {
 	wwh_snapshot_parts_t *parts = wwh_snapshot_parts_new();
 	wwh_record_t record;
 
 	(void)unused;
-	wwh_record_init(&record, WWH_RECORD_SNAPSHOT, P1);
+	wwh_record_init(&record, WWH_RECORD_SNAPSHOT, ENTRY_1);
 	record.body.snapshot.upto = 8;
 	record.body.snapshot.hash = 1;
 	assert_null(wwh_snapshot_parts_add(parts, &record));
@@ -368,54 +369,55 @@
 }
 
 /*
- * Two replicas keep snapshots at the same offsets although one of them read
- * its records later and offsets are not dense. Another state at that offset
- * is told as a mismatch.
+ * Replicas must make snapshots at the same offsets whenever they read their
+ * records, also when offsets are not dense. Another state at such an offset is
+ * reported as a mismatch.
  */
-static void keepers_agree_on_where(void **unused)
+static void generators_use_the_same_offsets(void **unused)
 {
-	wwh_snapshot_keeper_t *keeper = wwh_snapshot_keeper_new(EVERY);
+	wwh_snapshot_generator_t *generator =
+		wwh_snapshot_generator_new(INTERVAL_OFFSETS);
 	wwh_state_t *state = wwh_state_new();
 	wwh_record_t record;
 	int64_t upto;
 
 	(void)unused;
 	for (int64_t offset = 0; offset < 30; offset += 3) {
-		submit_record(&record, P1, "j", "p", true);
-		wwh_snapshot_keeper_state(keeper, state, offset);
+		submit_record(&record, ENTRY_1, "j", "p", true);
+		wwh_snapshot_generator_update_state(generator, state, offset);
 		wwh_state_apply(state, offset, &record, NULL);
 		wwh_record_clear(&record);
 	}
-	assert_non_null(wwh_snapshot_keeper_latest(keeper, &upto));
+	assert_non_null(wwh_snapshot_generator_latest(generator, &upto));
 	assert_int_equal(upto, 24);
-	wwh_record_init(&record, WWH_RECORD_SNAPSHOT, P1);
+	wwh_record_init(&record, WWH_RECORD_SNAPSHOT, ENTRY_1);
 	record.body.snapshot.upto = upto;
-	record.body.snapshot.hash =
-		wwh_snapshot_hash(wwh_snapshot_keeper_latest(keeper, &upto));
-	assert_int_equal(wwh_snapshot_keeper_compare(keeper, &record),
+	record.body.snapshot.hash = wwh_snapshot_hash(
+		wwh_snapshot_generator_latest(generator, &upto));
+	assert_int_equal(wwh_snapshot_generator_compare(generator, &record),
 			 WWH_SNAPSHOT_MATCH);
 	record.body.snapshot.hash++;
-	assert_int_equal(wwh_snapshot_keeper_compare(keeper, &record),
+	assert_int_equal(wwh_snapshot_generator_compare(generator, &record),
 			 WWH_SNAPSHOT_MISMATCH);
 	record.body.snapshot.upto = 1;
-	assert_int_equal(wwh_snapshot_keeper_compare(keeper, &record),
+	assert_int_equal(wwh_snapshot_generator_compare(generator, &record),
 			 WWH_SNAPSHOT_NOT_COMPARED);
 	wwh_record_clear(&record);
 	wwh_state_delete(state);
-	wwh_snapshot_keeper_delete(keeper);
+	wwh_snapshot_generator_delete(generator);
 }
 
 int main(void)
 {
 	const struct CMUnitTest tests[] = {
-		cmocka_unit_test(a_restored_state_goes_on_alike),
-		cmocka_unit_test(an_empty_state_survives),
-		cmocka_unit_test(a_damaged_snapshot_is_refused),
-		cmocka_unit_test(restored_intents_go_on_alike),
-		cmocka_unit_test(bodies_are_dropped_alike_after_a_restore),
-		cmocka_unit_test(racing_snapshots_make_one_whole),
-		cmocka_unit_test(a_whole_with_another_hash_is_refused),
-		cmocka_unit_test(keepers_agree_on_where),
+		cmocka_unit_test(a_restored_state_reaches_the_same_bytes),
+		cmocka_unit_test(an_empty_state_is_restored),
+		cmocka_unit_test(a_damaged_snapshot_is_rejected),
+		cmocka_unit_test(restored_intents_reach_the_same_bytes),
+		cmocka_unit_test(bodies_are_dropped_in_order_after_a_restore),
+		cmocka_unit_test(parts_of_racing_snapshots_are_combined),
+		cmocka_unit_test(a_snapshot_with_a_wrong_hash_is_rejected),
+		cmocka_unit_test(generators_use_the_same_offsets),
 	};
 
 	return cmocka_run_group_tests(tests, NULL, NULL);
--- a/src/test_standins/include/fleet_sim.h
+++ b/src/test_standins/include/fleet_sim.h
@@ -553,10 +553,10 @@
 				    .kind = WWH_HOST_WORKER,
 				    .state = worker->host };
 
-		wwh_observations_requests(process->observations, worker->id,
-					  worker->requests);
+		wwh_observations_set_requests(process->observations, worker->id,
+					      worker->requests);
 		if (worker->host_ms + sim->options.list_lag_ms <= sim->now_ms)
-			wwh_observations_host(process->observations, &host);
+			wwh_observations_set_host(process->observations, &host);
 	}
 	for (guint i = 0; i < sim->tasks->len; i++) {
 		const sim_task_t *task = sim->tasks->pdata[i];
@@ -569,8 +569,8 @@
 			.used_memory_mb = 1024
 		};
 
-		wwh_observations_task(process->observations, &report,
-				      sim->now_ms);
+		wwh_observations_add_task_report(process->observations, &report,
+						 sim->now_ms);
 	}
 }
 
@@ -580,8 +580,8 @@
 	wwh_action_t action;
 
 	sim_observe(sim, process);
-	view = wwh_fleet_bridge_view(sim->state, process->observations,
-				     process->author, sim->now_ms);
+	view = wwh_fleet_bridge_create_view(sim->state, process->observations,
+					    process->author, sim->now_ms);
 	wwh_conductor_tick(process->conductor, sim->now_ms, view);
 	wwh_fleet_view_delete(view);
 	while (wwh_conductor_next_action(process->conductor, &action)) {
