--- a/src/libwaxwinghollow/entry_caller.c
+++ b/src/libwaxwinghollow/entry_caller.c
@@ -195,8 +195,8 @@
 	wwh_error_kind_t kind = WWH_ERROR_NONE;
 	wwh_decision_t decision;
 
-	while (wwh_request_next(call->request, call->http->caller_fd,
-				&decision)) {
+	while (wwh_request_wait_decision(call->request, call->http->caller_fd,
+					 &decision)) {
 		if (decision.type == WWH_DECISION_END) {
 			call->retry_after_ms = decision.retry_after_ms;
 			/*
--- a/src/libwaxwinghollow/entry_keys.c
+++ b/src/libwaxwinghollow/entry_keys.c
@@ -105,7 +105,7 @@
 
 	(void)offset;
 	if (wwh_intents_is_abandoned(search->entry->intents, author) ||
-	    !wwh_seats_author_gone(search->entry->seats, author))
+	    !wwh_seats_is_author_gone(search->entry->seats, author))
 		return true;
 	search->author = g_strdup(author);
 	return false;
--- a/src/libwaxwinghollow/entry_snapshot.c
+++ b/src/libwaxwinghollow/entry_snapshot.c
@@ -64,7 +64,8 @@
 	g_free(snapshot);
 }
 
-void wwh_entry_snapshot_before(wwh_entry_snapshot_t *snapshot, int64_t offset)
+void wwh_entry_snapshot_before_apply(wwh_entry_snapshot_t *snapshot,
+				     int64_t offset)
 {
 	wwh_entry_t *entry = snapshot->entry;
 	int64_t before = WWH_NO_OFFSET;
@@ -87,8 +88,8 @@
 	snapshot->due_ms = wwh_now_ms() + g_random_int_range(0, SPREAD_MS);
 }
 
-void wwh_entry_snapshot_seen(wwh_entry_snapshot_t *snapshot,
-			     const wwh_record_t *record)
+void wwh_entry_snapshot_after_apply(wwh_entry_snapshot_t *snapshot,
+				    const wwh_record_t *record)
 {
 	if (record->author == NULL || record->kind != WWH_RECORD_SNAPSHOT)
 		return;
@@ -105,8 +106,8 @@
 		  record->body.snapshot.upto, record->author);
 }
 
-GPtrArray *wwh_entry_snapshot_due(wwh_entry_snapshot_t *snapshot,
-				  int64_t now_ms)
+GPtrArray *wwh_entry_snapshot_due_records(wwh_entry_snapshot_t *snapshot,
+					  int64_t now_ms)
 {
 	wwh_entry_t *entry = snapshot->entry;
 	GPtrArray *records = NULL;
@@ -128,7 +129,8 @@
 	return records;
 }
 
-void wwh_entry_snapshot_trimmed(wwh_entry_snapshot_t *snapshot, int64_t first)
+void wwh_entry_snapshot_set_first_offset(wwh_entry_snapshot_t *snapshot,
+					 int64_t first)
 {
 	snapshot->first = first;
 }
