--- a/src/bench/bench_state.c
+++ b/src/bench/bench_state.c
@@ -106,8 +106,8 @@
 		grant_record(&record, AUTHOR, id, WWH_GRANT_REPAIR, "", fence);
 		sum += apply(bench, &record, &verdict);
 		must(verdict == WWH_VERDICT_ACCEPTED, "grant");
-		end_record(&record, AUTHOR, id, grant, WWH_GRANT_RETURNED,
-			   fence);
+		grant_end_record(&record, AUTHOR, id, grant, WWH_GRANT_RETURNED,
+				 fence);
 		sum += apply(bench, &record, &verdict);
 		must(verdict == WWH_VERDICT_ACCEPTED, "end");
 		count += 2;
@@ -273,7 +273,7 @@
 		wwh_worker_view_t view;
 
 		must(wwh_state_worker(bench.state, worker, &view), "worker");
-		submit_record(&record, AUTHOR, job, view.pool, false);
+		job_submit_record(&record, AUTHOR, job, view.pool, false);
 		placed_ns += apply(&bench, &record, &verdict);
 		job_record(&record, WWH_RECORD_JOB_PLACE, AUTHOR, job, worker,
 			   bench.fence[wwh_shard_of_pool(view.pool)]);
--- a/src/libwaxwinghollow/entry_exchange.c
+++ b/src/libwaxwinghollow/entry_exchange.c
@@ -39,7 +39,7 @@
 				   const uint8_t *payload, size_t size)
 {
 	wwh_seat_answer_t answer = {
-		.process = wwh_seat_process(peers->entry->author),
+		.process = wwh_seat_process_id(peers->entry->author),
 	};
 	wwh_seat_ask_t ask;
 	GBytes *bytes;
@@ -114,7 +114,7 @@
 		if (!wwh_seats_is_member(peers->entry->seats, target->process))
 			continue;
 		wwh_loan_message_init(&message);
-		message.process = wwh_seat_process(peers->entry->author);
+		message.process = wwh_seat_process_id(peers->entry->author);
 		wwh_request_table_loans_tell(peers->entry->requests,
 					     target->process, add_loan,
 					     &message);
--- a/src/libwaxwinghollow/entry_fleet.c
+++ b/src/libwaxwinghollow/entry_fleet.c
@@ -192,7 +192,7 @@
 
 	if (config == NULL)
 		return;
-	message->process = wwh_seat_process(fleet->entry->author);
+	message->process = wwh_seat_process_id(fleet->entry->author);
 	g_mutex_lock(&fleet->lock);
 	g_hash_table_iter_init(&iter, fleet->out);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
@@ -390,7 +390,7 @@
 			   int64_t now_ms)
 {
 	const wwh_seat_table_t *seats = wwh_state_seats(fleet->entry->state);
-	uint64_t own = wwh_seat_process(fleet->entry->author);
+	uint64_t own = wwh_seat_process_id(fleet->entry->author);
 	int32_t sum = own_requests(fleet, fleet->entry->config, out->worker);
 
 	for (int32_t i = 0; i < seats->member_count; i++) {
--- a/src/libwaxwinghollow/entry_peers.c
+++ b/src/libwaxwinghollow/entry_peers.c
@@ -200,7 +200,7 @@
 void wwh_entry_peers_ask_votes(wwh_entry_peers_t *peers)
 {
 	wwh_seat_ask_t ask = {
-		.process = wwh_seat_process(peers->entry->author),
+		.process = wwh_seat_process_id(peers->entry->author),
 		.sent_ms = wwh_now_ms(),
 	};
 	GBytes *bytes = wwh_seat_ask_encode(&ask);
@@ -449,7 +449,7 @@
 static uint64_t process_of(const wwh_member_t *member)
 {
 	char *author = wwh_entry_author_name(member->id, member->incarnation);
-	uint64_t process = wwh_seat_process(author);
+	uint64_t process = wwh_seat_process_id(author);
 
 	g_free(author);
 	return process;
--- a/src/libwaxwinghollow/entry_seats.c
+++ b/src/libwaxwinghollow/entry_seats.c
@@ -64,7 +64,7 @@
 	wwh_seats_t *seats = g_new0(wwh_seats_t, 1);
 
 	seats->entry = entry;
-	seats->process = wwh_seat_process(entry->author);
+	seats->process = wwh_seat_process_id(entry->author);
 	g_mutex_init(&seats->lock);
 	wwh_seat_table_init(&seats->table, WWH_STATE_SEATS);
 	seats->acked_ms = g_hash_table_new_full(g_int64_hash, g_int64_equal,
@@ -366,10 +366,10 @@
 	wwh_seats_t *seats = authors->seats;
 
 	(void)offset;
-	if (index_of(&seats->table, wwh_seat_process(author)) < 0 ||
+	if (index_of(&seats->table, wwh_seat_process_id(author)) < 0 ||
 	    !author_gone(seats, author))
 		return true;
-	authors->gone = wwh_seat_process(author);
+	authors->gone = wwh_seat_process_id(author);
 	authors->gone_author = g_strdup(author);
 	return false;
 }
@@ -405,7 +405,7 @@
 	host = g_strndup(author, (gsize)(slash - author));
 	gone = (g_hash_table_contains(seats->gone, host) &&
 		wwh_entry_peers_is_dead(seats->entry->peers,
-					wwh_seat_process(author))) ||
+					wwh_seat_process_id(author))) ||
 	       strcmp(host, seats->entry->settings->process_id) == 0;
 	g_free(host);
 	return gone;
--- a/src/libwaxwinghollow/include/private/state_internal.h
+++ b/src/libwaxwinghollow/include/private/state_internal.h
@@ -3,19 +3,20 @@
 
 /*
  * NAME
- *	state_internal - what the files state*.c share
+ *	state_internal - private interface of the state*.c files
  *
  * USE
- *	state.c dispatches a record to one wwh_apply_* of its kind. Each
- *	decides on the whole record before it changes anything.
- *	Whoever changes a worker's pool, grant or flags calls
- *	wwh_state_uncount before and wwh_state_count after.
+ *	state.c passes each record to the wwh_apply_* function of its kind.
+ *	That function decides on the whole record before it changes the state.
+ *	Code that changes a worker's pool, grant or flags calls
+ *	wwh_state_uncount_worker before the change and wwh_state_count_worker
+ *	after it.
  */
 
 #include "private/record_fields.h"
 #include "waxwinghollow/state.h"
 
-/* Members and lost of a pool in one rack or zone. */
+/* Counts of a pool's members and lost workers in one rack or zone. */
 typedef struct {
 	const char *name;
 	int32_t members;
@@ -24,7 +25,7 @@
 
 typedef struct {
 	GArray *counts; /* of wwh_domain_count_t */
-	GHashTable *index; /* name to place in counts */
+	GHashTable *index; /* name to index in counts plus 1 */
 } wwh_domain_counts_t;
 
 typedef struct {
@@ -54,8 +55,8 @@
 	const wwh_worker_t *declared;
 	wwh_state_pool_t *pool; /* NULL between pools */
 	/*
-	 * A move on the log put it where it is, and the inventory did not
-	 * change its pool since: it is wanted where it is.
+	 * A move in the log placed the worker in its pool, and the inventory's
+	 * pool has not changed since: the wanted pool is the current one.
 	 */
 	bool placed_by_move;
 	int64_t failed;
@@ -64,9 +65,9 @@
 	wwh_state_move_t *move;
 } wwh_state_worker_t;
 
-/* The structs below are encoded as they are, by the tables of fields. */
+/* Snapshots encode the structs below directly, by their field tables. */
 typedef struct {
-	char *holder; /* "": never taken or released */
+	char *holder; /* "" if never taken or released */
 	int64_t fence;
 	int64_t latest;
 	int32_t duration_ms;
@@ -117,7 +118,7 @@
 	int64_t offset;
 } wwh_state_author_t;
 
-/* Items by id, and those that ended in the order in which they did. */
+/* Items by id, and a queue of the ended ones in the order of their end. */
 typedef struct {
 	GTree *by_id;
 	GQueue ended; /* of the items in by_id */
@@ -163,12 +164,12 @@
 wwh_state_worker_t *wwh_state_find_worker(const wwh_state_t *state,
 					  const char *id);
 wwh_state_pool_t *wwh_state_find_pool(const wwh_state_t *state, const char *id);
-bool wwh_state_lost(const wwh_state_worker_t *worker);
-const char *wwh_state_wanted(const wwh_state_worker_t *worker);
-/* The pool whose shard decides on worker: its own or the one it left. */
-const char *wwh_state_home(const wwh_state_worker_t *worker);
-void wwh_state_count(wwh_state_worker_t *worker);
-void wwh_state_uncount(wwh_state_worker_t *worker);
+bool wwh_state_worker_is_lost(const wwh_state_worker_t *worker);
+const char *wwh_state_worker_wanted_pool(const wwh_state_worker_t *worker);
+/* The pool whose shard controls worker: its own or, in a move, the source. */
+const char *wwh_state_worker_home_pool(const wwh_state_worker_t *worker);
+void wwh_state_count_worker(wwh_state_worker_t *worker);
+void wwh_state_uncount_worker(wwh_state_worker_t *worker);
 void wwh_state_end_grant(wwh_state_worker_t *worker);
 void wwh_state_end_move(wwh_state_worker_t *worker);
 void wwh_state_pools_init(wwh_state_pool_t *pools, int32_t count,
@@ -176,43 +177,44 @@
 void wwh_state_pools_clear(wwh_state_pool_t *pools, int32_t count);
 
 /*
- * Replaces configuration, pools and workers of state by those of config
- * (taken over); known workers keep pool and flags.
+ * Replaces the configuration, pools and workers of state by those of config
+ * and takes ownership of config. Known workers retain their pool and flags.
  */
-void wwh_state_adopt_config(wwh_state_t *state, wwh_config_t *config);
+void wwh_state_replace_config(wwh_state_t *state, wwh_config_t *config);
 
-/* state_budget.c: whether worker may be taken, or may leave its pool. */
-wwh_verdict_t wwh_state_budget(const wwh_state_t *state,
-			       const wwh_state_worker_t *worker,
-			       wwh_grant_reason_t reason,
-			       wwh_verdict_detail_t *detail);
-wwh_verdict_t wwh_state_budget_without(const wwh_state_t *state,
-				       const wwh_state_worker_t *worker,
-				       wwh_verdict_detail_t *detail);
+/* state_budget.c: whether worker may be granted, or may leave its pool. */
+wwh_verdict_t wwh_state_check_budget(const wwh_state_t *state,
+				     const wwh_state_worker_t *worker,
+				     wwh_grant_reason_t reason,
+				     wwh_verdict_detail_t *detail);
+wwh_verdict_t wwh_state_check_budget_without(const wwh_state_t *state,
+					     const wwh_state_worker_t *worker,
+					     wwh_verdict_detail_t *detail);
+/* candidate counts as lost in addition; NULL for none. */
 int32_t wwh_state_pool_reserve(const wwh_state_pool_t *pool,
 			       wwh_domain_t reserve,
-			       const wwh_state_worker_t *taken);
+			       const wwh_state_worker_t *candidate);
 
-/* state_table.c: items by id with a bounded memory of the ended ones. */
+/* state_table.c: items by id with a bounded number of ended ones. */
 void wwh_state_table_init(wwh_state_table_t *table,
 			  const wwh_codec_fields_t *fields);
 void wwh_state_table_clear(wwh_state_table_t *table);
 void *wwh_state_table_find(const wwh_state_table_t *table, const char *id);
-/* item's first member is its id. */
+/* The first member of item must be its id. */
 void wwh_state_table_add(wwh_state_table_t *table, void *item);
 void wwh_state_table_end(wwh_state_table_t *table, void *item);
-int32_t wwh_state_table_running(const wwh_state_table_t *table);
+int32_t wwh_state_table_running_count(const wwh_state_table_t *table);
 GPtrArray *wwh_state_table_items(const wwh_state_table_t *table);
 
 /* Sorted sets of ids. */
 bool wwh_ids_contain(const GPtrArray *ids, const char *id);
 void wwh_ids_insert(GPtrArray *ids, const char *id);
 
-/* Frees an item of the tables above. */
+/* Frees or allocates an item described by fields. */
 void wwh_state_item_free(const wwh_codec_fields_t *fields, void *item);
 void *wwh_state_item_new(const wwh_codec_fields_t *fields);
 
-/* One decision each; the record's kind is theirs. */
+/* Each applies records of its own kinds; other kinds must not be passed. */
 wwh_verdict_t wwh_apply_config(wwh_state_t *state, int64_t offset,
 			       const wwh_record_t *record,
 			       wwh_verdict_detail_t *detail);
@@ -242,13 +244,16 @@
 			     const wwh_record_t *record,
 			     wwh_verdict_detail_t *detail);
 
-/* Whether a table that was read is one that applies can make. */
+/* Whether a decoded table is consistent, as after any sequence of records. */
 bool wwh_state_seats_valid(const wwh_seat_table_t *seats);
 
-/* ACCEPTED or NOT_HOLDER: whether record's author holds shard under fence. */
-wwh_verdict_t wwh_state_fence(const wwh_state_t *state, int32_t shard,
-			      const wwh_record_t *record, int64_t fence,
-			      wwh_verdict_detail_t *detail);
+/*
+ * Returns WWH_VERDICT_ACCEPTED if record's author holds shard under fence,
+ * otherwise WWH_VERDICT_NOT_HOLDER.
+ */
+wwh_verdict_t wwh_state_check_fence(const wwh_state_t *state, int32_t shard,
+				    const wwh_record_t *record, int64_t fence,
+				    wwh_verdict_detail_t *detail);
 
 wwh_verdict_t wwh_state_unknown_worker(const wwh_state_t *state, const char *id,
 				       wwh_verdict_detail_t *detail);
--- a/src/libwaxwinghollow/state.c
+++ b/src/libwaxwinghollow/state.c
@@ -25,8 +25,8 @@
 				    const wwh_record_t *record,
 				    wwh_verdict_detail_t *detail);
 
-/* Of the kinds of stream control; NULL for the others. */
-static const apply_t appliers[WWH_RECORD_KIND_COUNT] = {
+/* Indexed by record kind; NULL for kinds that are not in stream control. */
+static const apply_t apply_functions[WWH_RECORD_KIND_COUNT] = {
 	[WWH_RECORD_CONFIG] = wwh_apply_config,
 	[WWH_RECORD_LEASE_TAKE] = wwh_apply_lease,
 	[WWH_RECORD_LEASE_RENEW] = wwh_apply_lease,
@@ -141,7 +141,7 @@
 				 wwh_config_version(state->config));
 }
 
-static gboolean older(gpointer key, gpointer item, gpointer oldest)
+static gboolean find_older_author(gpointer key, gpointer item, gpointer oldest)
 {
 	wwh_state_author_t **found = oldest;
 	wwh_state_author_t *author = item;
@@ -153,25 +153,25 @@
 }
 
 /*
- * Each restart makes a new author: without a bound the table would grow with
- * every restart for good.
+ * Each restart adds a new author. Without a bound the table would grow with
+ * every restart.
  */
-static void forget_oldest_author(wwh_state_t *state)
+static void evict_oldest_author(wwh_state_t *state)
 {
 	wwh_state_author_t *oldest = NULL;
 
 	if (g_tree_nnodes(state->authors) < WWH_STATE_AUTHORS_MAX)
 		return;
-	g_tree_foreach(state->authors, older, &oldest);
+	g_tree_foreach(state->authors, find_older_author, &oldest);
 	g_tree_remove(state->authors, oldest->id);
 }
 
-static void note_author(wwh_state_t *state, const char *id, int64_t offset)
+static void record_author(wwh_state_t *state, const char *id, int64_t offset)
 {
 	wwh_state_author_t *author = g_tree_lookup(state->authors, id);
 
 	if (author == NULL) {
-		forget_oldest_author(state);
+		evict_oldest_author(state);
 		author = wwh_state_item_new(&wwh_state_author_fields);
 		wwh_record_set(&author->id, id);
 		g_tree_insert(state->authors, author->id, author);
@@ -179,16 +179,19 @@
 	author->offset = offset;
 }
 
-/* A snapshot is taken up by a process without state; see snapshot.h. */
+/*
+ * Changes nothing: only a process without state restores a snapshot, see
+ * snapshot.h.
+ */
 static wwh_verdict_t apply_snapshot(wwh_state_t *state, int64_t offset,
 				    const wwh_record_t *record,
 				    wwh_verdict_detail_t *detail)
 {
 	if (record->body.snapshot.upto <= offset)
 		return WWH_VERDICT_ACCEPTED;
-	return wwh_state_verdict(state, detail, WWH_VERDICT_INVALID,
-				 WWH_NO_OFFSET,
-				 "a snapshot of records that are not written");
+	return wwh_state_verdict(
+		state, detail, WWH_VERDICT_INVALID, WWH_NO_OFFSET,
+		"the snapshot covers records that are not in the log");
 }
 
 static wwh_verdict_t finish_apply(wwh_state_t *state, wwh_verdict_t verdict)
@@ -199,8 +202,8 @@
 	return verdict;
 }
 
-static wwh_verdict_t old_offset(wwh_state_t *state, int64_t offset,
-				wwh_verdict_detail_t *detail)
+static wwh_verdict_t reject_old_offset(wwh_state_t *state, int64_t offset,
+				       wwh_verdict_detail_t *detail)
 {
 	wwh_state_verdict(state, detail, WWH_VERDICT_OLD_OFFSET,
 			  state->last_offset,
@@ -216,18 +219,19 @@
 
 	assert(offset >= 0);
 	if (offset <= state->last_offset)
-		return old_offset(state, offset, detail);
+		return reject_old_offset(state, offset, detail);
 	state->last_offset = offset;
 	wwh_state_verdict(state, detail, WWH_VERDICT_ACCEPTED, WWH_NO_OFFSET,
 			  "%s", "");
 	if (!wwh_record_kind_in_stream(record->kind, WWH_STREAM_CONTROL)) {
 		wwh_state_verdict(state, detail, WWH_VERDICT_MALFORMED,
-				  WWH_NO_OFFSET, "%s is no record of control",
+				  WWH_NO_OFFSET,
+				  "%s is not a record of stream control",
 				  wwh_record_kind_names[record->kind]);
 		return finish_apply(state, WWH_VERDICT_MALFORMED);
 	}
-	note_author(state, record->author, offset);
-	verdict = appliers[record->kind](state, offset, record, detail);
+	record_author(state, record->author, offset);
+	verdict = apply_functions[record->kind](state, offset, record, detail);
 	if (detail != NULL)
 		detail->version = wwh_config_version(state->config);
 	return finish_apply(state, verdict);
@@ -243,7 +247,7 @@
 	if (wwh_record_decode(data, size, record, &message) == WWH_STATUS_OK)
 		return wwh_state_apply(state, offset, record, detail);
 	if (offset <= state->last_offset)
-		return old_offset(state, offset, detail);
+		return reject_old_offset(state, offset, detail);
 	state->last_offset = offset;
 	wwh_state_verdict(state, detail, WWH_VERDICT_MALFORMED, WWH_NO_OFFSET,
 			  "%s", message.text);
--- a/src/libwaxwinghollow/state_budget.c
+++ b/src/libwaxwinghollow/state_budget.c
@@ -5,7 +5,7 @@
 #include "private/state_internal.h"
 #include "waxwinghollow/budget.h"
 
-/* A pool's losses as they would be after the change that is asked for. */
+/* A pool's losses as they would be after the requested change. */
 typedef struct {
 	int32_t members;
 	int32_t lost;
@@ -15,44 +15,51 @@
 static const wwh_domain_count_t *find_count(const wwh_domain_counts_t *counts,
 					    const char *name)
 {
-	guint place =
+	guint position =
 		GPOINTER_TO_UINT(g_hash_table_lookup(counts->index, name));
 
-	assert(place > 0);
-	return &g_array_index(counts->counts, wwh_domain_count_t, place - 1);
+	assert(position > 0);
+	return &g_array_index(counts->counts, wwh_domain_count_t, position - 1);
 }
 
-/* The most members not lost in one domain, with one in taken lost besides. */
+/*
+ * The largest number of available members in one domain. One more member of
+ * candidate_domain counts as lost, unless that is NULL.
+ */
 static int32_t largest_domain(const wwh_domain_counts_t *counts,
-			      const char *taken)
+			      const char *candidate_domain)
 {
 	int32_t largest = 0;
 
 	for (guint i = 0; i < counts->counts->len; i++) {
 		const wwh_domain_count_t *count =
 			&g_array_index(counts->counts, wwh_domain_count_t, i);
-		int32_t whole = count->members - count->lost;
+		int32_t available = count->members - count->lost;
 
-		if (taken != NULL && strcmp(count->name, taken) == 0)
-			whole--;
-		largest = MAX(largest, whole);
+		if (candidate_domain != NULL &&
+		    strcmp(count->name, candidate_domain) == 0)
+			available--;
+		largest = MAX(largest, available);
 	}
 	return largest;
 }
 
 int32_t wwh_state_pool_reserve(const wwh_state_pool_t *pool,
 			       wwh_domain_t reserve,
-			       const wwh_state_worker_t *taken)
+			       const wwh_state_worker_t *candidate)
 {
-	int32_t whole = pool->members - pool->lost - (taken != NULL ? 1 : 0);
+	int32_t available =
+		pool->members - pool->lost - (candidate != NULL ? 1 : 0);
 
 	if (reserve == WWH_DOMAIN_RACK)
 		return largest_domain(&pool->racks,
-				      taken ? taken->declared->rack : NULL);
+				      candidate ? candidate->declared->rack
+						: NULL);
 	if (reserve == WWH_DOMAIN_ZONE)
 		return largest_domain(&pool->zones,
-				      taken ? taken->declared->zone : NULL);
-	return MIN(whole, 1);
+				      candidate ? candidate->declared->zone
+						: NULL);
+	return MIN(available, 1);
 }
 
 static wwh_verdict_t check_total(const wwh_state_t *state,
@@ -88,10 +95,10 @@
 		count->lost + 1, count->name, setting, limit);
 }
 
-wwh_verdict_t wwh_state_budget(const wwh_state_t *state,
-			       const wwh_state_worker_t *worker,
-			       wwh_grant_reason_t reason,
-			       wwh_verdict_detail_t *detail)
+wwh_verdict_t wwh_state_check_budget(const wwh_state_t *state,
+				     const wwh_state_worker_t *worker,
+				     wwh_grant_reason_t reason,
+				     wwh_verdict_detail_t *detail)
 {
 	const wwh_state_pool_t *pool = worker->pool;
 	const wwh_pool_t *declared = pool->declared;
@@ -101,7 +108,7 @@
 	losses_t losses = { pool->members, pool->lost + 1, 0 };
 	wwh_verdict_t verdict;
 
-	if (wwh_state_lost(worker))
+	if (wwh_state_worker_is_lost(worker))
 		return WWH_VERDICT_ACCEPTED;
 	losses.reserve = wwh_state_pool_reserve(pool, reserve, worker);
 	verdict = check_total(state, pool, &losses, detail);
@@ -117,15 +124,15 @@
 		find_count(&pool->zones, worker->declared->zone), detail);
 }
 
-/* The pool after worker, which is lost in it, has left it. */
-wwh_verdict_t wwh_state_budget_without(const wwh_state_t *state,
-				       const wwh_state_worker_t *worker,
-				       wwh_verdict_detail_t *detail)
+/* Checks the pool without worker, which must count as lost in it. */
+wwh_verdict_t wwh_state_check_budget_without(const wwh_state_t *state,
+					     const wwh_state_worker_t *worker,
+					     wwh_verdict_detail_t *detail)
 {
 	const wwh_state_pool_t *pool = worker->pool;
 	losses_t losses = { pool->members - 1, pool->lost - 1, 0 };
 
-	assert(wwh_state_lost(worker));
+	assert(wwh_state_worker_is_lost(worker));
 	losses.reserve =
 		wwh_state_pool_reserve(pool, pool->declared->reserve, NULL);
 	return check_total(state, pool, &losses, detail);
--- a/src/libwaxwinghollow/state_check.c
+++ b/src/libwaxwinghollow/state_check.c
@@ -16,34 +16,35 @@
 	return sum;
 }
 
-static void check_domains(const wwh_domain_counts_t *kept,
+static void check_domains(const wwh_domain_counts_t *maintained,
 			  const wwh_domain_counts_t *counted)
 {
 	for (guint i = 0; i < counted->counts->len; i++) {
 		const wwh_domain_count_t *count =
 			&g_array_index(counted->counts, wwh_domain_count_t, i);
-		guint place = GPOINTER_TO_UINT(
-			g_hash_table_lookup(kept->index, count->name));
+		guint position = GPOINTER_TO_UINT(
+			g_hash_table_lookup(maintained->index, count->name));
 		const wwh_domain_count_t *other;
 
-		assert(place > 0);
-		other = &g_array_index(kept->counts, wwh_domain_count_t,
-				       place - 1);
+		assert(position > 0);
+		other = &g_array_index(maintained->counts, wwh_domain_count_t,
+				       position - 1);
 		assert(other->members == count->members);
 		assert(other->lost == count->lost);
 	}
-	/* Nothing is counted where no worker is. */
-	assert(sum_members(kept, false) == sum_members(counted, false));
-	assert(sum_members(kept, true) == sum_members(counted, true));
+	/* Domains without workers must have zero counts. */
+	assert(sum_members(maintained, false) == sum_members(counted, false));
+	assert(sum_members(maintained, true) == sum_members(counted, true));
 }
 
 static void check_worker(const wwh_state_t *state,
 			 const wwh_state_worker_t *worker)
 {
 	assert(wwh_state_find_worker(state, worker->declared->id) == worker);
-	/* One pool, or none while it moves; never both, never neither. */
+	/* A worker is either in one pool or moving, never both or neither. */
 	assert((worker->pool == NULL) == (worker->move != NULL));
-	assert(wwh_state_find_pool(state, wwh_state_home(worker)) != NULL);
+	assert(wwh_state_find_pool(state, wwh_state_worker_home_pool(worker)) !=
+	       NULL);
 	assert(worker->failed <= state->last_offset);
 	assert(worker->quarantined <= state->last_offset);
 	if (worker->move != NULL) {
@@ -68,7 +69,7 @@
 		if (copy.pool == NULL)
 			continue;
 		copy.pool = &counted[copy.pool - state->pools];
-		wwh_state_count(&copy);
+		wwh_state_count_worker(&copy);
 	}
 	for (int32_t i = 0; i < state->pool_count; i++) {
 		assert(state->pools[i].members == counted[i].members);
@@ -117,7 +118,8 @@
 		       wave);
 	}
 	assert(running == g_hash_table_size(state->wave_by_pool));
-	assert((int32_t)running == wwh_state_table_running(&state->waves));
+	assert((int32_t)running ==
+	       wwh_state_table_running_count(&state->waves));
 	g_ptr_array_unref(waves);
 }
 
@@ -134,7 +136,7 @@
 			assert(job->worker[0] != '\0' &&
 			       job->fence > job->submitted);
 	}
-	assert(open == wwh_state_table_running(&state->jobs));
+	assert(open == wwh_state_table_running_count(&state->jobs));
 	g_ptr_array_unref(jobs);
 }
 
--- a/src/libwaxwinghollow/state_config.c
+++ b/src/libwaxwinghollow/state_config.c
@@ -2,14 +2,14 @@
 
 #include "private/state_internal.h"
 
-static wwh_verdict_t busy_worker(const wwh_state_t *state,
-				 const wwh_state_worker_t *worker,
-				 wwh_verdict_detail_t *detail)
+static wwh_verdict_t check_removed_worker(const wwh_state_t *state,
+					  const wwh_state_worker_t *worker,
+					  wwh_verdict_detail_t *detail)
 {
 	if (worker->grant != NULL)
 		return wwh_state_verdict(
 			state, detail, WWH_VERDICT_BUSY, worker->grant->offset,
-			"worker %s can't be removed: it is out for %s %s",
+			"worker %s can't be removed: it is granted for %s %s",
 			worker->declared->id,
 			wwh_grant_reason_names[worker->grant->reason],
 			worker->grant->owner);
@@ -22,9 +22,9 @@
 	return WWH_VERDICT_ACCEPTED;
 }
 
-static wwh_verdict_t busy_pool(const wwh_state_t *state, const char *pool,
-			       const wwh_state_worker_t *worker,
-			       wwh_verdict_detail_t *detail)
+static wwh_verdict_t pool_in_use(const wwh_state_t *state, const char *pool,
+				 const wwh_state_worker_t *worker,
+				 wwh_verdict_detail_t *detail)
 {
 	return wwh_state_verdict(state, detail, WWH_VERDICT_BUSY,
 				 worker->move ? worker->move->offset
@@ -34,21 +34,24 @@
 				 pool, worker->declared->id);
 }
 
-/* A worker that stays must keep the pools that it is in or moves between. */
+/*
+ * A worker may be removed only if it is neither granted nor moving. For a
+ * worker that stays, its pool or the pools it moves between must stay too.
+ */
 static wwh_verdict_t check_worker(const wwh_state_t *state,
 				  const wwh_state_worker_t *worker,
 				  const wwh_config_t *next,
 				  wwh_verdict_detail_t *detail)
 {
-	const char *home = wwh_state_home(worker);
+	const char *home = wwh_state_worker_home_pool(worker);
 
 	if (wwh_config_worker(next, worker->declared->id) == NULL)
-		return busy_worker(state, worker, detail);
+		return check_removed_worker(state, worker, detail);
 	if (wwh_config_pool(next, home) == NULL)
-		return busy_pool(state, home, worker, detail);
+		return pool_in_use(state, home, worker, detail);
 	if (worker->move != NULL &&
 	    wwh_config_pool(next, worker->move->to) == NULL)
-		return busy_pool(state, worker->move->to, worker, detail);
+		return pool_in_use(state, worker->move->to, worker, detail);
 	return WWH_VERDICT_ACCEPTED;
 }
 
@@ -64,15 +67,15 @@
 		if (wave != NULL && wwh_config_pool(next, pool) == NULL)
 			return wwh_state_verdict(
 				state, detail, WWH_VERDICT_BUSY, wave->offset,
-				"pool %s can't be removed: wave %s runs", pool,
-				wave->id);
+				"pool %s can't be removed: wave %s is running",
+				pool, wave->id);
 	}
 	return WWH_VERDICT_ACCEPTED;
 }
 
-static wwh_verdict_t check_next(const wwh_state_t *state,
-				const wwh_config_t *next,
-				wwh_verdict_detail_t *detail)
+static wwh_verdict_t check_next_config(const wwh_state_t *state,
+				       const wwh_config_t *next,
+				       wwh_verdict_detail_t *detail)
 {
 	wwh_verdict_t verdict = WWH_VERDICT_ACCEPTED;
 
@@ -84,10 +87,10 @@
 	return check_waves(state, next, detail);
 }
 
-static wwh_verdict_t make_next(const wwh_state_t *state,
-			       const wwh_record_config_t *body,
-			       wwh_config_t **next,
-			       wwh_verdict_detail_t *detail)
+static wwh_verdict_t build_next_config(const wwh_state_t *state,
+				       const wwh_record_config_t *body,
+				       wwh_config_t **next,
+				       wwh_verdict_detail_t *detail)
 {
 	wwh_config_change_t *change = NULL;
 	wwh_message_t message = { "" };
@@ -123,15 +126,15 @@
 			state->config_offset,
 			"someone else changed it: version %" PRId64 " by %s",
 			version, state->config_author);
-	verdict = make_next(state, body, &next, detail);
+	verdict = build_next_config(state, body, &next, detail);
 	if (verdict != WWH_VERDICT_ACCEPTED)
 		return verdict;
-	verdict = check_next(state, next, detail);
+	verdict = check_next_config(state, next, detail);
 	if (verdict != WWH_VERDICT_ACCEPTED) {
 		wwh_config_unref(next);
 		return verdict;
 	}
-	wwh_state_adopt_config(state, next);
+	wwh_state_replace_config(state, next);
 	state->config_offset = offset;
 	wwh_record_set(&state->config_author, record->author);
 	return WWH_VERDICT_ACCEPTED;
--- a/src/libwaxwinghollow/state_fields.c
+++ b/src/libwaxwinghollow/state_fields.c
@@ -1,6 +1,8 @@
 #include "private/state_internal.h"
 
-/* Bounds of a snapshot's items: what an apply can't have produced is refused.
+/*
+ * Bounds of a snapshot's items. Values that applying records can't produce are
+ * rejected.
  */
 
 #define REASON_BYTES_MAX 256
--- a/src/libwaxwinghollow/state_grant.c
+++ b/src/libwaxwinghollow/state_grant.c
@@ -9,7 +9,7 @@
 				wwh_verdict_detail_t *detail)
 {
 	return wwh_state_verdict(state, detail, WWH_VERDICT_NOT_ACTIVE, offset,
-				 "%s %s does not run", what, id);
+				 "%s %s is not running", what, id);
 }
 
 static wwh_verdict_t check_wave(const wwh_state_t *state,
@@ -38,8 +38,8 @@
 	return WWH_VERDICT_ACCEPTED;
 }
 
-static bool in_domain(const wwh_worker_t *worker, int32_t domain,
-		      const char *id)
+static bool is_in_domain(const wwh_worker_t *worker, int32_t domain,
+			 const char *id)
 {
 	if (domain == WWH_DOMAIN_ZONE)
 		return strcmp(worker->zone, id) == 0;
@@ -63,8 +63,8 @@
 	if (!rehearsal->running)
 		return not_active(state, rehearsal->changed, "rehearsal", owner,
 				  detail);
-	if (!in_domain(worker->declared, rehearsal->domain,
-		       rehearsal->domain_id))
+	if (!is_in_domain(worker->declared, rehearsal->domain,
+			  rehearsal->domain_id))
 		return wwh_state_verdict(
 			state, detail, WWH_VERDICT_INVALID, rehearsal->offset,
 			"worker %s is not in %s %s", worker->declared->id,
@@ -100,14 +100,14 @@
 	if (worker->grant != NULL)
 		return wwh_state_verdict(
 			state, detail, WWH_VERDICT_BUSY, worker->grant->offset,
-			"worker %s is out for %s %s, granted to %s",
+			"worker %s is granted for %s %s to %s",
 			worker->declared->id,
 			wwh_grant_reason_names[worker->grant->reason],
 			worker->grant->owner, worker->grant->author);
 	verdict = check_owner(state, worker, reason, owner, detail);
 	if (verdict != WWH_VERDICT_ACCEPTED)
 		return verdict;
-	return wwh_state_budget(state, worker, reason, detail);
+	return wwh_state_check_budget(state, worker, reason, detail);
 }
 
 wwh_verdict_t wwh_state_would_grant(const wwh_state_t *state,
@@ -125,9 +125,9 @@
 	return check_grant(state, found, reason, owner, detail);
 }
 
-static wwh_verdict_t request(wwh_state_t *state, int64_t offset,
-			     const wwh_record_t *record,
-			     wwh_verdict_detail_t *detail)
+static wwh_verdict_t request_grant(wwh_state_t *state, int64_t offset,
+				   const wwh_record_t *record,
+				   wwh_verdict_detail_t *detail)
 {
 	const wwh_record_grant_request_t *body = &record->body.grant_request;
 	wwh_state_worker_t *worker = wwh_state_find_worker(state, body->worker);
@@ -135,26 +135,29 @@
 
 	if (worker == NULL)
 		return wwh_state_unknown_worker(state, body->worker, detail);
-	verdict = wwh_state_fence(state,
-				  wwh_shard_of_pool(wwh_state_home(worker)),
-				  record, body->fence, detail);
+	verdict = wwh_state_check_fence(
+		state, wwh_shard_of_pool(wwh_state_worker_home_pool(worker)),
+		record, body->fence, detail);
 	if (verdict != WWH_VERDICT_ACCEPTED)
 		return verdict;
 	verdict = check_grant(state, worker, body->reason, body->owner, detail);
 	if (verdict != WWH_VERDICT_ACCEPTED)
 		return verdict;
-	wwh_state_uncount(worker);
+	wwh_state_uncount_worker(worker);
 	worker->grant = g_new0(wwh_state_grant_t, 1);
 	worker->grant->offset = offset;
 	worker->grant->reason = body->reason;
 	worker->grant->owner = g_strdup(body->owner);
 	worker->grant->author = g_strdup(record->author);
-	wwh_state_count(worker);
+	wwh_state_count_worker(worker);
 	return WWH_VERDICT_ACCEPTED;
 }
 
-/* The worker was maintained: a new holder of the lease must not repeat it. */
-static void note_done(wwh_state_t *state, const wwh_state_worker_t *worker)
+/*
+ * Records that the wave is done with the worker, so that a new holder of the
+ * lease does not repeat the maintenance.
+ */
+static void record_done(wwh_state_t *state, const wwh_state_worker_t *worker)
 {
 	wwh_state_wave_t *wave;
 
@@ -165,9 +168,9 @@
 		wwh_ids_insert(wave->done, worker->declared->id);
 }
 
-static wwh_verdict_t end(wwh_state_t *state, int64_t offset,
-			 const wwh_record_t *record,
-			 wwh_verdict_detail_t *detail)
+static wwh_verdict_t end_grant(wwh_state_t *state, int64_t offset,
+			       const wwh_record_t *record,
+			       wwh_verdict_detail_t *detail)
 {
 	const wwh_record_grant_end_t *body = &record->body.grant_end;
 	wwh_state_worker_t *worker = wwh_state_find_worker(state, body->worker);
@@ -175,9 +178,9 @@
 
 	if (worker == NULL)
 		return wwh_state_unknown_worker(state, body->worker, detail);
-	verdict = wwh_state_fence(state,
-				  wwh_shard_of_pool(wwh_state_home(worker)),
-				  record, body->fence, detail);
+	verdict = wwh_state_check_fence(
+		state, wwh_shard_of_pool(wwh_state_worker_home_pool(worker)),
+		record, body->fence, detail);
 	if (verdict != WWH_VERDICT_ACCEPTED)
 		return verdict;
 	if (worker->grant == NULL || worker->grant->offset != body->grant)
@@ -189,14 +192,14 @@
 		return wwh_state_verdict(
 			state, detail, WWH_VERDICT_INVALID,
 			worker->grant->offset,
-			"a move ends with its finish or cancel");
+			"a move ends only with its finish or cancel record");
 	if (body->outcome == WWH_GRANT_RETURNED)
-		note_done(state, worker);
-	wwh_state_uncount(worker);
+		record_done(state, worker);
+	wwh_state_uncount_worker(worker);
 	if (body->outcome == WWH_GRANT_FAILED)
 		worker->failed = offset;
 	wwh_state_end_grant(worker);
-	wwh_state_count(worker);
+	wwh_state_count_worker(worker);
 	return WWH_VERDICT_ACCEPTED;
 }
 
@@ -205,6 +208,6 @@
 			      wwh_verdict_detail_t *detail)
 {
 	if (record->kind == WWH_RECORD_GRANT_REQUEST)
-		return request(state, offset, record, detail);
-	return end(state, offset, record, detail);
+		return request_grant(state, offset, record, detail);
+	return end_grant(state, offset, record, detail);
 }
--- a/src/libwaxwinghollow/state_job.c
+++ b/src/libwaxwinghollow/state_job.c
@@ -7,9 +7,9 @@
 	"pending", "placed", "done", "cancelled", "failed",
 };
 
-static wwh_verdict_t submit(wwh_state_t *state, int64_t offset,
-			    const wwh_record_t *record,
-			    wwh_verdict_detail_t *detail)
+static wwh_verdict_t submit_job(wwh_state_t *state, int64_t offset,
+				const wwh_record_t *record,
+				wwh_verdict_detail_t *detail)
 {
 	const wwh_record_job_submit_t *body = &record->body.job_submit;
 	wwh_state_job_t *job = wwh_state_table_find(&state->jobs, body->job);
@@ -23,10 +23,11 @@
 		return wwh_state_verdict(
 			state, detail, WWH_VERDICT_UNKNOWN_POOL, WWH_NO_OFFSET,
 			"no pool %s", body->pool);
-	if (wwh_state_table_running(&state->jobs) >= WWH_STATE_JOBS_MAX)
-		return wwh_state_verdict(state, detail, WWH_VERDICT_LIMIT,
-					 WWH_NO_OFFSET, "%d jobs wait or run",
-					 WWH_STATE_JOBS_MAX);
+	if (wwh_state_table_running_count(&state->jobs) >= WWH_STATE_JOBS_MAX)
+		return wwh_state_verdict(
+			state, detail, WWH_VERDICT_LIMIT, WWH_NO_OFFSET,
+			"limit of %d pending or placed jobs reached",
+			WWH_STATE_JOBS_MAX);
 	job = wwh_state_item_new(&wwh_state_job_fields);
 	wwh_record_set(&job->id, body->job);
 	wwh_record_set(&job->pool, body->pool);
@@ -43,17 +44,17 @@
 	return WWH_VERDICT_ACCEPTED;
 }
 
-static wwh_verdict_t check_place(const wwh_state_t *state,
-				 const wwh_record_t *record,
-				 const wwh_state_job_t *job,
-				 wwh_verdict_detail_t *detail)
+static wwh_verdict_t check_placement(const wwh_state_t *state,
+				     const wwh_record_t *record,
+				     const wwh_state_job_t *job,
+				     wwh_verdict_detail_t *detail)
 {
 	const wwh_record_job_t *body = &record->body.job;
 	const wwh_state_worker_t *worker =
 		wwh_state_find_worker(state, body->worker);
 	wwh_verdict_t verdict =
-		wwh_state_fence(state, wwh_shard_of_pool(job->pool), record,
-				body->fence, detail);
+		wwh_state_check_fence(state, wwh_shard_of_pool(job->pool),
+				      record, body->fence, detail);
 
 	if (verdict != WWH_VERDICT_ACCEPTED)
 		return verdict;
@@ -68,7 +69,7 @@
 		return wwh_state_verdict(
 			state, detail, WWH_VERDICT_INVALID, WWH_NO_OFFSET,
 			"worker %s is not in pool %s", body->worker, job->pool);
-	if (wwh_state_lost(worker))
+	if (wwh_state_worker_is_lost(worker))
 		return wwh_state_verdict(
 			state, detail, WWH_VERDICT_BUSY, WWH_NO_OFFSET,
 			"worker %s is granted, failed or quarantined",
@@ -76,11 +77,11 @@
 	return WWH_VERDICT_ACCEPTED;
 }
 
-static wwh_verdict_t place(wwh_state_t *state, int64_t offset,
-			   const wwh_record_t *record, wwh_state_job_t *job,
-			   wwh_verdict_detail_t *detail)
+static wwh_verdict_t place_job(wwh_state_t *state, int64_t offset,
+			       const wwh_record_t *record, wwh_state_job_t *job,
+			       wwh_verdict_detail_t *detail)
 {
-	wwh_verdict_t verdict = check_place(state, record, job, detail);
+	wwh_verdict_t verdict = check_placement(state, record, job, detail);
 
 	if (verdict != WWH_VERDICT_ACCEPTED)
 		return verdict;
@@ -91,29 +92,30 @@
 	return WWH_VERDICT_ACCEPTED;
 }
 
-static void end(wwh_state_t *state, wwh_state_job_t *job, int64_t offset,
-		wwh_job_phase_t job_state)
+static void end_job(wwh_state_t *state, wwh_state_job_t *job, int64_t offset,
+		    wwh_job_phase_t phase)
 {
-	job->phase = (int32_t)job_state;
+	job->phase = (int32_t)phase;
 	job->changed = offset;
 	wwh_state_table_end(&state->jobs, job);
 }
 
-static wwh_verdict_t cancel(wwh_state_t *state, int64_t offset,
-			    wwh_state_job_t *job, wwh_verdict_detail_t *detail)
+static wwh_verdict_t cancel_job(wwh_state_t *state, int64_t offset,
+				wwh_state_job_t *job,
+				wwh_verdict_detail_t *detail)
 {
 	if (job->phase >= WWH_JOB_PHASE_DONE)
 		return wwh_state_verdict(state, detail, WWH_VERDICT_ALREADY,
 					 job->changed, "job %s is %s already",
 					 job->id,
 					 wwh_job_phase_names[job->phase]);
-	end(state, job, offset, WWH_JOB_PHASE_CANCELLED);
+	end_job(state, job, offset, WWH_JOB_PHASE_CANCELLED);
 	return WWH_VERDICT_ACCEPTED;
 }
 
 /*
- * A report of an earlier placement would end or repeat a task that runs
- * elsewhere now: only the last placement's fence counts.
+ * Accepts only reports with the last placement's fence: a report of an earlier
+ * placement would end or repeat a task that now runs elsewhere.
  */
 static wwh_verdict_t check_report(const wwh_state_t *state,
 				  const wwh_record_t *record,
@@ -132,8 +134,8 @@
 				 wwh_job_phase_names[job->phase]);
 }
 
-static void fail(wwh_state_t *state, int64_t offset, wwh_state_job_t *job,
-		 wwh_run_class_t run)
+static void fail_job(wwh_state_t *state, int64_t offset, wwh_state_job_t *job,
+		     wwh_run_class_t run)
 {
 	job->failures++;
 	if (job->idempotent || run == WWH_RUN_NOT_RUN) {
@@ -141,7 +143,7 @@
 		job->changed = offset;
 		return;
 	}
-	end(state, job, offset, WWH_JOB_PHASE_FAILED);
+	end_job(state, job, offset, WWH_JOB_PHASE_FAILED);
 }
 
 wwh_verdict_t wwh_apply_job(wwh_state_t *state, int64_t offset,
@@ -153,23 +155,23 @@
 	wwh_verdict_t verdict;
 
 	if (record->kind == WWH_RECORD_JOB_SUBMIT)
-		return submit(state, offset, record, detail);
+		return submit_job(state, offset, record, detail);
 	job = wwh_state_table_find(&state->jobs, body->job);
 	if (job == NULL)
 		return wwh_state_verdict(state, detail,
 					 WWH_VERDICT_UNKNOWN_ITEM,
 					 WWH_NO_OFFSET, "no job %s", body->job);
 	if (record->kind == WWH_RECORD_JOB_CANCEL)
-		return cancel(state, offset, job, detail);
+		return cancel_job(state, offset, job, detail);
 	if (record->kind == WWH_RECORD_JOB_PLACE)
-		return place(state, offset, record, job, detail);
+		return place_job(state, offset, record, job, detail);
 	verdict = check_report(state, record, job, detail);
 	if (verdict != WWH_VERDICT_ACCEPTED)
 		return verdict;
 	if (record->kind == WWH_RECORD_JOB_DONE) {
-		end(state, job, offset, WWH_JOB_PHASE_DONE);
+		end_job(state, job, offset, WWH_JOB_PHASE_DONE);
 	} else if (record->kind == WWH_RECORD_JOB_FAILED) {
-		fail(state, offset, job, body->run);
+		fail_job(state, offset, job, body->run);
 	} else {
 		job->phase = WWH_JOB_PHASE_PENDING;
 		job->checkpoint = offset;
--- a/src/libwaxwinghollow/state_lease.c
+++ b/src/libwaxwinghollow/state_lease.c
@@ -5,8 +5,8 @@
 #include <assert.h>
 #include <string.h>
 
-bool wwh_state_holds(const wwh_state_t *state, int32_t shard,
-		     const char *author, int64_t fence)
+bool wwh_state_is_lease_holder(const wwh_state_t *state, int32_t shard,
+			       const char *author, int64_t fence)
 {
 	const wwh_state_lease_t *lease;
 
@@ -16,13 +16,13 @@
 	       strcmp(lease->holder, author) == 0;
 }
 
-wwh_verdict_t wwh_state_fence(const wwh_state_t *state, int32_t shard,
-			      const wwh_record_t *record, int64_t fence,
-			      wwh_verdict_detail_t *detail)
+wwh_verdict_t wwh_state_check_fence(const wwh_state_t *state, int32_t shard,
+				    const wwh_record_t *record, int64_t fence,
+				    wwh_verdict_detail_t *detail)
 {
 	const wwh_state_lease_t *lease = state->leases[shard];
 
-	if (wwh_state_holds(state, shard, record->author, fence))
+	if (wwh_state_is_lease_holder(state, shard, record->author, fence))
 		return WWH_VERDICT_ACCEPTED;
 	return wwh_state_verdict(
 		state, detail, WWH_VERDICT_NOT_HOLDER, lease->fence,
@@ -31,9 +31,9 @@
 		shard, lease->holder, lease->fence, record->author, fence);
 }
 
-static wwh_verdict_t take(wwh_state_t *state, int64_t offset,
-			  const wwh_record_t *record,
-			  wwh_verdict_detail_t *detail)
+static wwh_verdict_t acquire_lease(wwh_state_t *state, int64_t offset,
+				   const wwh_record_t *record,
+				   wwh_verdict_detail_t *detail)
 {
 	const wwh_record_lease_t *body = &record->body.lease;
 	wwh_state_lease_t *lease = state->leases[body->shard];
@@ -65,9 +65,9 @@
 					 WWH_NO_OFFSET, "no shard %d",
 					 body->shard);
 	if (record->kind == WWH_RECORD_LEASE_TAKE)
-		return take(state, offset, record, detail);
-	verdict = wwh_state_fence(state, body->shard, record, body->offset,
-				  detail);
+		return acquire_lease(state, offset, record, detail);
+	verdict = wwh_state_check_fence(state, body->shard, record,
+					body->offset, detail);
 	if (verdict != WWH_VERDICT_ACCEPTED)
 		return verdict;
 	lease = state->leases[body->shard];
--- a/src/libwaxwinghollow/state_move.c
+++ b/src/libwaxwinghollow/state_move.c
@@ -4,12 +4,12 @@
 
 #include "private/state_internal.h"
 
-static wwh_verdict_t start(wwh_state_t *state, int64_t offset,
-			   wwh_state_worker_t *worker,
-			   const wwh_record_move_t *body,
-			   wwh_verdict_detail_t *detail)
+static wwh_verdict_t start_move(wwh_state_t *state, int64_t offset,
+				wwh_state_worker_t *worker,
+				const wwh_record_move_t *body,
+				wwh_verdict_detail_t *detail)
 {
-	const char *from = wwh_state_home(worker);
+	const char *from = wwh_state_worker_home_pool(worker);
 	wwh_verdict_t verdict;
 
 	if (worker->move != NULL)
@@ -25,10 +25,10 @@
 		return wwh_state_verdict(
 			state, detail, WWH_VERDICT_INVALID, WWH_NO_OFFSET,
 			"worker %s is in pool %s", body->worker, from);
-	verdict = wwh_state_budget_without(state, worker, detail);
+	verdict = wwh_state_check_budget_without(state, worker, detail);
 	if (verdict != WWH_VERDICT_ACCEPTED)
 		return verdict;
-	wwh_state_uncount(worker);
+	wwh_state_uncount_worker(worker);
 	worker->move = g_new0(wwh_state_move_t, 1);
 	worker->move->offset = offset;
 	worker->move->from = g_strdup(from);
@@ -37,15 +37,15 @@
 	return WWH_VERDICT_ACCEPTED;
 }
 
-/* The grant ends with the move; the worker joins pool. */
-static void join(wwh_state_t *state, wwh_state_worker_t *worker,
-		 const char *pool)
+/* Adds the worker to pool and ends its move and its grant. */
+static void join_pool(wwh_state_t *state, wwh_state_worker_t *worker,
+		      const char *pool)
 {
 	worker->pool = wwh_state_find_pool(state, pool);
 	assert(worker->pool != NULL);
 	wwh_state_end_move(worker);
 	wwh_state_end_grant(worker);
-	wwh_state_count(worker);
+	wwh_state_count_worker(worker);
 }
 
 static wwh_verdict_t no_move(const wwh_state_t *state,
@@ -53,13 +53,13 @@
 			     wwh_verdict_detail_t *detail)
 {
 	return wwh_state_verdict(state, detail, WWH_VERDICT_UNKNOWN_ITEM,
-				 WWH_NO_OFFSET, "worker %s does not move",
+				 WWH_NO_OFFSET, "worker %s is not moving",
 				 body->worker);
 }
 
-static wwh_verdict_t finish(wwh_state_t *state, wwh_state_worker_t *worker,
-			    const wwh_record_move_t *body,
-			    wwh_verdict_detail_t *detail)
+static wwh_verdict_t finish_move(wwh_state_t *state, wwh_state_worker_t *worker,
+				 const wwh_record_move_t *body,
+				 wwh_verdict_detail_t *detail)
 {
 	const char *to;
 	bool was_wanted_here;
@@ -67,26 +67,26 @@
 	if (worker->move == NULL)
 		return no_move(state, body, detail);
 	to = worker->move->to;
-	was_wanted_here =
-		strcmp(wwh_state_wanted(worker), worker->move->from) == 0;
+	was_wanted_here = strcmp(wwh_state_worker_wanted_pool(worker),
+				 worker->move->from) == 0;
 	/*
-	 * A move that nobody asked for in the inventory must not be undone by
-	 * the next look at it; a pool that the operator set during the move
-	 * stays wanted.
+	 * A move that the inventory did not request must not be undone
+	 * because of the inventory's pool. A pool that the operator set
+	 * during the move stays wanted.
 	 */
 	worker->placed_by_move =
 		was_wanted_here && strcmp(worker->declared->pool, to) != 0;
-	join(state, worker, to);
+	join_pool(state, worker, to);
 	return WWH_VERDICT_ACCEPTED;
 }
 
-static wwh_verdict_t cancel(wwh_state_t *state, wwh_state_worker_t *worker,
-			    const wwh_record_move_t *body,
-			    wwh_verdict_detail_t *detail)
+static wwh_verdict_t cancel_move(wwh_state_t *state, wwh_state_worker_t *worker,
+				 const wwh_record_move_t *body,
+				 wwh_verdict_detail_t *detail)
 {
 	if (worker->move == NULL)
 		return no_move(state, body, detail);
-	join(state, worker, worker->move->from);
+	join_pool(state, worker, worker->move->from);
 	return WWH_VERDICT_ACCEPTED;
 }
 
@@ -100,9 +100,9 @@
 
 	if (worker == NULL)
 		return wwh_state_unknown_worker(state, body->worker, detail);
-	verdict = wwh_state_fence(state,
-				  wwh_shard_of_pool(wwh_state_home(worker)),
-				  record, body->fence, detail);
+	verdict = wwh_state_check_fence(
+		state, wwh_shard_of_pool(wwh_state_worker_home_pool(worker)),
+		record, body->fence, detail);
 	if (verdict != WWH_VERDICT_ACCEPTED)
 		return verdict;
 	if (worker->grant == NULL || worker->grant->offset != body->grant ||
@@ -112,8 +112,8 @@
 			"worker %s has no grant %" PRId64 " for a move",
 			body->worker, body->grant);
 	if (record->kind == WWH_RECORD_MOVE_START)
-		return start(state, offset, worker, body, detail);
+		return start_move(state, offset, worker, body, detail);
 	if (record->kind == WWH_RECORD_MOVE_FINISH)
-		return finish(state, worker, body, detail);
-	return cancel(state, worker, body, detail);
+		return finish_move(state, worker, body, detail);
+	return cancel_move(state, worker, body, detail);
 }
--- a/src/libwaxwinghollow/state_pool.c
+++ b/src/libwaxwinghollow/state_pool.c
@@ -14,40 +14,40 @@
 	return g_hash_table_lookup(state->pool_by_id, id);
 }
 
-bool wwh_state_lost(const wwh_state_worker_t *worker)
+bool wwh_state_worker_is_lost(const wwh_state_worker_t *worker)
 {
 	return worker->grant != NULL || worker->failed != WWH_NO_OFFSET ||
 	       worker->quarantined != WWH_NO_OFFSET;
 }
 
-const char *wwh_state_home(const wwh_state_worker_t *worker)
+const char *wwh_state_worker_home_pool(const wwh_state_worker_t *worker)
 {
 	if (worker->pool != NULL)
 		return worker->pool->declared->id;
 	return worker->move->from;
 }
 
-const char *wwh_state_wanted(const wwh_state_worker_t *worker)
+const char *wwh_state_worker_wanted_pool(const wwh_state_worker_t *worker)
 {
 	if (worker->placed_by_move)
-		return wwh_state_home(worker);
+		return wwh_state_worker_home_pool(worker);
 	return worker->declared->pool;
 }
 
 static wwh_domain_count_t *domain_count(wwh_domain_counts_t *counts,
 					const char *name)
 {
-	wwh_domain_count_t fresh = { name, 0, 0 };
-	guint place =
+	wwh_domain_count_t new_count = { name, 0, 0 };
+	guint position =
 		GPOINTER_TO_UINT(g_hash_table_lookup(counts->index, name));
 
-	if (place == 0) {
-		g_array_append_val(counts->counts, fresh);
-		place = counts->counts->len;
+	if (position == 0) {
+		g_array_append_val(counts->counts, new_count);
+		position = counts->counts->len;
 		g_hash_table_insert(counts->index, (char *)name,
-				    GUINT_TO_POINTER(place));
+				    GUINT_TO_POINTER(position));
 	}
-	return &g_array_index(counts->counts, wwh_domain_count_t, place - 1);
+	return &g_array_index(counts->counts, wwh_domain_count_t, position - 1);
 }
 
 static void add_to_domain(wwh_domain_counts_t *counts, const char *name,
@@ -63,7 +63,7 @@
 static void add_to_pool(wwh_state_worker_t *worker, int32_t sign)
 {
 	wwh_state_pool_t *pool = worker->pool;
-	int32_t lost = wwh_state_lost(worker) ? sign : 0;
+	int32_t lost = wwh_state_worker_is_lost(worker) ? sign : 0;
 
 	if (pool == NULL)
 		return;
@@ -75,12 +75,12 @@
 	add_to_domain(&pool->zones, worker->declared->zone, sign, lost);
 }
 
-void wwh_state_count(wwh_state_worker_t *worker)
+void wwh_state_count_worker(wwh_state_worker_t *worker)
 {
 	add_to_pool(worker, 1);
 }
 
-void wwh_state_uncount(wwh_state_worker_t *worker)
+void wwh_state_uncount_worker(wwh_state_worker_t *worker)
 {
 	add_to_pool(worker, -1);
 }
@@ -134,10 +134,13 @@
 	}
 }
 
-/* Takes over what is known of a worker; a new one is whole and where wanted. */
-static void adopt_worker(wwh_state_worker_t *worker,
-			 const wwh_worker_t *declared,
-			 const wwh_state_worker_t *known, GHashTable *pools)
+/*
+ * Copies the known state of a worker. A new worker is not lost and is in its
+ * wanted pool.
+ */
+static void init_worker(wwh_state_worker_t *worker,
+			const wwh_worker_t *declared,
+			const wwh_state_worker_t *known, GHashTable *pools)
 {
 	const char *pool = declared->pool;
 
@@ -155,8 +158,8 @@
 	assert(worker->pool != NULL || worker->move != NULL);
 }
 
-static GHashTable *adopt_pools(wwh_state_pool_t *pools, int32_t count,
-			       const wwh_config_t *config)
+static GHashTable *init_pools(wwh_state_pool_t *pools, int32_t count,
+			      const wwh_config_t *config)
 {
 	GHashTable *by_id = g_hash_table_new(g_str_hash, g_str_equal);
 
@@ -166,32 +169,32 @@
 	return by_id;
 }
 
-static GHashTable *adopt_workers(const wwh_state_t *state,
-				 wwh_state_worker_t *workers, int32_t count,
-				 const wwh_config_t *config, GHashTable *pools)
+static GHashTable *init_workers(const wwh_state_t *state,
+				wwh_state_worker_t *workers, int32_t count,
+				const wwh_config_t *config, GHashTable *pools)
 {
 	GHashTable *by_id = g_hash_table_new(g_str_hash, g_str_equal);
 
 	for (int32_t i = 0; i < count; i++) {
 		const wwh_worker_t *declared = wwh_config_worker_at(config, i);
 
-		adopt_worker(&workers[i], declared,
-			     wwh_state_find_worker(state, declared->id), pools);
+		init_worker(&workers[i], declared,
+			    wwh_state_find_worker(state, declared->id), pools);
 		g_hash_table_insert(by_id, declared->id, &workers[i]);
-		wwh_state_count(&workers[i]);
+		wwh_state_count_worker(&workers[i]);
 	}
 	return by_id;
 }
 
-void wwh_state_adopt_config(wwh_state_t *state, wwh_config_t *config)
+void wwh_state_replace_config(wwh_state_t *state, wwh_config_t *config)
 {
 	int32_t pool_count = wwh_config_pool_count(config);
 	int32_t worker_count = wwh_config_worker_count(config);
 	wwh_state_pool_t *pools = g_new0(wwh_state_pool_t, pool_count);
 	wwh_state_worker_t *workers = g_new0(wwh_state_worker_t, worker_count);
-	GHashTable *pool_by_id = adopt_pools(pools, pool_count, config);
+	GHashTable *pool_by_id = init_pools(pools, pool_count, config);
 	GHashTable *worker_by_id =
-		adopt_workers(state, workers, worker_count, config, pool_by_id);
+		init_workers(state, workers, worker_count, config, pool_by_id);
 
 	wwh_state_pools_clear(state->pools, state->pool_count);
 	g_hash_table_unref(state->pool_by_id);
--- a/src/libwaxwinghollow/state_rehearsal.c
+++ b/src/libwaxwinghollow/state_rehearsal.c
@@ -19,9 +19,9 @@
 	return false;
 }
 
-static wwh_verdict_t start(wwh_state_t *state, int64_t offset,
-			   const wwh_record_t *record,
-			   wwh_verdict_detail_t *detail)
+static wwh_verdict_t start_rehearsal(wwh_state_t *state, int64_t offset,
+				     const wwh_record_t *record,
+				     wwh_verdict_detail_t *detail)
 {
 	const wwh_record_rehearsal_t *body = &record->body.rehearsal;
 	wwh_state_rehearsal_t *known =
@@ -32,10 +32,12 @@
 					 known->offset,
 					 "rehearsal %s was started by %s",
 					 known->id, known->author);
-	if (wwh_state_table_running(&state->rehearsals) >= WWH_STATE_WAVES_MAX)
-		return wwh_state_verdict(state, detail, WWH_VERDICT_LIMIT,
-					 WWH_NO_OFFSET, "%d rehearsals run",
-					 WWH_STATE_WAVES_MAX);
+	if (wwh_state_table_running_count(&state->rehearsals) >=
+	    WWH_STATE_WAVES_MAX)
+		return wwh_state_verdict(
+			state, detail, WWH_VERDICT_LIMIT, WWH_NO_OFFSET,
+			"limit of %d running rehearsals reached",
+			WWH_STATE_WAVES_MAX);
 	if (!domain_exists(state, body->domain, body->domain_id))
 		return wwh_state_verdict(
 			state, detail, WWH_VERDICT_UNKNOWN_ITEM, WWH_NO_OFFSET,
@@ -61,7 +63,7 @@
 	wwh_state_rehearsal_t *rehearsal;
 
 	if (record->kind == WWH_RECORD_REHEARSAL_START)
-		return start(state, offset, record, detail);
+		return start_rehearsal(state, offset, record, detail);
 	rehearsal = wwh_state_table_find(&state->rehearsals, body->rehearsal);
 	if (rehearsal == NULL)
 		return wwh_state_verdict(
--- a/src/libwaxwinghollow/state_seat.c
+++ b/src/libwaxwinghollow/state_seat.c
@@ -10,14 +10,14 @@
 	return &state->seats;
 }
 
-uint64_t wwh_seat_process(const char *author)
+uint64_t wwh_seat_process_id(const char *author)
 {
 	uint64_t process = XXH3_64bits(author, strlen(author));
 
 	return process != 0 ? process : 1;
 }
 
-/* A process speaks for itself alone: its number is that of the author. */
+/* A process may append seat records for itself only: its id is the author's. */
 wwh_verdict_t wwh_apply_seat(wwh_state_t *state, int64_t offset,
 			     const wwh_record_t *record,
 			     wwh_verdict_detail_t *detail)
@@ -25,10 +25,11 @@
 	const wwh_seat_record_t *body = &record->body.seat;
 
 	(void)offset;
-	if (body->process != wwh_seat_process(record->author))
+	if (body->process != wwh_seat_process_id(record->author))
 		return wwh_state_verdict(
 			state, detail, WWH_VERDICT_INVALID, WWH_NO_OFFSET,
-			"%s speaks for another process", record->author);
+			"seat record of %s names another process",
+			record->author);
 	if (!wwh_seat_table_apply(&state->seats, body))
 		return wwh_state_verdict(
 			state, detail, WWH_VERDICT_STALE, WWH_NO_OFFSET,
--- a/src/libwaxwinghollow/state_snapshot.c
+++ b/src/libwaxwinghollow/state_snapshot.c
@@ -4,24 +4,27 @@
 #include "private/state_internal.h"
 #include "waxwinghollow/snapshot.h"
 
-/* A worker that differs from a whole one in its inventory's pool. */
+/*
+ * A worker that is lost, moving, or not in its inventory's pool, or that a move
+ * placed. Other workers are restored from the configuration alone.
+ */
 typedef struct {
 	char *id;
 	char *pool; /* "" between pools */
 	bool placed_by_move;
 	int64_t failed;
 	int64_t quarantined;
-	int64_t grant; /* WWH_NO_OFFSET: none */
+	int64_t grant; /* WWH_NO_OFFSET if none */
 	int32_t reason;
 	char *owner;
 	char *author;
-	int64_t move; /* WWH_NO_OFFSET: none */
+	int64_t move; /* WWH_NO_OFFSET if none */
 	char *from;
 	char *to;
 } worker_row_t;
 
 typedef struct {
-	uint64_t holder; /* 0: free */
+	uint64_t holder; /* 0 if free */
 } seat_row_t;
 
 typedef struct {
@@ -37,7 +40,7 @@
 	int64_t config_version;
 	int64_t config_offset;
 	char *config_author;
-	GBytes *config; /* the change from an empty one */
+	GBytes *config; /* encoded as the change from an empty one */
 	GPtrArray *leases;
 	GPtrArray *seats; /* of seat_row_t */
 	GPtrArray *members; /* of member_row_t, in joining order */
@@ -46,7 +49,7 @@
 	GPtrArray *rehearsals;
 	GPtrArray *jobs;
 	GPtrArray *authors;
-} whole_t;
+} state_snapshot_t;
 
 #define ID(type, member)                                                       \
 	{                                                                      \
@@ -113,30 +116,37 @@
 						      G_N_ELEMENTS(member_row),
 						      sizeof(member_row_t) };
 
-static const wwh_codec_field_t whole[] = {
-	INT32(whole_t, format, WWH_SNAPSHOT_FORMAT, WWH_SNAPSHOT_FORMAT),
-	INT32(whole_t, stream, WWH_STREAM_CONTROL, WWH_STREAM_CONTROL),
-	OFFSET(whole_t, last_offset),
-	OFFSET(whole_t, config_version),
-	OFFSET(whole_t, config_offset),
-	ID(whole_t, config_author),
-	{ "config", WWH_CODEC_BYTES, offsetof(whole_t, config), 0, INT32_MAX },
-	ITEMS(whole_t, leases, WWH_SHARD_COUNT, &wwh_state_lease_fields),
-	ITEMS(whole_t, seats, WWH_SEAT_MAX, &seat_row_fields),
-	ITEMS(whole_t, members, WWH_SEAT_MEMBERS_MAX, &member_row_fields),
-	ITEMS(whole_t, workers, INT32_MAX, &worker_row_fields),
-	ITEMS(whole_t, waves, WWH_STATE_WAVES_MAX + WWH_STATE_ENDED_MAX,
+static const wwh_codec_field_t state_snapshot[] = {
+	INT32(state_snapshot_t, format, WWH_SNAPSHOT_FORMAT,
+	      WWH_SNAPSHOT_FORMAT),
+	INT32(state_snapshot_t, stream, WWH_STREAM_CONTROL, WWH_STREAM_CONTROL),
+	OFFSET(state_snapshot_t, last_offset),
+	OFFSET(state_snapshot_t, config_version),
+	OFFSET(state_snapshot_t, config_offset),
+	ID(state_snapshot_t, config_author),
+	{ "config", WWH_CODEC_BYTES, offsetof(state_snapshot_t, config), 0,
+	  INT32_MAX },
+	ITEMS(state_snapshot_t, leases, WWH_SHARD_COUNT,
+	      &wwh_state_lease_fields),
+	ITEMS(state_snapshot_t, seats, WWH_SEAT_MAX, &seat_row_fields),
+	ITEMS(state_snapshot_t, members, WWH_SEAT_MEMBERS_MAX,
+	      &member_row_fields),
+	ITEMS(state_snapshot_t, workers, INT32_MAX, &worker_row_fields),
+	ITEMS(state_snapshot_t, waves,
+	      WWH_STATE_WAVES_MAX + WWH_STATE_ENDED_MAX,
 	      &wwh_state_wave_fields),
-	ITEMS(whole_t, rehearsals, WWH_STATE_WAVES_MAX + WWH_STATE_ENDED_MAX,
+	ITEMS(state_snapshot_t, rehearsals,
+	      WWH_STATE_WAVES_MAX + WWH_STATE_ENDED_MAX,
 	      &wwh_state_rehearsal_fields),
-	ITEMS(whole_t, jobs, WWH_STATE_JOBS_MAX + WWH_STATE_ENDED_MAX,
+	ITEMS(state_snapshot_t, jobs, WWH_STATE_JOBS_MAX + WWH_STATE_ENDED_MAX,
 	      &wwh_state_job_fields),
-	ITEMS(whole_t, authors, WWH_STATE_AUTHORS_MAX,
+	ITEMS(state_snapshot_t, authors, WWH_STATE_AUTHORS_MAX,
 	      &wwh_state_author_fields),
 };
 
-static const wwh_codec_fields_t whole_fields = { whole, G_N_ELEMENTS(whole),
-						 sizeof(whole_t) };
+static const wwh_codec_fields_t state_snapshot_fields = {
+	state_snapshot, G_N_ELEMENTS(state_snapshot), sizeof(state_snapshot_t)
+};
 
 static GBytes *encode_config(const wwh_config_t *config)
 {
@@ -149,14 +159,14 @@
 	return bytes;
 }
 
-static bool is_plain(const wwh_state_worker_t *worker)
+static bool is_default_worker(const wwh_state_worker_t *worker)
 {
-	return !wwh_state_lost(worker) && worker->move == NULL &&
+	return !wwh_state_worker_is_lost(worker) && worker->move == NULL &&
 	       !worker->placed_by_move &&
 	       strcmp(worker->pool->declared->id, worker->declared->pool) == 0;
 }
 
-static worker_row_t *make_row(const wwh_state_worker_t *worker)
+static worker_row_t *make_worker_row(const wwh_state_worker_t *worker)
 {
 	worker_row_t *row = wwh_state_item_new(&worker_row_fields);
 
@@ -187,7 +197,7 @@
 	return FALSE;
 }
 
-static void free_row(void *row)
+static void free_worker_row(void *row)
 {
 	wwh_state_item_free(&worker_row_fields, row);
 }
@@ -213,7 +223,7 @@
 
 GBytes *wwh_snapshot_encode_state(const wwh_state_t *state)
 {
-	whole_t view = {
+	state_snapshot_t view = {
 		.format = WWH_SNAPSHOT_FORMAT,
 		.stream = WWH_STREAM_CONTROL,
 		.last_offset = state->last_offset,
@@ -224,7 +234,7 @@
 		.leases = g_ptr_array_new(),
 		.seats = g_ptr_array_new_with_free_func(g_free),
 		.members = g_ptr_array_new_with_free_func(g_free),
-		.workers = g_ptr_array_new_with_free_func(free_row),
+		.workers = g_ptr_array_new_with_free_func(free_worker_row),
 		.waves = wwh_state_table_items(&state->waves),
 		.rehearsals = wwh_state_table_items(&state->rehearsals),
 		.jobs = wwh_state_table_items(&state->jobs),
@@ -237,12 +247,12 @@
 		g_ptr_array_add(view.leases, state->leases[i]);
 	add_seats(&state->seats, view.seats, view.members);
 	for (int32_t i = 0; i < state->worker_count; i++) {
-		if (!is_plain(&state->workers[i]))
+		if (!is_default_worker(&state->workers[i]))
 			g_ptr_array_add(view.workers,
-					make_row(&state->workers[i]));
+					make_worker_row(&state->workers[i]));
 	}
 	g_tree_foreach(state->authors, add_author, view.authors);
-	bytes = wwh_codec_encode(&whole_fields, &view, &message);
+	bytes = wwh_codec_encode(&state_snapshot_fields, &view, &message);
 	if (bytes == NULL)
 		g_error("the state can't be encoded: %s", message.text);
 	g_bytes_unref(view.config);
@@ -257,7 +267,7 @@
 	return bytes;
 }
 
-static bool restore_config(wwh_state_t *state, const whole_t *from,
+static bool restore_config(wwh_state_t *state, const state_snapshot_t *from,
 			   wwh_message_t *message)
 {
 	wwh_config_change_t *change = NULL;
@@ -275,11 +285,11 @@
 				       from->config_version, &config, message);
 	wwh_config_change_delete(change);
 	if (config != NULL)
-		wwh_state_adopt_config(state, config);
+		wwh_state_replace_config(state, config);
 	return config != NULL || from->config_version == 0;
 }
 
-static bool valid_lease(const wwh_state_lease_t *lease, int64_t last_offset)
+static bool is_valid_lease(const wwh_state_lease_t *lease, int64_t last_offset)
 {
 	bool held = lease->latest != WWH_NO_OFFSET;
 
@@ -288,14 +298,14 @@
 	       lease->fence <= lease->latest && lease->latest <= last_offset;
 }
 
-static bool restore_leases(wwh_state_t *state, whole_t *from)
+static bool restore_leases(wwh_state_t *state, state_snapshot_t *from)
 {
 	if (from->leases->len != WWH_SHARD_COUNT)
 		return false;
 	for (int32_t i = 0; i < WWH_SHARD_COUNT; i++) {
 		wwh_state_lease_t *lease = from->leases->pdata[i];
 
-		if (!valid_lease(lease, state->last_offset))
+		if (!is_valid_lease(lease, state->last_offset))
 			return false;
 		from->leases->pdata[i] = state->leases[i];
 		state->leases[i] = lease;
@@ -303,7 +313,7 @@
 	return true;
 }
 
-static bool restore_seats(wwh_state_t *state, const whole_t *from)
+static bool restore_seats(wwh_state_t *state, const state_snapshot_t *from)
 {
 	wwh_seat_table_t *table = &state->seats;
 
@@ -325,7 +335,8 @@
 	return wwh_state_seats_valid(table);
 }
 
-static bool valid_row(const wwh_state_t *state, const worker_row_t *row)
+static bool is_valid_worker_row(const wwh_state_t *state,
+				const worker_row_t *row)
 {
 	int64_t last = state->last_offset;
 	bool moves = row->move != WWH_NO_OFFSET;
@@ -368,21 +379,22 @@
 {
 	wwh_state_worker_t *worker = wwh_state_find_worker(state, row->id);
 
-	/* A second row of a worker would lose the first one's grant. */
-	if (worker == NULL || !valid_row(state, row) || !is_plain(worker))
+	/* A second row for a worker would overwrite the first one's grant. */
+	if (worker == NULL || !is_valid_worker_row(state, row) ||
+	    !is_default_worker(worker))
 		return false;
-	wwh_state_uncount(worker);
+	wwh_state_uncount_worker(worker);
 	worker->pool = wwh_state_find_pool(state, row->pool);
 	worker->placed_by_move = row->placed_by_move;
 	worker->failed = row->failed;
 	worker->quarantined = row->quarantined;
 	restore_grant(worker, row);
 	restore_move(worker, row);
-	wwh_state_count(worker);
+	wwh_state_count_worker(worker);
 	return true;
 }
 
-static bool ascending(const GPtrArray *ids)
+static bool is_ascending(const GPtrArray *ids)
 {
 	for (guint i = 1; i < ids->len; i++) {
 		if (strcmp(ids->pdata[i - 1], ids->pdata[i]) >= 0)
@@ -399,7 +411,8 @@
 	for (guint i = 0; i < waves->len && valid; i++) {
 		wwh_state_wave_t *wave = waves->pdata[i];
 
-		valid = ascending(wave->workers) && ascending(wave->done) &&
+		valid = is_ascending(wave->workers) &&
+			is_ascending(wave->done) &&
 			wave->changed <= state->last_offset;
 		if (!valid || wave->phase >= WWH_WAVE_PHASE_ABORTED)
 			continue;
@@ -411,7 +424,7 @@
 	return valid;
 }
 
-static bool valid_jobs(const wwh_state_t *state)
+static bool are_jobs_valid(const wwh_state_t *state)
 {
 	GPtrArray *jobs = wwh_state_table_items(&state->jobs);
 	bool valid = true;
@@ -433,7 +446,7 @@
 typedef struct {
 	bool (*has_ended)(const void *item);
 	int64_t (*changed)(const void *item);
-} kind_t;
+} table_kind_t;
 
 static bool wave_has_ended(const void *item)
 {
@@ -466,21 +479,26 @@
 	return ((const wwh_state_job_t *)item)->changed;
 }
 
-static const kind_t wave_kind = { wave_has_ended, wave_changed };
-static const kind_t rehearsal_kind = { rehearsal_has_ended, rehearsal_changed };
-static const kind_t job_kind = { job_has_ended, job_changed };
+static const table_kind_t wave_kind = { wave_has_ended, wave_changed };
+static const table_kind_t rehearsal_kind = { rehearsal_has_ended,
+					     rehearsal_changed };
+static const table_kind_t job_kind = { job_has_ended, job_changed };
 
-static gint by_change(gconstpointer a, gconstpointer b, gpointer kind)
+static gint compare_changed(gconstpointer a, gconstpointer b, gpointer kind)
 {
-	int64_t left = ((const kind_t *)kind)->changed(*(void *const *)a);
-	int64_t right = ((const kind_t *)kind)->changed(*(void *const *)b);
+	int64_t left = ((const table_kind_t *)kind)->changed(*(void *const *)a);
+	int64_t right =
+		((const table_kind_t *)kind)->changed(*(void *const *)b);
 
 	return left < right ? -1 : left > right;
 }
 
-/* Takes items over. One record ends one item, so the order is total. */
+/*
+ * Moves items into table. One record ends at most one item, so two ended items
+ * with the same offset are invalid.
+ */
 static bool restore_table(wwh_state_table_t *table, GPtrArray *items,
-			  const kind_t *kind)
+			  const table_kind_t *kind)
 {
 	GPtrArray *ended = g_ptr_array_new();
 	int64_t last = WWH_NO_OFFSET;
@@ -498,7 +516,7 @@
 		if (kind->has_ended(item))
 			g_ptr_array_add(ended, item);
 	}
-	g_ptr_array_sort_with_data(ended, by_change, (gpointer)kind);
+	g_ptr_array_sort_with_data(ended, compare_changed, (gpointer)kind);
 	for (guint i = 0; i < ended->len; i++) {
 		valid = valid && kind->changed(ended->pdata[i]) > last;
 		last = kind->changed(ended->pdata[i]);
@@ -525,7 +543,8 @@
 	return true;
 }
 
-static bool restore(wwh_state_t *state, whole_t *from, wwh_message_t *message)
+static bool restore(wwh_state_t *state, state_snapshot_t *from,
+		    wwh_message_t *message)
 {
 	bool valid;
 
@@ -543,18 +562,18 @@
 			      &rehearsal_kind) &&
 		valid;
 	valid = restore_table(&state->jobs, from->jobs, &job_kind) && valid;
-	return valid && restore_waves(state) && valid_jobs(state) &&
+	return valid && restore_waves(state) && are_jobs_valid(state) &&
 	       restore_authors(state, from->authors);
 }
 
-static bool same_again(const wwh_state_t *state, const uint8_t *data,
-		       size_t size)
+static bool encodes_to_same_bytes(const wwh_state_t *state, const uint8_t *data,
+				  size_t size)
 {
-	GBytes *again = wwh_snapshot_encode_state(state);
-	bool same = g_bytes_get_size(again) == size &&
-		    memcmp(g_bytes_get_data(again, NULL), data, size) == 0;
+	GBytes *reencoded = wwh_snapshot_encode_state(state);
+	bool same = g_bytes_get_size(reencoded) == size &&
+		    memcmp(g_bytes_get_data(reencoded, NULL), data, size) == 0;
 
-	g_bytes_unref(again);
+	g_bytes_unref(reencoded);
 	return same;
 }
 
@@ -562,19 +581,20 @@
 				       wwh_state_t **state,
 				       wwh_message_t *message)
 {
-	wwh_state_t *made = wwh_state_new();
-	whole_t from;
+	wwh_state_t *decoded = wwh_state_new();
+	state_snapshot_t from;
 	bool valid;
 
 	*state = NULL;
 	wwh_message_set(message, "the snapshot contradicts itself");
-	valid = wwh_codec_decode(&whole_fields, data, size, &from, message) &&
-		restore(made, &from, message);
-	wwh_codec_clear(&whole_fields, &from);
-	if (!valid || !same_again(made, data, size)) {
-		wwh_state_delete(made);
+	valid = wwh_codec_decode(&state_snapshot_fields, data, size, &from,
+				 message) &&
+		restore(decoded, &from, message);
+	wwh_codec_clear(&state_snapshot_fields, &from);
+	if (!valid || !encodes_to_same_bytes(decoded, data, size)) {
+		wwh_state_delete(decoded);
 		return WWH_STATUS_BAD_INPUT;
 	}
-	*state = made;
+	*state = decoded;
 	return WWH_STATUS_OK;
 }
--- a/src/libwaxwinghollow/state_table.c
+++ b/src/libwaxwinghollow/state_table.c
@@ -9,7 +9,7 @@
 	return strcmp(a, b);
 }
 
-static char *id_of(void *item)
+static char *item_id(void *item)
 {
 	return *(char **)item;
 }
@@ -69,13 +69,14 @@
 
 void wwh_state_table_add(wwh_state_table_t *table, void *item)
 {
-	assert(g_tree_lookup(table->by_id, id_of(item)) == NULL);
-	g_tree_insert(table->by_id, id_of(item), item);
+	assert(g_tree_lookup(table->by_id, item_id(item)) == NULL);
+	g_tree_insert(table->by_id, item_id(item), item);
 }
 
 /*
- * Without a bound each ended item would stay in every process's memory for
- * good. The order of the log decides which is forgotten, so all forget alike.
+ * Retains a bounded number of ended items, so that the memory of every process
+ * stays bounded. Items are evicted in log order, so all processes evict the
+ * same ones.
  */
 void wwh_state_table_end(wwh_state_table_t *table, void *item)
 {
@@ -85,17 +86,17 @@
 	if (g_queue_get_length(&table->ended) <= WWH_STATE_ENDED_MAX)
 		return;
 	oldest = g_queue_pop_head(&table->ended);
-	g_tree_remove(table->by_id, id_of(oldest));
+	g_tree_remove(table->by_id, item_id(oldest));
 	wwh_state_item_free(table->fields, oldest);
 }
 
-int32_t wwh_state_table_running(const wwh_state_table_t *table)
+int32_t wwh_state_table_running_count(const wwh_state_table_t *table)
 {
 	return g_tree_nnodes(table->by_id) -
 	       (int32_t)g_queue_get_length((GQueue *)&table->ended);
 }
 
-/* The place of id, or where it would be put. */
+/* The position of id, or the position at which it would be inserted. */
 static guint lower_bound(const GPtrArray *ids, const char *id)
 {
 	guint low = 0;
@@ -114,9 +115,9 @@
 
 bool wwh_ids_contain(const GPtrArray *ids, const char *id)
 {
-	guint place = lower_bound(ids, id);
+	guint position = lower_bound(ids, id);
 
-	return place < ids->len && strcmp(ids->pdata[place], id) == 0;
+	return position < ids->len && strcmp(ids->pdata[position], id) == 0;
 }
 
 void wwh_ids_insert(GPtrArray *ids, const char *id)
--- a/src/libwaxwinghollow/state_view.c
+++ b/src/libwaxwinghollow/state_view.c
@@ -62,7 +62,7 @@
 		.id = worker->declared->id,
 		.declared = worker->declared,
 		.pool = worker->pool != NULL ? worker->pool->declared->id : "",
-		.wanted_pool = wwh_state_wanted(worker),
+		.wanted_pool = wwh_state_worker_wanted_pool(worker),
 		.move_from = "",
 		.move_to = "",
 		.move = WWH_NO_OFFSET,
@@ -71,7 +71,7 @@
 		.grant = WWH_NO_OFFSET,
 		.grant_owner = "",
 		.grant_author = "",
-		.lost = wwh_state_lost(worker),
+		.lost = wwh_state_worker_is_lost(worker),
 	};
 
 	if (worker->move != NULL) {
--- a/src/libwaxwinghollow/state_wave.c
+++ b/src/libwaxwinghollow/state_wave.c
@@ -54,16 +54,17 @@
 			state, detail, WWH_VERDICT_BUSY, running->offset,
 			"pool %s has wave %s, started by %s", body->pool,
 			running->id, running->author);
-	if (wwh_state_table_running(&state->waves) >= WWH_STATE_WAVES_MAX)
+	if (wwh_state_table_running_count(&state->waves) >= WWH_STATE_WAVES_MAX)
 		return wwh_state_verdict(state, detail, WWH_VERDICT_LIMIT,
-					 WWH_NO_OFFSET, "%d waves run",
+					 WWH_NO_OFFSET,
+					 "limit of %d running waves reached",
 					 WWH_STATE_WAVES_MAX);
 	return check_workers(state, body, detail);
 }
 
-static wwh_verdict_t start(wwh_state_t *state, int64_t offset,
-			   const wwh_record_t *record,
-			   wwh_verdict_detail_t *detail)
+static wwh_verdict_t start_wave(wwh_state_t *state, int64_t offset,
+				const wwh_record_t *record,
+				wwh_verdict_detail_t *detail)
 {
 	const wwh_record_wave_t *body = &record->body.wave;
 	wwh_verdict_t verdict = check_start(state, body, detail);
@@ -86,9 +87,9 @@
 	return WWH_VERDICT_ACCEPTED;
 }
 
-/* A worker that is still out under the wave, or NULL. */
-static const wwh_state_worker_t *find_out(const wwh_state_t *state,
-					  const char *wave)
+/* Returns a worker that is still granted to the wave, or NULL. */
+static const wwh_state_worker_t *find_granted_worker(const wwh_state_t *state,
+						     const char *wave)
 {
 	for (int32_t i = 0; i < state->worker_count; i++) {
 		const wwh_state_grant_t *grant = state->workers[i].grant;
@@ -105,20 +106,22 @@
 				  const wwh_state_wave_t *wave,
 				  wwh_verdict_detail_t *detail)
 {
-	const wwh_state_worker_t *out = find_out(state, wave->id);
+	const wwh_state_worker_t *granted =
+		find_granted_worker(state, wave->id);
 	wwh_verdict_t verdict =
-		wwh_state_fence(state, wwh_shard_of_pool(wave->pool), record,
-				record->body.wave.fence, detail);
+		wwh_state_check_fence(state, wwh_shard_of_pool(wave->pool),
+				      record, record->body.wave.fence, detail);
 
-	if (verdict != WWH_VERDICT_ACCEPTED || out == NULL)
+	if (verdict != WWH_VERDICT_ACCEPTED || granted == NULL)
 		return verdict;
-	return wwh_state_verdict(
-		state, detail, WWH_VERDICT_BUSY, out->grant->offset,
-		"worker %s is out under wave %s", out->declared->id, wave->id);
+	return wwh_state_verdict(state, detail, WWH_VERDICT_BUSY,
+				 granted->grant->offset,
+				 "worker %s is granted to wave %s",
+				 granted->declared->id, wave->id);
 }
 
-/* The state that a record of kind leads to. */
-static wwh_wave_phase_t target(wwh_record_kind_t kind)
+/* The phase that a record of kind leads to. */
+static wwh_wave_phase_t target_phase(wwh_record_kind_t kind)
 {
 	switch (kind) {
 	case WWH_RECORD_WAVE_PAUSE:
@@ -143,7 +146,7 @@
 				  const wwh_state_wave_t *wave,
 				  wwh_verdict_detail_t *detail)
 {
-	if (wave->phase == (int32_t)target(record->kind))
+	if (wave->phase == (int32_t)target_phase(record->kind))
 		return wwh_state_verdict(state, detail, WWH_VERDICT_ALREADY,
 					 wave->changed, "wave %s is %s already",
 					 wave->id,
@@ -167,7 +170,7 @@
 	wwh_verdict_t verdict;
 
 	if (record->kind == WWH_RECORD_WAVE_START)
-		return start(state, offset, record, detail);
+		return start_wave(state, offset, record, detail);
 	wave = wwh_state_table_find(&state->waves, body->wave);
 	if (wave == NULL)
 		return wwh_state_verdict(
@@ -176,7 +179,7 @@
 	verdict = check_change(state, record, wave, detail);
 	if (verdict != WWH_VERDICT_ACCEPTED)
 		return verdict;
-	wave->phase = target(record->kind);
+	wave->phase = target_phase(record->kind);
 	wave->changed = offset;
 	wwh_record_set(&wave->reason, body->reason);
 	if (!has_ended(wave))
--- a/src/libwaxwinghollow/state_worker.c
+++ b/src/libwaxwinghollow/state_worker.c
@@ -4,24 +4,25 @@
 
 static void set_flag(wwh_state_worker_t *worker, int64_t *flag, int64_t offset)
 {
-	wwh_state_uncount(worker);
+	wwh_state_uncount_worker(worker);
 	*flag = offset;
-	wwh_state_count(worker);
+	wwh_state_count_worker(worker);
 }
 
 /*
- * A return that answers an older failure than the last one would count a
- * worker as whole that is down: a grant would then break the budget. So it
- * names the failure that it saw the end of.
+ * A return names the failure that ended. Otherwise a return from an older
+ * failure would count a failed worker as available, and a grant could then
+ * exceed the budget.
  */
-static wwh_verdict_t returned(wwh_state_t *state, const wwh_record_t *record,
-			      wwh_state_worker_t *worker,
-			      wwh_verdict_detail_t *detail)
+static wwh_verdict_t apply_return(wwh_state_t *state,
+				  const wwh_record_t *record,
+				  wwh_state_worker_t *worker,
+				  wwh_verdict_detail_t *detail)
 {
 	const wwh_record_worker_t *body = &record->body.worker;
-	int32_t shard = wwh_shard_of_pool(wwh_state_home(worker));
-	wwh_verdict_t verdict =
-		wwh_state_fence(state, shard, record, body->fence, detail);
+	int32_t shard = wwh_shard_of_pool(wwh_state_worker_home_pool(worker));
+	wwh_verdict_t verdict = wwh_state_check_fence(state, shard, record,
+						      body->fence, detail);
 
 	if (verdict != WWH_VERDICT_ACCEPTED)
 		return verdict;
@@ -67,7 +68,7 @@
 		set_flag(worker, &worker->failed, offset);
 		return WWH_VERDICT_ACCEPTED;
 	case WWH_RECORD_WORKER_RETURNED:
-		return returned(state, record, worker, detail);
+		return apply_return(state, record, worker, detail);
 	case WWH_RECORD_WORKER_QUARANTINE:
 		return set_quarantine(state, worker, offset, detail);
 	default:
--- a/src/test_fuzz/fuzz_state.c
+++ b/src/test_fuzz/fuzz_state.c
@@ -404,9 +404,9 @@
 	if (!some_worker(world, actor, is_granted, &view, id))
 		return;
 	actor = some_holder(world, actor, &view);
-	end_record(&record, actor->name, id, view.grant,
-		   take(world) % WWH_GRANT_OUTCOME_COUNT,
-		   fence_for(actor, &view));
+	grant_end_record(&record, actor->name, id, view.grant,
+			 take(world) % WWH_GRANT_OUTCOME_COUNT,
+			 fence_for(actor, &view));
 	append_or_delay(world, actor, &record, NOBODY);
 }
 
@@ -493,7 +493,7 @@
 
 	thing_name('j', choice % ORACLE_THINGS, id);
 	thing_name('p', choice / 8 % ORACLE_POOLS, pool);
-	submit_record(&record, actor->name, id, pool, choice > 128);
+	job_submit_record(&record, actor->name, id, pool, choice > 128);
 	append_or_delay(world, actor, &record, NOBODY);
 }
 
--- a/src/test_snapshot/test_snapshot.c
+++ b/src/test_snapshot/test_snapshot.c
@@ -58,11 +58,11 @@
 	rehearsal_record(&record, WWH_RECORD_REHEARSAL_START, "operator:dee",
 			 "r", WWH_DOMAIN_ZONE, "z01");
 	apply(state, &record);
-	submit_record(&record, P1, "j1", "p000", false);
+	job_submit_record(&record, P1, "j1", "p000", false);
 	apply(state, &record);
 	job_record(&record, WWH_RECORD_JOB_PLACE, P1, "j1", "w0012", fence);
 	apply(state, &record);
-	submit_record(&record, P1, "j2", "p000", true);
+	job_submit_record(&record, P1, "j2", "p000", true);
 	apply(state, &record);
 	job_record(&record, WWH_RECORD_JOB_CANCEL, P1, "j2", "", WWH_NO_OFFSET);
 	apply(state, &record);
@@ -381,7 +381,7 @@
 
 	(void)unused;
 	for (int64_t offset = 0; offset < 30; offset += 3) {
-		submit_record(&record, P1, "j", "p", true);
+		job_submit_record(&record, P1, "j", "p", true);
 		wwh_snapshot_keeper_state(keeper, state, offset);
 		wwh_state_apply(state, offset, &record, NULL);
 		wwh_record_clear(&record);
--- a/src/test_state/fleet_fixture.h
+++ b/src/test_state/fleet_fixture.h
@@ -6,9 +6,9 @@
  *	fleet_fixture - configurations and records for tests of the reducer
  *
  * USE
- *	fleet_config makes workers "w0000"... in pools "p000"..., four to a
- *	rack, racks dealt out to the zones. Each *_record function fills a
- *	record in; the caller clears it.
+ *	fleet_config generates workers "w0000"... in pools "p000"..., four
+ *	workers to a rack, with racks assigned to zones in turn. Each
+ *	*_record function initializes a record; the caller clears it.
  */
 
 #include <assert.h>
@@ -27,7 +27,7 @@
 	int32_t pools;
 	int32_t zones;
 	const char *rule; /* members of each pool's JSON besides its id */
-	int32_t odd_worker; /* this one is in odd_pool; -1: none */
+	int32_t odd_worker; /* is in odd_pool; -1 if none */
 	int32_t odd_pool;
 } fleet_t;
 
@@ -87,7 +87,7 @@
 	return config;
 }
 
-/* The change from base to fleet's configuration. */
+/* A record of the change from base to fleet's configuration. */
 static inline void config_record(wwh_record_t *record, const char *author,
 				 const wwh_config_t *base, int64_t base_version,
 				 const fleet_t *fleet)
@@ -124,9 +124,9 @@
 	record->body.grant_request.fence = fence;
 }
 
-static inline void end_record(wwh_record_t *record, const char *author,
-			      const char *worker, int64_t grant,
-			      wwh_grant_outcome_t outcome, int64_t fence)
+static inline void grant_end_record(wwh_record_t *record, const char *author,
+				    const char *worker, int64_t grant,
+				    wwh_grant_outcome_t outcome, int64_t fence)
 {
 	wwh_record_init(record, WWH_RECORD_GRANT_END, author);
 	wwh_record_set(&record->body.grant_end.worker, worker);
@@ -177,9 +177,9 @@
 	record->body.rehearsal.domain = (int32_t)domain;
 }
 
-static inline void submit_record(wwh_record_t *record, const char *author,
-				 const char *job, const char *pool,
-				 bool idempotent)
+static inline void job_submit_record(wwh_record_t *record, const char *author,
+				     const char *job, const char *pool,
+				     bool idempotent)
 {
 	wwh_record_init(record, WWH_RECORD_JOB_SUBMIT, author);
 	wwh_record_set(&record->body.job_submit.job, job);
