--- a/include/waxwinghollow/admission.h
+++ b/include/waxwinghollow/admission.h
@@ -44,7 +44,7 @@
  *	Cancellation is O(log n) in the number of callers that wait.
  *
  * ORDER OF CALLS
- *	wwh_admission_new; wwh_admission_capacity when it changes; then any;
+ *	wwh_admission_new; wwh_admission_set_capacity when it changes; then any;
  *	wwh_admission_delete when nothing waits.
  */
 
@@ -72,13 +72,13 @@
 	/* set by the module */
 	int64_t arrived_ms;
 	bool waits; /* no slot was free for it */
-	int64_t give_up_ms; /* from then on it can't end in time */
+	int64_t latest_start_ms; /* from then on it can't end in time */
 	wwh_flow_t *flow; /* NULL: not waiting */
 	GList link;
 } wwh_waiting_t;
 
 typedef enum {
-	WWH_ADMISSION_IN = 0,
+	WWH_ADMISSION_ADMITTED = 0,
 	WWH_ADMISSION_QUEUE_FULL,
 	WWH_ADMISSION_WAIT_TOO_LONG,
 	WWH_ADMISSION_COUNT
@@ -92,11 +92,11 @@
 void wwh_admission_delete(wwh_admission_t *admission);
 
 /* How many requests of the service can run at once. */
-void wwh_admission_capacity(wwh_admission_t *admission, double slots);
+void wwh_admission_set_capacity(wwh_admission_t *admission, double slots);
 
 /*
  * A new request. can_start: a slot is free, so the wait is none. Only with
- * WWH_ADMISSION_IN does it wait afterwards.
+ * WWH_ADMISSION_ADMITTED does it wait afterwards.
  */
 wwh_admission_verdict_t wwh_admission_offer(wwh_admission_t *admission,
 					    int64_t now_ms,
@@ -104,23 +104,23 @@
 					    bool can_start);
 
 /* A request to be retried: goes first among its caller's, is not refused. */
-void wwh_admission_return(wwh_admission_t *admission, int64_t now_ms,
-			  wwh_waiting_t *waiting);
+void wwh_admission_requeue(wwh_admission_t *admission, int64_t now_ms,
+			   wwh_waiting_t *waiting);
 
 /* Whose turn it is; NULL when nothing waits. */
 wwh_waiting_t *wwh_admission_peek(const wwh_admission_t *admission);
 
 /* The one that was peeked at is started. */
-void wwh_admission_take(wwh_admission_t *admission, int64_t now_ms,
-			wwh_waiting_t *waiting);
+void wwh_admission_start(wwh_admission_t *admission, int64_t now_ms,
+			 wwh_waiting_t *waiting);
 
 /* It was cancelled or given up on. */
 void wwh_admission_remove(wwh_admission_t *admission, int64_t now_ms,
 			  wwh_waiting_t *waiting);
 
 /* A request of the caller ran for run_ms. */
-void wwh_admission_ran(wwh_admission_t *admission, uint64_t caller,
-		       int32_t run_ms);
+void wwh_admission_record_run(wwh_admission_t *admission, uint64_t caller,
+			      int32_t run_ms);
 
 /*
  * When a refused request may come back; counts it as promised. At least
@@ -131,13 +131,13 @@
 
 int32_t wwh_admission_waiting(const wwh_admission_t *admission);
 int64_t wwh_admission_waiting_bytes(const wwh_admission_t *admission);
-int32_t wwh_admission_callers(const wwh_admission_t *admission);
+int32_t wwh_admission_waiting_callers(const wwh_admission_t *admission);
 
 /* Measured run times and drain rate. */
 int32_t wwh_admission_median_ms(const wwh_admission_t *admission);
 int32_t wwh_admission_p90_ms(const wwh_admission_t *admission);
-int32_t wwh_admission_caller_ms(const wwh_admission_t *admission,
-				uint64_t caller);
+int32_t wwh_admission_caller_run_ms(const wwh_admission_t *admission,
+				    uint64_t caller);
 double wwh_admission_drain_per_s(const wwh_admission_t *admission, bool urgent);
 
 #endif
--- a/include/waxwinghollow/conductor.h
+++ b/include/waxwinghollow/conductor.h
@@ -41,7 +41,7 @@
  * ORDER OF CALLS
  *	wwh_conductor_new; then again and again: wwh_conductor_tick,
  *	wwh_conductor_next_action until it returns false, and
- *	wwh_conductor_result for each action that isn't TELL, at any later
+ *	wwh_conductor_handle_result for each action that isn't TELL, at any later
  *	time; wwh_conductor_delete. Actions that weren't taken from the queue
  *	are dropped by the next tick. One thread. wwh_action_perform may run in
  *	any other.
@@ -57,11 +57,11 @@
 	const char *author; /* this incarnation, as in records */
 	uint32_t seed; /* of the jitter */
 	wwh_counters_t *counters; /* may be NULL */
-	int64_t leave_ms; /* until every entry process knows of a cordon */
-	int64_t look_ms; /* between two looks at one worker */
+	int64_t cordon_delay_ms; /* until every entry process knows of a cordon */
+	int64_t status_interval_ms; /* between two looks at one worker */
 	int64_t retry_min_ms;
 	int64_t retry_max_ms;
-	int64_t answer_limit_ms; /* a result later than this is "unknown" */
+	int64_t answer_timeout_ms; /* a result later than this is "unknown" */
 	int32_t repeats_per_tick; /* of all that went wrong before */
 	int64_t checkpoint_ms; /* expected, for the plan */
 	int64_t reboot_ms; /* expected, for the plan */
@@ -69,20 +69,20 @@
 	int64_t slow_start_ms; /* until it counts as serving again */
 	int64_t settle_ms; /* after a repeated drain without effect */
 	int64_t settle_failure_ms;
-	int64_t replan_ms;
-	int64_t rehearsal_ms; /* a domain is kept out so long */
-	int64_t rehearsal_limit_ms; /* a rehearsal ends then at the latest */
+	int64_t replan_interval_ms;
+	int64_t rehearsal_duration_ms; /* a domain is kept out so long */
+	int64_t rehearsal_timeout_ms; /* a rehearsal ends then at the latest */
 	int32_t rehearsal_unknown_max; /* unknown answers that stop it */
-	int64_t place_ms; /* between two passes of placement */
+	int64_t placement_interval_ms; /* between two passes of placement */
 	wwh_placement_options_t placement; /* teams come from the view */
 } wwh_conductor_options_t;
 
 typedef enum {
 	WWH_ACTION_APPEND = 0, /* a record to stream control */
 	WWH_ACTION_COMMAND,
-	WWH_ACTION_LOOK, /* ask for a worker's status */
+	WWH_ACTION_GET_STATUS, /* ask for a worker's status */
 	WWH_ACTION_TASK,
-	WWH_ACTION_TELL, /* a change of state, for the log; no result */
+	WWH_ACTION_LOG, /* a change of state, for the log; no result */
 	WWH_ACTION_KIND_COUNT
 } wwh_action_kind_t;
 
@@ -133,18 +133,19 @@
 bool wwh_conductor_next_action(wwh_conductor_t *conductor,
 			       wwh_action_t *action);
 
-void wwh_conductor_result(wwh_conductor_t *conductor,
-			  const wwh_action_result_t *result, int64_t now_ms);
+void wwh_conductor_handle_result(wwh_conductor_t *conductor,
+				 const wwh_action_result_t *result,
+				 int64_t now_ms);
 
 /*
  * What to add to now_ms for the time since 1970 in UTC, which the windows are
  * given in; 0 at first. Before a tick, whenever it may have changed.
  */
-void wwh_conductor_set_utc(wwh_conductor_t *conductor, int64_t utc_less_now_ms);
+void wwh_conductor_set_utc(wwh_conductor_t *conductor, int64_t utc_offset_ms);
 
 /* For rehearsals: they stop when callers suffer, and report what they saw. */
-void wwh_conductor_callers(wwh_conductor_t *conductor,
-			   const wwh_caller_counts_t *counts);
+void wwh_conductor_set_caller_counts(wwh_conductor_t *conductor,
+				     const wwh_caller_counts_t *counts);
 
 /* Why a waiting job waits; NONE when nothing is known of it. */
 wwh_reason_t wwh_conductor_job_reason(const wwh_conductor_t *conductor,
--- a/include/waxwinghollow/dispatch.h
+++ b/include/waxwinghollow/dispatch.h
@@ -17,13 +17,13 @@
  *	exactly one END decision:
  *
  *	- START: send the request to the minion, then call
- *	  wwh_dispatch_finished, always and once for each START. Give the
+ *	  wwh_dispatch_finish_attempt, always and once for each START. Give the
  *	  attempt timeout_ms; after that it counts as silent.
  *	- END: answer the caller with the error kind (WWH_ERROR_NONE: with the
  *	  minion's answer) and, where it is above 0, Retry-After.
  *
  *	An END for a running request (a cancelled one) comes before its
- *	wwh_dispatch_finished; the slot stays taken until that call.
+ *	wwh_dispatch_finish_attempt; the slot stays taken until that call.
  *
  * WHAT A PROCESS KNOWS
  *	Its own requests exactly and at once; the other entry processes only
@@ -184,17 +184,18 @@
  * then may a seat that was taken out by wwh_dispatch_set_share be given up on
  * the log for another process to take.
  */
-bool wwh_dispatch_share_settled(const wwh_dispatch_t *dispatch);
+bool wwh_dispatch_is_within_share(const wwh_dispatch_t *dispatch);
 
 void wwh_dispatch_arrive(wwh_dispatch_t *dispatch, int64_t now_ms,
 			 const wwh_dispatch_request_t *request);
 
 /* The caller went away. No effect on a request that has ended. */
 void wwh_dispatch_cancel(wwh_dispatch_t *dispatch, int64_t now_ms, uint64_t id);
-void wwh_dispatch_finished(wwh_dispatch_t *dispatch, int64_t now_ms,
-			   const wwh_dispatch_result_t *result);
-void wwh_dispatch_minion_state(wwh_dispatch_t *dispatch, int64_t now_ms,
-			       const char *minion, wwh_minion_state_t state);
+void wwh_dispatch_finish_attempt(wwh_dispatch_t *dispatch, int64_t now_ms,
+				 const wwh_dispatch_result_t *result);
+void wwh_dispatch_set_minion_state(wwh_dispatch_t *dispatch, int64_t now_ms,
+				   const char *minion,
+				   wwh_minion_state_t state);
 void wwh_dispatch_tick(wwh_dispatch_t *dispatch, int64_t now_ms);
 
 /* The time at which the next tick is due; INT64_MAX: none. */
--- a/include/waxwinghollow/dispatch_loan.h
+++ b/include/waxwinghollow/dispatch_loan.h
@@ -6,9 +6,9 @@
  *	dispatch_loan - what dispatchers tell each other about idle slots
  *
  * USE
- *	Each entry process calls wwh_dispatch_loans_tell for each peer, every
+ *	Each entry process calls wwh_dispatch_loans_visit_updates for each peer, every
  *	10 to 50 ms, and sends what is visited; the receiver hands each to
- *	wwh_dispatch_loan_hear. Messages may be lost, repeated and come out of
+ *	wwh_dispatch_loans_apply_update. Messages may be lost, repeated and come out of
  *	order: loan.h says why that is safe. Nothing that is unchanged is told
  *	again before five seconds have passed.
  *
@@ -21,7 +21,7 @@
  *
  * ORDER OF CALLS
  *	After wwh_dispatch_configure. A peer is its incarnation, see loan.h.
- *	wwh_dispatch_loans_forget once a peer's eviction is complete; nothing
+ *	wwh_dispatch_loans_remove_peer once a peer's eviction is complete; nothing
  *	heard from it later may be handed in.
  */
 
@@ -39,12 +39,14 @@
 typedef void (*wwh_dispatch_loan_visit_t)(const wwh_dispatch_loan_t *loan,
 					  void *client_data);
 
-void wwh_dispatch_loans_tell(wwh_dispatch_t *dispatch, int64_t now_ms,
-			     uint64_t peer, wwh_dispatch_loan_visit_t visit,
-			     void *client_data);
-void wwh_dispatch_loan_hear(wwh_dispatch_t *dispatch, int64_t now_ms,
-			    uint64_t peer, const wwh_dispatch_loan_t *loan);
-void wwh_dispatch_loans_forget(wwh_dispatch_t *dispatch, int64_t now_ms,
-			       uint64_t peer);
+void wwh_dispatch_loans_visit_updates(wwh_dispatch_t *dispatch, int64_t now_ms,
+				      uint64_t peer,
+				      wwh_dispatch_loan_visit_t visit,
+				      void *client_data);
+void wwh_dispatch_loans_apply_update(wwh_dispatch_t *dispatch, int64_t now_ms,
+				     uint64_t peer,
+				     const wwh_dispatch_loan_t *loan);
+void wwh_dispatch_loans_remove_peer(wwh_dispatch_t *dispatch, int64_t now_ms,
+				    uint64_t peer);
 
 #endif
--- a/include/waxwinghollow/ejection.h
+++ b/include/waxwinghollow/ejection.h
@@ -45,7 +45,7 @@
  *
  * ORDER OF CALLS
  *	wwh_ejection_init; wwh_ejection_observe after each attempt;
- *	wwh_ejection_judge after it; wwh_ejection_usable when routing.
+ *	wwh_ejection_evaluate after it; wwh_ejection_is_usable when routing.
  */
 
 #include <stdbool.h>
@@ -65,15 +65,15 @@
 extern const char *const wwh_ejection_state_names[WWH_EJECTION_STATE_COUNT];
 
 typedef enum {
-	WWH_SIGN_GOOD = 0,
-	WWH_SIGN_FAILED,
-	WWH_SIGN_SILENT,
-	WWH_SIGN_NONE, /* says nothing about the minion */
-	WWH_SIGN_COUNT
-} wwh_sign_t;
+	WWH_HEALTH_SIGNAL_GOOD = 0,
+	WWH_HEALTH_SIGNAL_FAILED,
+	WWH_HEALTH_SIGNAL_SILENT,
+	WWH_HEALTH_SIGNAL_NONE, /* says nothing about the minion */
+	WWH_HEALTH_SIGNAL_COUNT
+} wwh_health_signal_t;
 
-/* Names of wwh_sign_t, in the same order. */
-extern const char *const wwh_sign_names[WWH_SIGN_COUNT];
+/* Names of wwh_health_signal_t, in the same order. */
+extern const char *const wwh_health_signal_names[WWH_HEALTH_SIGNAL_COUNT];
 
 typedef struct {
 	wwh_ejection_state_t state;
@@ -98,20 +98,20 @@
 void wwh_ejection_init(wwh_ejection_t *ejection, int64_t returned_ms);
 
 void wwh_ejection_observe(wwh_ejection_t *ejection, int64_t now_ms,
-			  wwh_sign_t sign, int32_t run_ms);
+			  wwh_health_signal_t sign, int32_t run_ms);
 
 /*
  * Judges the minion at index among the service's usable minions and changes
  * its state. True when it was ejected by this call.
  */
-bool wwh_ejection_judge(wwh_ejection_t *const *minions, int32_t count,
-			int32_t index, int64_t now_ms,
-			wwh_shift_bucket_t *bucket);
+bool wwh_ejection_evaluate(wwh_ejection_t *const *minions, int32_t count,
+			   int32_t index, int64_t now_ms,
+			   wwh_shift_bucket_t *bucket);
 
 /* OUT becomes TRIAL when its time has come. */
 void wwh_ejection_advance(wwh_ejection_t *ejection, int64_t now_ms);
 
 /* May get a request, with running of this process's there already. */
-bool wwh_ejection_usable(const wwh_ejection_t *ejection, int32_t running);
+bool wwh_ejection_is_usable(const wwh_ejection_t *ejection, int32_t running);
 
 #endif
--- a/include/waxwinghollow/fleet_view.h
+++ b/include/waxwinghollow/fleet_view.h
@@ -152,7 +152,8 @@
 void wwh_fleet_view_set_offset(wwh_fleet_view_t *view, int64_t offset);
 
 /* A copy of text that lives as long as the view. */
-const char *wwh_fleet_view_keep(wwh_fleet_view_t *view, const char *text);
+const char *wwh_fleet_view_copy_string(wwh_fleet_view_t *view,
+				       const char *text);
 
 /* Builds the members by pool and the jobs by worker. */
 void wwh_fleet_view_seal(wwh_fleet_view_t *view);
@@ -201,8 +202,8 @@
 int32_t wwh_fleet_find_rehearsal(const wwh_fleet_view_t *view, const char *id);
 
 /* Whether the worker stands in that domain. */
-bool wwh_fleet_in_domain(const wwh_fleet_view_t *view, int32_t worker,
-			 wwh_domain_t domain, const char *domain_id);
+bool wwh_fleet_is_in_domain(const wwh_fleet_view_t *view, int32_t worker,
+			    wwh_domain_t domain, const char *domain_id);
 
 /* Whether the worker counts as lost to its pool. */
 bool wwh_fleet_is_lost(const wwh_fleet_worker_t *worker);
--- a/include/waxwinghollow/frame.h
+++ b/include/waxwinghollow/frame.h
@@ -41,8 +41,8 @@
 	WWH_FRAME_LOAN, /* see loan.h */
 	WWH_FRAME_STATE_REQUEST,
 	WWH_FRAME_STATE_PART,
-	WWH_FRAME_SEAT_ASK, /* see seat.h */
-	WWH_FRAME_SEAT_ANSWER,
+	WWH_FRAME_VOTE_REQUEST, /* see seat.h */
+	WWH_FRAME_VOTE_ANSWER,
 	WWH_FRAME_DRAIN, /* requests in progress on workers that are out */
 	WWH_FRAME_KIND_COUNT
 } wwh_frame_kind_t;
@@ -51,7 +51,7 @@
 extern const char *const wwh_frame_kind_names[WWH_FRAME_KIND_COUNT];
 
 typedef enum {
-	WWH_FRAME_FINE = 0,
+	WWH_FRAME_NO_FAULT = 0,
 	WWH_FRAME_FOREIGN, /* no frame of ours */
 	WWH_FRAME_OTHER_VERSION,
 	WWH_FRAME_UNKNOWN_KIND,
@@ -82,7 +82,7 @@
 wwh_frame_fault_t wwh_frame_reader_fault(const wwh_frame_reader_t *reader);
 
 /* Bytes held for a frame that isn't whole. */
-size_t wwh_frame_reader_held(const wwh_frame_reader_t *reader);
+size_t wwh_frame_reader_buffered_bytes(const wwh_frame_reader_t *reader);
 
 /* Appends one frame to out. LIMIT: the payload is too large. */
 wwh_status_t wwh_frame_write(GByteArray *out, wwh_frame_kind_t kind,
--- a/include/waxwinghollow/intent.h
+++ b/include/waxwinghollow/intent.h
@@ -165,10 +165,10 @@
 } wwh_key_view_t;
 
 /* fingerprint may be NULL: not compared. */
-wwh_key_state_t wwh_intents_key(const wwh_intents_t *intents,
-				const char *service, const char *key,
-				const uint8_t *fingerprint,
-				wwh_key_view_t *view);
+wwh_key_state_t wwh_intents_lookup_key(const wwh_intents_t *intents,
+				       const char *service, const char *key,
+				       const uint8_t *fingerprint,
+				       wwh_key_view_t *view);
 
 /*
  * Whether process may send the request of its intent now: the intent is in
@@ -178,7 +178,8 @@
 			  const char *key, const char *process,
 			  int64_t sequence);
 
-bool wwh_intents_abandoned(const wwh_intents_t *intents, const char *process);
+bool wwh_intents_is_abandoned(const wwh_intents_t *intents,
+			      const char *process);
 
 typedef struct {
 	int64_t keys;
--- a/include/waxwinghollow/limiter.h
+++ b/include/waxwinghollow/limiter.h
@@ -51,7 +51,7 @@
  * ORDER OF CALLS
  *	wwh_limiter_set_share first; each wwh_limiter_start is followed by one
  *	wwh_limiter_finish. All bytes zero is the start: no share.
- *	wwh_bearing_init first, then any of wwh_bearing_*.
+ *	wwh_slot_limit_init first, then any of wwh_bearing_*.
  */
 
 #include <stdbool.h>
@@ -97,16 +97,17 @@
 	int64_t wait_ms; /* before the ceiling is tried again */
 	bool raised; /* by the last change */
 	int32_t score; /* of refusals against answers since then */
-} wwh_bearing_t;
+} wwh_slot_limit_t;
 
-void wwh_bearing_init(wwh_bearing_t *bearing, int32_t declared);
+void wwh_slot_limit_init(wwh_slot_limit_t *bearing, int32_t declared);
 
-void wwh_bearing_answered(wwh_bearing_t *bearing);
+void wwh_slot_limit_record_answer(wwh_slot_limit_t *bearing);
 
 /* All three: true when the number changed. */
-bool wwh_bearing_refused(wwh_bearing_t *bearing, int64_t now_ms, double run_ms);
-bool wwh_bearing_advance(wwh_bearing_t *bearing, int64_t now_ms);
-bool wwh_bearing_hear(wwh_bearing_t *bearing, int64_t now_ms, uint32_t version,
-		      int32_t bears);
+bool wwh_slot_limit_record_refusal(wwh_slot_limit_t *bearing, int64_t now_ms,
+				   double run_ms);
+bool wwh_slot_limit_advance(wwh_slot_limit_t *bearing, int64_t now_ms);
+bool wwh_slot_limit_handle_update(wwh_slot_limit_t *bearing, int64_t now_ms,
+				  uint32_t version, int32_t bears);
 
 #endif
--- a/include/waxwinghollow/loan.h
+++ b/include/waxwinghollow/loan.h
@@ -25,7 +25,7 @@
  *
  *	A peer is named by its incarnation (an id made new at each start): a
  *	number of an earlier life must not count in the next one. When a peer
- *	is evicted (seat.h), wwh_loan_forget drops both sides: what was
+ *	is evicted (seat.h), wwh_loan_remove_peer drops both sides: what was
  *	borrowed may not be used from then on, and what was lent comes back,
  *	which is safe since an eviction completes only after all that the
  *	evicted one started has ended.
@@ -60,7 +60,8 @@
 int32_t wwh_loan_return(wwh_loan_book_t *book, uint64_t peer, int32_t count);
 
 /* The peer wants so many slots, or wants so many back that it has lent. */
-void wwh_loan_want(wwh_loan_book_t *book, uint64_t peer, int32_t wanted);
+void wwh_loan_set_wanted_by(wwh_loan_book_t *book, uint64_t peer,
+			    int32_t wanted);
 int32_t wwh_loan_wanted_by(const wwh_loan_book_t *book, uint64_t peer);
 
 /*
@@ -68,16 +69,17 @@
  * last, or wanted does by much, or they are not all zero and were last told
  * five seconds ago; it then counts as told now.
  */
-bool wwh_loan_told(wwh_loan_book_t *book, uint64_t peer, int32_t wanted,
-		   uint32_t version, int64_t now_ms);
+bool wwh_loan_mark_sent_if_due(wwh_loan_book_t *book, uint64_t peer,
+			       int32_t wanted, uint32_t version,
+			       int64_t now_ms);
 
 /* The totals to tell that peer; all zero: nothing was ever lent. */
-wwh_loan_totals_t wwh_loan_tell(const wwh_loan_book_t *book, uint64_t peer);
+wwh_loan_totals_t wwh_loan_totals(const wwh_loan_book_t *book, uint64_t peer);
 
 /* The peer's totals arrived. True when they changed something. */
-bool wwh_loan_hear(wwh_loan_book_t *book, uint64_t peer,
-		   wwh_loan_totals_t totals);
-void wwh_loan_forget(wwh_loan_book_t *book, uint64_t peer);
+bool wwh_loan_apply_totals(wwh_loan_book_t *book, uint64_t peer,
+			   wwh_loan_totals_t totals);
+void wwh_loan_remove_peer(wwh_loan_book_t *book, uint64_t peer);
 
 /* The peer with which there is an account, by index; false: no more. */
 bool wwh_loan_peer_at(const wwh_loan_book_t *book, int32_t index,
--- a/include/waxwinghollow/log_core.h
+++ b/include/waxwinghollow/log_core.h
@@ -175,11 +175,10 @@
 void wwh_log_core_tick(wwh_log_core_t *core, int64_t now_ms);
 
 /* Settles everything now, as if all deadlines had passed. */
-void wwh_log_core_give_up(wwh_log_core_t *core);
+void wwh_log_core_abort_all(wwh_log_core_t *core);
 
 /* The next outcome, in the order in which they became known. */
-bool wwh_log_core_take_settled(wwh_log_core_t *core,
-			       wwh_log_settled_t *settled);
+bool wwh_log_core_pop_settled(wwh_log_core_t *core, wwh_log_settled_t *settled);
 
 /* false: nothing to send for *wait_ms (-1: until something is submitted). */
 bool wwh_log_core_next_attempt(wwh_log_core_t *core, int64_t now_ms,
@@ -190,8 +189,9 @@
 /* false: wait for *wait_ms first. */
 bool wwh_log_core_read_begin(wwh_log_core_t *core, int64_t now_ms,
 			     wwh_log_read_t *read, int64_t *wait_ms);
-wwh_log_verdict_t wwh_log_core_record(wwh_log_core_t *core, int64_t generation,
-				      const wwh_log_entry_t *entry);
+wwh_log_verdict_t wwh_log_core_handle_record(wwh_log_core_t *core,
+					     int64_t generation,
+					     const wwh_log_entry_t *entry);
 wwh_log_state_t wwh_log_core_read_done(wwh_log_core_t *core, int64_t generation,
 				       wwh_status_t status, int64_t first,
 				       int64_t next, int64_t now_ms);
--- a/include/waxwinghollow/retry.h
+++ b/include/waxwinghollow/retry.h
@@ -16,7 +16,7 @@
  *
  * HOW IT DECIDES
  *	Only an attempt that surely did not run, or an idempotent request, is
- *	tried again; never once a byte of an answer went to the caller; never
+ *	tried should_retry; never once a byte of an answer went to the caller; never
  *	where the usual run time no longer fits before the deadline.
  *
  *	Each service has a budget: 0.08 retries are earned by each first
@@ -31,7 +31,7 @@
  *	return together.
  *
  * ORDER OF CALLS
- *	wwh_retry_first_attempt for each request's first attempt;
+ *	wwh_retry_credit_first_attempt for each request's first attempt;
  *	wwh_retry_decide after each attempt.
  */
 
@@ -59,25 +59,26 @@
 } wwh_retry_attempt_t;
 
 typedef struct {
-	bool again;
+	bool should_retry;
 	int32_t delay_ms;
-	wwh_error_kind_t kind; /* when not again */
+	wwh_error_kind_t kind; /* when not should_retry */
 	bool may_have_run; /* by this attempt or an earlier one */
 } wwh_retry_decision_t;
 
 void wwh_retry_budget_init(wwh_retry_budget_t *budget);
-void wwh_retry_first_attempt(wwh_retry_budget_t *budget);
+void wwh_retry_credit_first_attempt(wwh_retry_budget_t *budget);
 wwh_retry_decision_t wwh_retry_decide(wwh_retry_budget_t *budget,
 				      const wwh_retry_attempt_t *attempt,
 				      GRand *random);
 
 /* True when an attempt with that outcome surely did not run. */
-bool wwh_retry_not_run(wwh_outcome_t outcome);
+bool wwh_retry_did_not_run(wwh_outcome_t outcome);
 
 /*
  * The kind to tell a caller in place of kind when an earlier attempt may have
  * run: a "not run" would be untrue then.
  */
-wwh_error_kind_t wwh_retry_truthful(wwh_error_kind_t kind, bool may_have_run);
+wwh_error_kind_t wwh_retry_reported_kind(wwh_error_kind_t kind,
+					 bool may_have_run);
 
 #endif
--- a/include/waxwinghollow/router.h
+++ b/include/waxwinghollow/router.h
@@ -51,7 +51,7 @@
 			GRand *random);
 
 /* now_ms against the last end, or the start of the first that runs. */
-bool wwh_router_stalled(int64_t now_ms, int32_t running, int64_t quiet_since_ms,
-			int32_t p90_ms);
+bool wwh_router_is_stalled(int64_t now_ms, int32_t running,
+			   int64_t quiet_since_ms, int32_t p90_ms);
 
 #endif
--- a/include/waxwinghollow/seat.h
+++ b/include/waxwinghollow/seat.h
@@ -149,11 +149,12 @@
  * The log answered a read to its end that was sent at sent_ms, and this
  * process is not evicted.
  */
-void wwh_seat_lease_log(wwh_seat_lease_t *lease, int64_t sent_ms);
+void wwh_seat_lease_renew_by_log(wwh_seat_lease_t *lease, int64_t sent_ms);
 
 /* A member answered a heartbeat; own_seats: that process has in use itself. */
-void wwh_seat_lease_member(wwh_seat_lease_t *lease,
-			   const wwh_seat_table_t *table, uint64_t own_seats,
-			   const wwh_seat_vote_t *vote);
+void wwh_seat_lease_renew_by_vote(wwh_seat_lease_t *lease,
+				  const wwh_seat_table_t *table,
+				  uint64_t own_seats,
+				  const wwh_seat_vote_t *vote);
 
 #endif
--- a/include/waxwinghollow/snapshot.h
+++ b/include/waxwinghollow/snapshot.h
@@ -26,8 +26,8 @@
  *	the same bytes again.
  *
  * ORDER OF CALLS
- *	Maker: wwh_snapshot_keeper_state (or _intents) before each apply;
- *	wwh_snapshot_records with what wwh_snapshot_keeper_latest gives.
+ *	Maker: wwh_snapshot_generator_update_state (or _intents) before each apply;
+ *	wwh_snapshot_records with what wwh_snapshot_generator_latest gives.
  *	Reader: wwh_snapshot_parts_add for each snapshot record until it
  *	returns bytes; wwh_snapshot_decode_state (or _intents).
  */
@@ -47,7 +47,7 @@
  * a second: 4,096 is some ten minutes, well under any retention, and the
  * encoding is spread over as many records.
  */
-#define WWH_SNAPSHOT_EVERY 4096
+#define WWH_SNAPSHOT_INTERVAL_OFFSETS 4096
 
 GBytes *wwh_snapshot_encode_state(const wwh_state_t *state);
 GBytes *wwh_snapshot_encode_intents(const wwh_intents_t *intents);
@@ -80,24 +80,26 @@
 			       const wwh_record_t *record);
 
 /* Makes snapshots at the agreed offsets and remembers their hashes. */
-typedef struct wwh_snapshot_keeper wwh_snapshot_keeper_t;
+typedef struct wwh_snapshot_generator wwh_snapshot_generator_t;
 
-/* every: WWH_SNAPSHOT_EVERY, less in tests. */
-wwh_snapshot_keeper_t *wwh_snapshot_keeper_new(int64_t every);
-void wwh_snapshot_keeper_delete(wwh_snapshot_keeper_t *keeper);
+/* every: WWH_SNAPSHOT_INTERVAL_OFFSETS, less in tests. */
+wwh_snapshot_generator_t *wwh_snapshot_generator_new(int64_t every);
+void wwh_snapshot_generator_delete(wwh_snapshot_generator_t *keeper);
 
 /*
  * Called before the record at offset is applied; keeps a snapshot when a
  * multiple of every lies between the last record and this one.
  */
-void wwh_snapshot_keeper_state(wwh_snapshot_keeper_t *keeper,
-			       const wwh_state_t *state, int64_t offset);
-void wwh_snapshot_keeper_intents(wwh_snapshot_keeper_t *keeper,
-				 const wwh_intents_t *intents, int64_t offset);
+void wwh_snapshot_generator_update_state(wwh_snapshot_generator_t *keeper,
+					 const wwh_state_t *state,
+					 int64_t offset);
+void wwh_snapshot_generator_update_intents(wwh_snapshot_generator_t *keeper,
+					   const wwh_intents_t *intents,
+					   int64_t offset);
 
 /* The last one kept and its upto; NULL when there is none. Not a new ref. */
-GBytes *wwh_snapshot_keeper_latest(const wwh_snapshot_keeper_t *keeper,
-				   int64_t *upto);
+GBytes *wwh_snapshot_generator_latest(const wwh_snapshot_generator_t *keeper,
+				      int64_t *upto);
 
 typedef enum {
 	WWH_SNAPSHOT_MATCH = 0,
@@ -111,7 +113,7 @@
 	*const wwh_snapshot_comparison_names[WWH_SNAPSHOT_COMPARISON_COUNT];
 
 wwh_snapshot_comparison_t
-wwh_snapshot_keeper_compare(const wwh_snapshot_keeper_t *keeper,
-			    const wwh_record_t *record);
+wwh_snapshot_generator_compare(const wwh_snapshot_generator_t *keeper,
+			       const wwh_record_t *record);
 
 #endif
--- a/src/bench/bench_conductor.c
+++ b/src/bench/bench_conductor.c
@@ -29,9 +29,9 @@
 	for (int32_t i = 0; i < RUNS; i++) {
 		int64_t start_us = g_get_monotonic_time();
 		size_t before = mallinfo2().uordblks;
-		wwh_fleet_view_t *view =
-			wwh_fleet_bridge_view(sim->state, process->observations,
-					      process->author, sim->now_ms);
+		wwh_fleet_view_t *view = wwh_fleet_bridge_create_view(
+			sim->state, process->observations, process->author,
+			sim->now_ms);
 		int64_t made_us = g_get_monotonic_time();
 		wwh_action_t action;
 
--- a/src/bench/bench_dispatch.c
+++ b/src/bench/bench_dispatch.c
@@ -139,7 +139,7 @@
 	g_array_remove_index_fast(rig->running, 0);
 	result.request = decision.request;
 	result.minion = decision.minion;
-	wwh_dispatch_finished(rig->dispatch, rig->now_ms, &result);
+	wwh_dispatch_finish_attempt(rig->dispatch, rig->now_ms, &result);
 	drain(rig);
 }
 
@@ -225,9 +225,9 @@
 				finish_one(&rig);
 		}
 		for (int32_t peer = 1; peer <= peers; peer++)
-			wwh_dispatch_loans_tell(rig.dispatch, rig.now_ms,
-						(uint64_t)peer, count,
-						&traffic);
+			wwh_dispatch_loans_visit_updates(
+				rig.dispatch, rig.now_ms, (uint64_t)peer, count,
+				&traffic);
 	}
 	passed = g_get_monotonic_time() - from;
 	printf("loans: %d peers, told every 50 ms: %.0f messages and %.1f KB "
--- a/src/bench/include/dispatch_policy.h
+++ b/src/bench/include/dispatch_policy.h
@@ -139,7 +139,7 @@
 	result.latency_ms = (int32_t)latency;
 	/* node marks that the last answer reports a failure */
 	request->node = outcome == WWH_OUTCOME_ERROR_ANSWERED ? own : NULL;
-	wwh_dispatch_finished(own->dispatch, (int64_t)now, &result);
+	wwh_dispatch_finish_attempt(own->dispatch, (int64_t)now, &result);
 	dispatch_drain(own, now);
 }
 
@@ -173,8 +173,8 @@
 	(void)sim;
 	(void)n;
 	message->loan.minion = message->minion;
-	wwh_dispatch_loan_hear(message->to->dispatch, (int64_t)now,
-			       message->peer, &message->loan);
+	wwh_dispatch_loans_apply_update(message->to->dispatch, (int64_t)now,
+					message->peer, &message->loan);
 	dispatch_drain(message->to, now);
 	g_free(message);
 }
@@ -199,9 +199,9 @@
 	gossip_context_t context = { from, to, now };
 
 	(void)from_process;
-	wwh_dispatch_loans_tell(context.from->dispatch, (int64_t)now,
-				(uint64_t)to_process + 1, gossip_send,
-				&context);
+	wwh_dispatch_loans_visit_updates(context.from->dispatch, (int64_t)now,
+					 (uint64_t)to_process + 1, gossip_send,
+					 &context);
 }
 
 static inline void dispatch_policy_delete(void *policy)
--- a/src/libwaxwinghollow/admission.c
+++ b/src/libwaxwinghollow/admission.c
@@ -119,7 +119,7 @@
 	g_free(admission);
 }
 
-void wwh_admission_capacity(wwh_admission_t *admission, double slots)
+void wwh_admission_set_capacity(wwh_admission_t *admission, double slots)
 {
 	admission->capacity = slots > 0 ? slots : 0;
 }
@@ -151,13 +151,13 @@
 	waiting->arrived_ms = now_ms;
 	waiting->waits = !can_start || admission->waiting > 0;
 	need_ms = run_need_ms(admission->median.value, remaining_ms);
-	waiting->give_up_ms = waiting->deadline_ms - (int64_t)need_ms;
+	waiting->latest_start_ms = waiting->deadline_ms - (int64_t)need_ms;
 	insert(admission, now_ms, waiting, false);
-	return WWH_ADMISSION_IN;
+	return WWH_ADMISSION_ADMITTED;
 }
 
-void wwh_admission_return(wwh_admission_t *admission, int64_t now_ms,
-			  wwh_waiting_t *waiting)
+void wwh_admission_requeue(wwh_admission_t *admission, int64_t now_ms,
+			   wwh_waiting_t *waiting)
 {
 	waiting->waits = true;
 	insert(admission, now_ms, waiting, true);
@@ -175,12 +175,12 @@
 	return g_queue_peek_head(&flow->requests);
 }
 
-void wwh_admission_take(wwh_admission_t *admission, int64_t now_ms,
-			wwh_waiting_t *waiting)
+void wwh_admission_start(wwh_admission_t *admission, int64_t now_ms,
+			 wwh_waiting_t *waiting)
 {
 	class_t *class = class_of(admission, waiting->urgent);
 	wwh_flow_t *caller = waiting->flow;
-	double cost = wwh_admission_caller_ms(admission, waiting->caller);
+	double cost = wwh_admission_caller_run_ms(admission, waiting->caller);
 
 	assert(caller != NULL);
 	wwh_rate_advance(&class->drain, now_ms, true);
@@ -202,8 +202,8 @@
 	detach(admission, now_ms, waiting);
 }
 
-void wwh_admission_ran(wwh_admission_t *admission, uint64_t caller,
-		       int32_t run_ms)
+void wwh_admission_record_run(wwh_admission_t *admission, uint64_t caller,
+			      int32_t run_ms)
 {
 	double *cost = &admission->cost_ms[caller % COST_ROWS];
 
@@ -245,7 +245,7 @@
 	return admission->bytes;
 }
 
-int32_t wwh_admission_callers(const wwh_admission_t *admission)
+int32_t wwh_admission_waiting_callers(const wwh_admission_t *admission)
 {
 	int32_t callers = 0;
 
@@ -271,8 +271,8 @@
 	return (int32_t)ceil(admission->p90.value);
 }
 
-int32_t wwh_admission_caller_ms(const wwh_admission_t *admission,
-				uint64_t caller)
+int32_t wwh_admission_caller_run_ms(const wwh_admission_t *admission,
+				    uint64_t caller)
 {
 	double cost = admission->cost_ms[caller % COST_ROWS];
 
--- a/src/libwaxwinghollow/conductor.c
+++ b/src/libwaxwinghollow/conductor.c
@@ -22,7 +22,7 @@
 			   const wwh_origin_t *origin, wwh_status_t status);
 static void handle_look(wwh_conductor_t *conductor, const wwh_origin_t *origin,
 			const wwh_action_result_t *result);
-static void note_look(wwh_conductor_t *conductor, wwh_look_t *look,
+static void note_look(wwh_conductor_t *conductor, wwh_status_query_t *look,
 		      const wwh_action_result_t *result);
 static void handle_task(wwh_conductor_t *conductor, const wwh_origin_t *origin,
 			const wwh_action_result_t *result);
@@ -34,11 +34,11 @@
 	*options = (wwh_conductor_options_t){
 		.author = "",
 		.seed = 1,
-		.leave_ms = 5 * 1000,
-		.look_ms = 2 * 1000,
+		.cordon_delay_ms = 5 * 1000,
+		.status_interval_ms = 2 * 1000,
 		.retry_min_ms = 500,
 		.retry_max_ms = 30 * 1000,
-		.answer_limit_ms = 30 * 1000,
+		.answer_timeout_ms = 30 * 1000,
 		.repeats_per_tick = 64,
 		.checkpoint_ms = 30 * 1000,
 		.reboot_ms = 8 * MINUTE_MS,
@@ -46,11 +46,11 @@
 		.slow_start_ms = 30 * 1000,
 		.settle_ms = 10 * 1000,
 		.settle_failure_ms = 20 * 1000,
-		.replan_ms = MINUTE_MS,
-		.rehearsal_ms = 5 * MINUTE_MS,
-		.rehearsal_limit_ms = 60 * MINUTE_MS,
+		.replan_interval_ms = MINUTE_MS,
+		.rehearsal_duration_ms = 5 * MINUTE_MS,
+		.rehearsal_timeout_ms = 60 * MINUTE_MS,
 		.rehearsal_unknown_max = 10,
-		.place_ms = 1000,
+		.placement_interval_ms = 1000,
 	};
 	wwh_placement_options_defaults(&options->placement);
 }
@@ -74,7 +74,7 @@
 	conductor->appends =
 		g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
 	conductor->probes = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
-						  wwh_look_free);
+						  wwh_status_query_free);
 	conductor->actors = g_ptr_array_new_with_free_func(wwh_actor_free);
 	conductor->actor_by_worker = g_hash_table_new(g_str_hash, g_str_equal);
 	conductor->waves = g_ptr_array_new_with_free_func(wwh_wave_run_free);
@@ -128,8 +128,8 @@
 				    conductor);
 	wwh_actors_sync(conductor);
 	wwh_actors_step(conductor);
-	wwh_failures_step(conductor);
-	wwh_actors_pursue(conductor);
+	wwh_repairs_step(conductor);
+	wwh_actors_queue_actions(conductor);
 	wwh_rehearsals_step(conductor);
 	wwh_waves_step(conductor);
 	wwh_moves_step(conductor);
@@ -148,8 +148,9 @@
 	return true;
 }
 
-void wwh_conductor_result(wwh_conductor_t *conductor,
-			  const wwh_action_result_t *result, int64_t now_ms)
+void wwh_conductor_handle_result(wwh_conductor_t *conductor,
+				 const wwh_action_result_t *result,
+				 int64_t now_ms)
 {
 	wwh_origin_t *origin =
 		g_hash_table_lookup(conductor->origins, &result->id);
@@ -161,24 +162,25 @@
 	g_hash_table_remove(conductor->origins, &result->id);
 }
 
-void wwh_conductor_set_utc(wwh_conductor_t *conductor, int64_t utc_less_now_ms)
+void wwh_conductor_set_utc(wwh_conductor_t *conductor, int64_t utc_offset_ms)
 {
-	conductor->utc_less_now_ms = utc_less_now_ms;
+	conductor->utc_offset_ms = utc_offset_ms;
 }
 
-void wwh_conductor_callers(wwh_conductor_t *conductor,
-			   const wwh_caller_counts_t *counts)
+void wwh_conductor_set_caller_counts(wwh_conductor_t *conductor,
+				     const wwh_caller_counts_t *counts)
 {
 	conductor->callers = *counts;
 }
 
-void wwh_conductor_record(const wwh_conductor_t *conductor,
-			  wwh_record_t *record, wwh_record_kind_t kind)
+void wwh_conductor_init_record(const wwh_conductor_t *conductor,
+			       wwh_record_t *record, wwh_record_kind_t kind)
 {
 	wwh_record_init(record, kind, conductor->author);
 }
 
-int32_t wwh_conductor_home(const wwh_conductor_t *conductor, int32_t worker)
+int32_t wwh_conductor_control_pool(const wwh_conductor_t *conductor,
+				   int32_t worker)
 {
 	const wwh_fleet_worker_t *item =
 		wwh_fleet_worker(conductor->view, worker);
@@ -188,7 +190,7 @@
 
 int64_t wwh_conductor_fence(const wwh_conductor_t *conductor, int32_t worker)
 {
-	int32_t home = wwh_conductor_home(conductor, worker);
+	int32_t home = wwh_conductor_control_pool(conductor, worker);
 
 	if (home == WWH_FLEET_NONE)
 		return WWH_NO_OFFSET;
@@ -217,7 +219,7 @@
 			platform->context, action->worker, action->command,
 			action->fence, timeout_ms);
 		break;
-	case WWH_ACTION_LOOK:
+	case WWH_ACTION_GET_STATUS:
 		result->status = platform->worker_status(
 			platform->context, action->worker, timeout_ms,
 			&result->worker);
@@ -258,26 +260,26 @@
 			  const wwh_origin_t *origin,
 			  const wwh_action_result_t *result)
 {
-	wwh_pursuit_t *pursuit;
+	wwh_retry_t *pursuit;
 
 	switch (origin->kind) {
 	case WWH_ORIGIN_COMMAND:
 		handle_command(conductor, origin, result->status);
 		break;
-	case WWH_ORIGIN_LOOK:
+	case WWH_ORIGIN_STATUS:
 		handle_look(conductor, origin, result);
 		break;
 	case WWH_ORIGIN_TASK:
 		handle_task(conductor, origin, result);
 		break;
 	case WWH_ORIGIN_APPEND:
-		pursuit = wwh_conductor_pending(conductor, origin->key);
+		pursuit = wwh_conductor_append_retry(conductor, origin->key);
 		if (pursuit->action != result->id)
 			break;
-		wwh_conductor_settle(conductor, pursuit,
-				     result->status == WWH_STATUS_OK &&
-					     result->verdict ==
-						     WWH_VERDICT_ACCEPTED);
+		wwh_conductor_end_attempt(conductor, pursuit,
+					  result->status == WWH_STATUS_OK &&
+						  result->verdict ==
+							  WWH_VERDICT_ACCEPTED);
 		if (result->status == WWH_STATUS_OK &&
 		    result->verdict != WWH_VERDICT_ACCEPTED)
 			wwh_conductor_count(conductor, "fleet.appends_refused");
@@ -296,8 +298,8 @@
 		wwh_conductor_count(conductor, "fleet.commands_fenced_off");
 	if (!actor || actor->grant != origin->grant)
 		return;
-	wwh_conductor_settle(conductor, &actor->command,
-			     status == WWH_STATUS_OK);
+	wwh_conductor_end_attempt(conductor, &actor->command,
+				  status == WWH_STATUS_OK);
 	if (status == WWH_STATUS_OK && origin->command == WWH_COMMAND_DRAIN &&
 	    actor->drain_ok_ms == 0)
 		actor->drain_ok_ms = conductor->now_ms;
@@ -309,7 +311,8 @@
 {
 	wwh_actor_t *actor =
 		g_hash_table_lookup(conductor->actor_by_worker, origin->key);
-	wwh_look_t *probe = g_hash_table_lookup(conductor->probes, origin->key);
+	wwh_status_query_t *probe =
+		g_hash_table_lookup(conductor->probes, origin->key);
 
 	if (actor && actor->look.pursuit.action == result->id)
 		note_look(conductor, &actor->look, result);
@@ -317,12 +320,12 @@
 		note_look(conductor, probe, result);
 }
 
-static void note_look(wwh_conductor_t *conductor, wwh_look_t *look,
+static void note_look(wwh_conductor_t *conductor, wwh_status_query_t *look,
 		      const wwh_action_result_t *result)
 {
 	bool is_ok = result->status == WWH_STATUS_OK;
 
-	wwh_conductor_settle(conductor, &look->pursuit, is_ok);
+	wwh_conductor_end_attempt(conductor, &look->pursuit, is_ok);
 	if (!is_ok)
 		return;
 	look->status = result->worker;
@@ -342,16 +345,16 @@
 
 	if (!run || run->lease != origin->grant)
 		return;
-	wwh_conductor_settle(conductor, &run->order,
-			     result->status == WWH_STATUS_OK);
-	wwh_job_ordered(conductor, run, origin->verb, result->status);
+	wwh_conductor_end_attempt(conductor, &run->order,
+				  result->status == WWH_STATUS_OK);
+	wwh_job_run_handle_answer(conductor, run, origin->verb, result->status);
 }
 
 static gboolean is_settled_long_ago(gpointer key, gpointer value,
 				    gpointer client_data)
 {
 	const wwh_conductor_t *conductor = client_data;
-	const wwh_pursuit_t *pursuit = value;
+	const wwh_retry_t *pursuit = value;
 
 	(void)key;
 	return pursuit->action == 0 &&
--- a/src/libwaxwinghollow/conductor_job.c
+++ b/src/libwaxwinghollow/conductor_job.c
@@ -91,7 +91,7 @@
 {
 	sync_runs(conductor);
 	if (conductor->now_ms - conductor->placed_ms >=
-	    conductor->options.place_ms) {
+	    conductor->options.placement_interval_ms) {
 		conductor->placed_ms = conductor->now_ms;
 		g_hash_table_foreach_remove(conductor->reasons, is_gone,
 					    (gpointer)conductor->view);
@@ -107,8 +107,8 @@
 }
 
 /* The answer to an order. A lost one is neither accepted nor refused. */
-void wwh_job_ordered(wwh_conductor_t *conductor, wwh_job_run_t *run,
-		     wwh_task_verb_t verb, wwh_status_t status)
+void wwh_job_run_handle_answer(wwh_conductor_t *conductor, wwh_job_run_t *run,
+			       wwh_task_verb_t verb, wwh_status_t status)
 {
 	if (verb == WWH_TASK_CHECKPOINT || verb == WWH_TASK_THROTTLE)
 		return;
@@ -204,7 +204,7 @@
 	wwh_chart_step(&run->machine, event, conductor->now_ms, run);
 	if (run->machine.state == before)
 		return;
-	run->order = (wwh_pursuit_t){ 0 };
+	run->order = (wwh_retry_t){ 0 };
 	if (run->machine.state == STATE_LAPSING)
 		run->lost_ms = conductor->now_ms;
 }
@@ -246,9 +246,9 @@
 
 	if (wwh_chart_has_tag(&run->machine,
 			      wwh_chart_tag_mask(chart, "orders-stop")))
-		wwh_conductor_order(conductor, run, WWH_TASK_STOP);
+		wwh_conductor_order_task(conductor, run, WWH_TASK_STOP);
 	else if (starts && due)
-		wwh_conductor_order(conductor, run, WWH_TASK_START);
+		wwh_conductor_order_task(conductor, run, WWH_TASK_START);
 	else if (wwh_chart_is_final(&run->machine))
 		append_outcome(conductor, run);
 }
@@ -268,7 +268,8 @@
 	if (run->machine.state == STATE_STOPPED)
 		return;
 	key = g_strdup_printf("job/%s/%lld", run->job, (long long)run->lease);
-	wwh_conductor_record(conductor, &record, kinds[run->machine.state]);
+	wwh_conductor_init_record(conductor, &record,
+				  kinds[run->machine.state]);
 	wwh_record_set(&record.body.job.job, run->job);
 	record.body.job.fence = run->lease;
 	if (run->machine.state == STATE_FAILED)
@@ -313,14 +314,14 @@
 			view, wwh_fleet_worker(view, index)->pool);
 	if (tally &&
 	    wwh_pool_budget_allows(tally, index) == WWH_CONSTRAINT_NONE) {
-		wwh_conductor_record(conductor, &record,
-				     WWH_RECORD_WORKER_QUARANTINE);
+		wwh_conductor_init_record(conductor, &record,
+					  WWH_RECORD_WORKER_QUARANTINE);
 		wwh_record_set(&record.body.worker.worker, worker);
 		wwh_record_set(&record.body.worker.reason,
 			       "fails tasks that end well elsewhere");
 		if (wwh_conductor_append(conductor, key, &record))
-			wwh_conductor_tell(conductor, "worker %s: quarantined",
-					   worker);
+			wwh_conductor_log(conductor, "worker %s: quarantined",
+					  worker);
 	}
 	wwh_pool_budget_delete(tally);
 	g_free(key);
@@ -377,20 +378,20 @@
 		if (!run)
 			break;
 		run->throttle_millicores = decision->cpu_millicores;
-		wwh_conductor_order(conductor, run, WWH_TASK_THROTTLE);
+		wwh_conductor_order_task(conductor, run, WWH_TASK_THROTTLE);
 		break;
 	case WWH_PLACEMENT_CHECKPOINT:
 		if (run)
-			wwh_conductor_order(conductor, run,
-					    WWH_TASK_CHECKPOINT);
+			wwh_conductor_order_task(conductor, run,
+						 WWH_TASK_CHECKPOINT);
 		break;
 	default:
 		if (decision->kind == WWH_PLACEMENT_IMPOSSIBLE &&
 		    wwh_conductor_job_reason(conductor, job->id) !=
 			    decision->reason)
-			wwh_conductor_tell(conductor,
-					   "job %s can never run: %s", job->id,
-					   wwh_reason_names[decision->reason]);
+			wwh_conductor_log(conductor, "job %s can never run: %s",
+					  job->id,
+					  wwh_reason_names[decision->reason]);
 		g_hash_table_insert(conductor->reasons, g_strdup(job->id),
 				    GINT_TO_POINTER((gint)decision->reason));
 		break;
@@ -416,7 +417,7 @@
 	/* No new work to a leaving worker; one pool. */
 	assert(!wwh_fleet_is_lost(worker));
 	assert(worker->pool == job->pool);
-	wwh_conductor_record(conductor, &record, WWH_RECORD_JOB_PLACE);
+	wwh_conductor_init_record(conductor, &record, WWH_RECORD_JOB_PLACE);
 	wwh_record_set(&record.body.job.job, job->id);
 	wwh_record_set(&record.body.job.worker, worker->id);
 	record.body.job.fence = wwh_fleet_pool(view, job->pool)->fence;
--- a/src/libwaxwinghollow/conductor_pursue.c
+++ b/src/libwaxwinghollow/conductor_pursue.c
@@ -14,7 +14,7 @@
 static void append_failed(wwh_actor_t *actor);
 static bool is_between(const wwh_actor_t *actor);
 
-void wwh_actors_pursue(wwh_conductor_t *conductor)
+void wwh_actors_queue_actions(wwh_conductor_t *conductor)
 {
 	for (guint i = 0; i < conductor->actors->len; i++) {
 		wwh_actor_t *actor = conductor->actors->pdata[i];
@@ -23,8 +23,8 @@
 		pursue(actor);
 		if (!ends && (!actor->look.is_known ||
 			      conductor->now_ms - actor->look.seen_ms >=
-				      conductor->options.look_ms))
-			wwh_conductor_look(conductor, &actor->look);
+				      conductor->options.status_interval_ms))
+			wwh_conductor_query_status(conductor, &actor->look);
 	}
 }
 
@@ -34,8 +34,8 @@
 
 	switch ((wwh_actor_state_t)actor->machine.state) {
 	case WWH_ACTOR_CORDONING:
-		wwh_conductor_command(conductor, actor, WWH_COMMAND_CORDON,
-				      actor->grant);
+		wwh_conductor_send_command(conductor, actor, WWH_COMMAND_CORDON,
+					   actor->grant);
 		break;
 	case WWH_ACTOR_DRAINING:
 		pursue_drain(actor);
@@ -65,8 +65,8 @@
 
 	if (state == WWH_WORKER_DRAINING || state == WWH_WORKER_DRAINED)
 		return;
-	wwh_conductor_command(actor->conductor, actor, WWH_COMMAND_DRAIN,
-			      actor->grant);
+	wwh_conductor_send_command(actor->conductor, actor, WWH_COMMAND_DRAIN,
+				   actor->grant);
 }
 
 static void pursue_reboot(wwh_actor_t *actor)
@@ -79,8 +79,8 @@
 	    status->fence != actor->grant || status->running_tasks > 0 ||
 	    worker->requests_in_progress > 0)
 		return;
-	if (wwh_conductor_command(actor->conductor, actor, WWH_COMMAND_REBOOT,
-				  actor->grant)) {
+	if (wwh_conductor_send_command(actor->conductor, actor,
+				       WWH_COMMAND_REBOOT, actor->grant)) {
 		/* No cut-off: what is rebooted was seen empty under this
 		 * grant. */
 		assert(worker->grant == actor->grant);
@@ -103,8 +103,8 @@
 	if (actor->look.status.state == WWH_WORKER_REBOOTING ||
 	    actor->look.status.state == WWH_WORKER_DOWN)
 		return;
-	wwh_conductor_command(actor->conductor, actor, WWH_COMMAND_UNCORDON,
-			      fence);
+	wwh_conductor_send_command(actor->conductor, actor,
+				   WWH_COMMAND_UNCORDON, fence);
 }
 
 static void pursue_move(wwh_actor_t *actor)
@@ -142,7 +142,8 @@
 			append_move(actor, WWH_RECORD_MOVE_CANCEL,
 				    "move-cancel");
 	} else {
-		wwh_conductor_record(conductor, &record, WWH_RECORD_GRANT_END);
+		wwh_conductor_init_record(conductor, &record,
+					  WWH_RECORD_GRANT_END);
 		wwh_record_set(&record.body.grant_end.worker, actor->worker);
 		record.body.grant_end.grant = actor->grant;
 		record.body.grant_end.outcome = actor->outcome;
@@ -163,7 +164,7 @@
 				    (long long)actor->grant);
 	wwh_record_t record;
 
-	wwh_conductor_record(conductor, &record, kind);
+	wwh_conductor_init_record(conductor, &record, kind);
 	wwh_record_set(&record.body.move.worker, actor->worker);
 	record.body.move.grant = actor->grant;
 	record.body.move.fence = wwh_conductor_fence(conductor, actor->index);
@@ -189,8 +190,8 @@
 	wwh_record_t record;
 
 	if (worker->failed == WWH_NO_OFFSET) {
-		wwh_conductor_record(conductor, &record,
-				     WWH_RECORD_WORKER_FAILED);
+		wwh_conductor_init_record(conductor, &record,
+					  WWH_RECORD_WORKER_FAILED);
 		wwh_record_set(&record.body.worker.worker, actor->worker);
 		wwh_record_set(&record.body.worker.reason,
 			       "did not come back during its move");
--- a/src/libwaxwinghollow/conductor_queue.c
+++ b/src/libwaxwinghollow/conductor_queue.c
@@ -3,7 +3,7 @@
 
 #include "private/conductor_state.h"
 
-static bool may_repeat(wwh_conductor_t *conductor, wwh_pursuit_t *pursuit);
+static bool may_repeat(wwh_conductor_t *conductor, wwh_retry_t *pursuit);
 static wwh_action_t *add_action(wwh_conductor_t *conductor,
 				wwh_action_kind_t kind);
 static void set_origin(wwh_conductor_t *conductor, const wwh_action_t *action,
@@ -20,7 +20,7 @@
 bool wwh_conductor_append(wwh_conductor_t *conductor, const char *key,
 			  wwh_record_t *record)
 {
-	wwh_pursuit_t *pursuit = wwh_conductor_pending(conductor, key);
+	wwh_retry_t *pursuit = wwh_conductor_append_retry(conductor, key);
 	wwh_origin_t origin = { .kind = WWH_ORIGIN_APPEND, .key = (char *)key };
 	wwh_action_t *action;
 
@@ -39,7 +39,7 @@
 bool wwh_conductor_is_appending(const wwh_conductor_t *conductor,
 				const char *key)
 {
-	const wwh_pursuit_t *pursuit =
+	const wwh_retry_t *pursuit =
 		g_hash_table_lookup(conductor->appends, key);
 
 	return pursuit && pursuit->action != 0;
@@ -48,11 +48,11 @@
 void wwh_conductor_defer_append(wwh_conductor_t *conductor, const char *key,
 				int64_t until_ms)
 {
-	wwh_conductor_pending(conductor, key)->next_ms = until_ms;
+	wwh_conductor_append_retry(conductor, key)->next_ms = until_ms;
 }
 
-bool wwh_conductor_command(wwh_conductor_t *conductor, wwh_actor_t *actor,
-			   wwh_command_t command, int64_t fence)
+bool wwh_conductor_send_command(wwh_conductor_t *conductor, wwh_actor_t *actor,
+				wwh_command_t command, int64_t fence)
 {
 	wwh_origin_t origin = { .kind = WWH_ORIGIN_COMMAND,
 				.key = actor->worker,
@@ -72,14 +72,16 @@
 	return true;
 }
 
-bool wwh_conductor_look(wwh_conductor_t *conductor, wwh_look_t *look)
+bool wwh_conductor_query_status(wwh_conductor_t *conductor,
+				wwh_status_query_t *look)
 {
-	wwh_origin_t origin = { .kind = WWH_ORIGIN_LOOK, .key = look->worker };
+	wwh_origin_t origin = { .kind = WWH_ORIGIN_STATUS,
+				.key = look->worker };
 	wwh_action_t *action;
 
 	if (!may_repeat(conductor, &look->pursuit))
 		return false;
-	action = add_action(conductor, WWH_ACTION_LOOK);
+	action = add_action(conductor, WWH_ACTION_GET_STATUS);
 	action->worker = g_strdup(look->worker);
 	look->pursuit.action = action->id;
 	set_origin(conductor, action, &origin);
@@ -87,8 +89,8 @@
 	return true;
 }
 
-bool wwh_conductor_order(wwh_conductor_t *conductor, wwh_job_run_t *run,
-			 wwh_task_verb_t verb)
+bool wwh_conductor_order_task(wwh_conductor_t *conductor, wwh_job_run_t *run,
+			      wwh_task_verb_t verb)
 {
 	wwh_origin_t origin = { .kind = WWH_ORIGIN_TASK,
 				.key = run->job,
@@ -113,13 +115,13 @@
 	return true;
 }
 
-void wwh_conductor_tell(wwh_conductor_t *conductor, const char *format, ...)
+void wwh_conductor_log(wwh_conductor_t *conductor, const char *format, ...)
 {
 	wwh_action_t *action = g_new0(wwh_action_t, 1);
 	va_list arguments;
 
 	va_start(arguments, format);
-	action->kind = WWH_ACTION_TELL;
+	action->kind = WWH_ACTION_LOG;
 	action->text = g_strdup_vprintf(format, arguments);
 	va_end(arguments);
 	g_queue_push_tail(&conductor->actions, action);
@@ -138,8 +140,8 @@
  * the limit, and up to half as long again by chance, so that processes that
  * were refused together don't come back together.
  */
-void wwh_conductor_settle(wwh_conductor_t *conductor, wwh_pursuit_t *pursuit,
-			  bool went_well)
+void wwh_conductor_end_attempt(wwh_conductor_t *conductor, wwh_retry_t *pursuit,
+			       bool went_well)
 {
 	const wwh_conductor_options_t *options = &conductor->options;
 	int64_t wait_ms = options->retry_min_ms;
@@ -154,14 +156,14 @@
 	pursuit->next_ms = conductor->now_ms + wait_ms;
 }
 
-wwh_pursuit_t *wwh_conductor_pending(wwh_conductor_t *conductor,
-				     const char *key)
+wwh_retry_t *wwh_conductor_append_retry(wwh_conductor_t *conductor,
+					const char *key)
 {
-	wwh_pursuit_t *pursuit = g_hash_table_lookup(conductor->appends, key);
+	wwh_retry_t *pursuit = g_hash_table_lookup(conductor->appends, key);
 
 	if (pursuit)
 		return pursuit;
-	pursuit = g_new0(wwh_pursuit_t, 1);
+	pursuit = g_new0(wwh_retry_t, 1);
 	g_hash_table_insert(conductor->appends, g_strdup(key), pursuit);
 	return pursuit;
 }
@@ -175,14 +177,14 @@
 }
 
 /* Whether an action for pursuit may go out now; its result may be overdue. */
-static bool may_repeat(wwh_conductor_t *conductor, wwh_pursuit_t *pursuit)
+static bool may_repeat(wwh_conductor_t *conductor, wwh_retry_t *pursuit)
 {
 	int64_t now_ms = conductor->now_ms;
 
 	if (pursuit->action != 0 &&
-	    now_ms - pursuit->sent_ms >= conductor->options.answer_limit_ms) {
+	    now_ms - pursuit->sent_ms >= conductor->options.answer_timeout_ms) {
 		g_hash_table_remove(conductor->origins, &pursuit->action);
-		wwh_conductor_settle(conductor, pursuit, false);
+		wwh_conductor_end_attempt(conductor, pursuit, false);
 		wwh_conductor_count(conductor, "fleet.answers_overdue");
 	}
 	if (pursuit->action != 0 || now_ms < pursuit->next_ms)
@@ -225,9 +227,10 @@
 	wwh_action_result_t result = { .id = action->id,
 				       .status = WWH_STATUS_UNAVAILABLE };
 
-	if (action->kind != WWH_ACTION_TELL)
-		wwh_conductor_result(client_data, &result,
-				     ((wwh_conductor_t *)client_data)->now_ms);
+	if (action->kind != WWH_ACTION_LOG)
+		wwh_conductor_handle_result(
+			client_data, &result,
+			((wwh_conductor_t *)client_data)->now_ms);
 	wwh_action_clear(action);
 	g_free(action);
 }
--- a/src/libwaxwinghollow/conductor_rehearsal.c
+++ b/src/libwaxwinghollow/conductor_rehearsal.c
@@ -83,8 +83,7 @@
 			run->ended_ms = conductor->now_ms;
 		run->all_back_ms = conductor->now_ms;
 		run->callers_after = conductor->callers;
-		wwh_conductor_tell(conductor, "rehearsal %s: all back",
-				   run->id);
+		wwh_conductor_log(conductor, "rehearsal %s: all back", run->id);
 	}
 }
 
@@ -176,7 +175,7 @@
 	int32_t first = WWH_FLEET_NONE;
 
 	for (int32_t i = 0; i < worker_count; i++) {
-		int32_t home = wwh_conductor_home(conductor, i);
+		int32_t home = wwh_conductor_control_pool(conductor, i);
 
 		if (is_in(conductor, rehearsal, i) && home != WWH_FLEET_NONE &&
 		    (first == WWH_FLEET_NONE || home < first))
@@ -189,8 +188,8 @@
 static bool is_in(const wwh_conductor_t *conductor,
 		  const wwh_fleet_rehearsal_t *rehearsal, int32_t worker)
 {
-	return wwh_fleet_in_domain(conductor->view, worker, rehearsal->domain,
-				   rehearsal->domain_id);
+	return wwh_fleet_is_in_domain(conductor->view, worker,
+				      rehearsal->domain, rehearsal->domain_id);
 }
 
 static wwh_rehearsal_run_t *run_for(wwh_conductor_t *conductor,
@@ -226,7 +225,7 @@
 	if (conductor->rehearsals->len >= REPORTS_KEPT)
 		g_ptr_array_remove_index(conductor->rehearsals, 0);
 	g_ptr_array_add(conductor->rehearsals, run);
-	wwh_conductor_tell(conductor, "rehearsal %s: led here", run->id);
+	wwh_conductor_log(conductor, "rehearsal %s: led here", run->id);
 	return run;
 }
 
@@ -302,10 +301,10 @@
 	if (conductor->callers.unknown - run->callers_before.unknown >
 	    options->rehearsal_unknown_max)
 		return "stopped: callers got unknown answers";
-	if (run->all_out_ms != 0 &&
-	    conductor->now_ms - run->all_out_ms >= options->rehearsal_ms)
+	if (run->all_out_ms != 0 && conductor->now_ms - run->all_out_ms >=
+					    options->rehearsal_duration_ms)
 		return "passed";
-	if (ran_ms >= options->rehearsal_limit_ms)
+	if (ran_ms >= options->rehearsal_timeout_ms)
 		return "stopped: the domain was not out in time";
 	if (run->all_out_ms == 0 && all_out(conductor, rehearsal))
 		((wwh_rehearsal_run_t *)run)->all_out_ms = conductor->now_ms;
@@ -423,9 +422,9 @@
 	if (run && !run->end_reason) {
 		run->end_reason = g_strdup(reason);
 		run->ended_ms = conductor->now_ms;
-		wwh_conductor_tell(conductor, "rehearsal %s: %s", id, reason);
+		wwh_conductor_log(conductor, "rehearsal %s: %s", id, reason);
 	}
-	wwh_conductor_record(conductor, &record, WWH_RECORD_REHEARSAL_END);
+	wwh_conductor_init_record(conductor, &record, WWH_RECORD_REHEARSAL_END);
 	wwh_record_set(&record.body.rehearsal.rehearsal, id);
 	wwh_conductor_append(conductor, key, &record);
 	g_free(key);
--- a/src/libwaxwinghollow/conductor_repair.c
+++ b/src/libwaxwinghollow/conductor_repair.c
@@ -2,17 +2,18 @@
 
 static void report_failed(wwh_conductor_t *conductor, int32_t worker);
 static void bring_back(wwh_conductor_t *conductor, int32_t worker);
-static wwh_look_t *probe_for(wwh_conductor_t *conductor, const char *worker);
+static wwh_status_query_t *probe_for(wwh_conductor_t *conductor,
+				     const char *worker);
 
-void wwh_look_free(gpointer data)
+void wwh_status_query_free(gpointer data)
 {
-	wwh_look_t *look = data;
+	wwh_status_query_t *look = data;
 
 	g_free(look->worker);
 	g_free(look);
 }
 
-void wwh_failures_step(wwh_conductor_t *conductor)
+void wwh_repairs_step(wwh_conductor_t *conductor)
 {
 	const wwh_fleet_view_t *view = conductor->view;
 	int32_t worker_count = wwh_fleet_worker_count(view);
@@ -42,11 +43,11 @@
 	char *key = g_strdup_printf("failed/%s", id);
 	wwh_record_t record;
 
-	wwh_conductor_record(conductor, &record, WWH_RECORD_WORKER_FAILED);
+	wwh_conductor_init_record(conductor, &record, WWH_RECORD_WORKER_FAILED);
 	wwh_record_set(&record.body.worker.worker, id);
 	wwh_record_set(&record.body.worker.reason, "gone from the list");
 	if (wwh_conductor_append(conductor, key, &record))
-		wwh_conductor_tell(conductor, "worker %s: failed", id);
+		wwh_conductor_log(conductor, "worker %s: failed", id);
 	g_free(key);
 }
 
@@ -59,20 +60,20 @@
 {
 	const wwh_fleet_worker_t *item =
 		wwh_fleet_worker(conductor->view, worker);
-	wwh_look_t *probe = probe_for(conductor, item->id);
+	wwh_status_query_t *probe = probe_for(conductor, item->id);
 	char *key = g_strdup_printf("returned/%s/%lld", item->id,
 				    (long long)item->failed);
 	wwh_record_t record;
 
 	if (!probe->is_new) {
-		wwh_conductor_look(conductor, probe);
+		wwh_conductor_query_status(conductor, probe);
 		g_free(key);
 		return;
 	}
 	probe->is_new = false; /* one step for each look */
 	if (probe->status.state == WWH_WORKER_UP) {
-		wwh_conductor_record(conductor, &record,
-				     WWH_RECORD_WORKER_RETURNED);
+		wwh_conductor_init_record(conductor, &record,
+					  WWH_RECORD_WORKER_RETURNED);
 		wwh_record_set(&record.body.worker.worker, item->id);
 		record.body.worker.seen = item->failed;
 		record.body.worker.fence =
@@ -87,13 +88,15 @@
 	g_free(key);
 }
 
-static wwh_look_t *probe_for(wwh_conductor_t *conductor, const char *worker)
+static wwh_status_query_t *probe_for(wwh_conductor_t *conductor,
+				     const char *worker)
 {
-	wwh_look_t *probe = g_hash_table_lookup(conductor->probes, worker);
+	wwh_status_query_t *probe =
+		g_hash_table_lookup(conductor->probes, worker);
 
 	if (probe)
 		return probe;
-	probe = g_new0(wwh_look_t, 1);
+	probe = g_new0(wwh_status_query_t, 1);
 	probe->worker = g_strdup(worker);
 	g_hash_table_insert(conductor->probes, probe->worker, probe);
 	return probe;
--- a/src/libwaxwinghollow/conductor_wave.c
+++ b/src/libwaxwinghollow/conductor_wave.c
@@ -134,7 +134,7 @@
 	bool asked;
 
 	assert(item->grant == WWH_NO_OFFSET);
-	wwh_conductor_record(conductor, &record, WWH_RECORD_GRANT_REQUEST);
+	wwh_conductor_init_record(conductor, &record, WWH_RECORD_GRANT_REQUEST);
 	wwh_record_set(&record.body.grant_request.worker, item->id);
 	wwh_record_set(&record.body.grant_request.owner, owner);
 	record.body.grant_request.reason = reason;
@@ -187,7 +187,7 @@
 		waves += wwh_fleet_pool(view, i)->wave != WWH_FLEET_NONE;
 	if (waves == 0 || (waves == conductor->planned_waves &&
 			   conductor->now_ms - conductor->planned_ms <
-				   conductor->options.replan_ms))
+				   conductor->options.replan_interval_ms))
 		return;
 	conductor->planned_waves = waves;
 	conductor->planned_ms = conductor->now_ms;
@@ -229,7 +229,7 @@
 				->failed != WWH_NO_OFFSET;
 	g_ptr_array_add(conductor->waves, run);
 	g_hash_table_insert(conductor->wave_by_id, run->id, run);
-	wwh_conductor_tell(conductor, "wave %s: conducted here", run->id);
+	wwh_conductor_log(conductor, "wave %s: conducted here", run->id);
 	return run;
 }
 
@@ -263,7 +263,7 @@
 
 	wwh_chart_step(&run->machine, event, conductor->now_ms, run);
 	if (run->machine.state != before)
-		wwh_conductor_tell(
+		wwh_conductor_log(
 			conductor, "wave %s: %s, was %s", run->id,
 			wwh_chart_state_name(conductor->wave_chart,
 					     run->machine.state),
@@ -277,7 +277,7 @@
 	const wwh_fleet_pool_t *item = wwh_fleet_pool(view, pool);
 	int32_t window_count;
 	const wwh_window_t *windows = wwh_fleet_windows(view, &window_count);
-	int64_t utc_ms = conductor->now_ms + conductor->utc_less_now_ms;
+	int64_t utc_ms = conductor->now_ms + conductor->utc_offset_ms;
 	int32_t failed = 0;
 
 	for (int32_t i = 0; i < item->size; i++) {
@@ -394,16 +394,16 @@
 					run->machine.state),
 		   "finishing") == 0 &&
 	    !wwh_conductor_is_appending(conductor, key)) {
-		wwh_conductor_record(conductor, &record,
-				     WWH_RECORD_WAVE_FINISH);
+		wwh_conductor_init_record(conductor, &record,
+					  WWH_RECORD_WAVE_FINISH);
 		wwh_record_set(&record.body.wave.wave, run->id);
 		record.body.wave.fence = wwh_fleet_pool(view, pool)->fence;
 		if (work->lost > 0) {
 			g_free(record.body.wave.reason);
 			record.body.wave.reason = g_strdup_printf(
 				"%d workers were not maintained", work->lost);
-			wwh_conductor_tell(conductor, "wave %s: %s", run->id,
-					   record.body.wave.reason);
+			wwh_conductor_log(conductor, "wave %s: %s", run->id,
+					  record.body.wave.reason);
 		}
 		wwh_conductor_append(conductor, key, &record);
 	}
--- a/src/libwaxwinghollow/conductor_worker.c
+++ b/src/libwaxwinghollow/conductor_worker.c
@@ -163,7 +163,7 @@
 	for (guint i = 0; i < conductor->actors->len; i++) {
 		wwh_actor_t *actor = conductor->actors->pdata[i];
 
-		wwh_actor_status(actor);
+		wwh_actor_apply_status(actor);
 		step(actor, EVENT_TICK);
 		if (actor->reason == WWH_GRANT_MOVE)
 			step_move(actor);
@@ -173,7 +173,7 @@
 }
 
 /* Hands the last status to the chart. */
-void wwh_actor_status(wwh_actor_t *actor)
+void wwh_actor_apply_status(wwh_actor_t *actor)
 {
 	const wwh_worker_status_t *status = &actor->look.status;
 
@@ -181,7 +181,7 @@
 		return;
 	actor->look.is_new = false;
 	/* Limits don't run on while nothing could be done. */
-	if (actor->look.silent_ms > actor->conductor->options.answer_limit_ms)
+	if (actor->look.silent_ms > actor->conductor->options.answer_timeout_ms)
 		actor->entered_ms = actor->conductor->now_ms;
 	/* Its reboot under this grant is still to come, or not over. */
 	if (actor->boots_before == WWH_FLEET_UNKNOWN &&
@@ -228,19 +228,19 @@
 	if (actor->machine.state == before)
 		return;
 	actor->entered_ms = conductor->now_ms;
-	actor->command = (wwh_pursuit_t){ 0 };
+	actor->command = (wwh_retry_t){ 0 };
 	actor->look.pursuit.next_ms = 0;
-	wwh_conductor_tell(conductor, "worker %s: %s, was %s (grant %lld, %s)",
-			   actor->worker, state_names[actor->machine.state],
-			   state_names[before], (long long)actor->grant,
-			   wwh_grant_reason_names[actor->reason]);
+	wwh_conductor_log(conductor, "worker %s: %s, was %s (grant %lld, %s)",
+			  actor->worker, state_names[actor->machine.state],
+			  state_names[before], (long long)actor->grant,
+			  wwh_grant_reason_names[actor->reason]);
 }
 
 static void step_move(wwh_actor_t *actor)
 {
 	wwh_conductor_t *conductor = actor->conductor;
 	const wwh_fleet_worker_t *worker = worker_of(actor);
-	int32_t home = wwh_conductor_home(conductor, actor->index);
+	int32_t home = wwh_conductor_control_pool(conductor, actor->index);
 	int32_t target = worker->move_to != WWH_FLEET_NONE
 				 ? worker->move_to
 				 : worker->wanted_pool;
@@ -270,7 +270,7 @@
 	if (actor->move.state == before)
 		return;
 	actor->move_entered_ms = conductor->now_ms;
-	wwh_conductor_tell(
+	wwh_conductor_log(
 		conductor, "move of %s: %s", actor->worker,
 		wwh_chart_state_name(conductor->move_chart, actor->move.state));
 }
@@ -357,7 +357,7 @@
 	const wwh_conductor_t *conductor = actor->conductor;
 
 	return conductor->now_ms - actor->look.heard_ms <
-	       conductor->options.answer_limit_ms;
+	       conductor->options.answer_timeout_ms;
 }
 
 static bool is_rebooted_for(const wwh_actor_t *actor)
@@ -386,7 +386,7 @@
 	wwh_plan_options_t options;
 	int64_t waited_ms = now_ms - actor->left_ms;
 
-	if (waited_ms < actor->conductor->options.leave_ms)
+	if (waited_ms < actor->conductor->options.cordon_delay_ms)
 		return false;
 	wwh_plan_options_defaults(&options);
 	options.buffer_weight = rules->buffer_weight;
@@ -504,11 +504,11 @@
 	g_hash_table_add(conductor->drains_given_up,
 			 g_strdup_printf("%s/%s", actor->owner, actor->worker));
 	wwh_conductor_count(conductor, "fleet.drains_given_up");
-	wwh_conductor_tell(conductor,
-			   "worker %s did not drain in time (%d tasks, %d "
-			   "requests); it is given back untouched",
-			   actor->worker, actor->look.status.running_tasks,
-			   worker_of(actor)->requests_in_progress);
+	wwh_conductor_log(conductor,
+			  "worker %s did not drain in time (%d tasks, %d "
+			  "requests); it is given back untouched",
+			  actor->worker, actor->look.status.running_tasks,
+			  worker_of(actor)->requests_in_progress);
 }
 
 static void action_back(int64_t now_ms, void *client_data)
@@ -527,8 +527,8 @@
 	(void)now_ms;
 	actor->outcome = WWH_GRANT_FAILED;
 	wwh_conductor_count(actor->conductor, "fleet.workers_lost");
-	wwh_conductor_tell(actor->conductor,
-			   "worker %s did not come back in time; it counts as "
-			   "failed",
-			   actor->worker);
+	wwh_conductor_log(actor->conductor,
+			  "worker %s did not come back in time; it counts as "
+			  "failed",
+			  actor->worker);
 }
--- a/src/libwaxwinghollow/dispatch.c
+++ b/src/libwaxwinghollow/dispatch.c
@@ -103,7 +103,7 @@
 	verdict = wwh_admission_offer(
 		service->admission, now_ms, &record->waiting,
 		wwh_dispatch_can_start(dispatch, now_ms, service));
-	if (verdict == WWH_ADMISSION_IN) {
+	if (verdict == WWH_ADMISSION_ADMITTED) {
 		let_in(dispatch, now_ms, record);
 		return;
 	}
@@ -123,13 +123,13 @@
 		return;
 	request->service->cancelled++;
 	if (request->state != WWH_REQUEST_RUNNING)
-		kind = wwh_retry_truthful(WWH_ERROR_CALLER_GONE_NOT_RUN,
-					  request->may_have_run);
+		kind = wwh_retry_reported_kind(WWH_ERROR_CALLER_GONE_NOT_RUN,
+					       request->may_have_run);
 	wwh_dispatch_end(dispatch, now_ms, request, kind, 0);
 }
 
-void wwh_dispatch_finished(wwh_dispatch_t *dispatch, int64_t now_ms,
-			   const wwh_dispatch_result_t *result)
+void wwh_dispatch_finish_attempt(wwh_dispatch_t *dispatch, int64_t now_ms,
+				 const wwh_dispatch_result_t *result)
 {
 	wwh_request_record_t *request =
 		g_hash_table_lookup(dispatch->requests, &result->request);
@@ -139,7 +139,7 @@
 	assert(g_str_equal(request->minion->id, result->minion));
 	service = request->service;
 	wwh_dispatch_attempt_ended(dispatch, now_ms, request, result);
-	wwh_dispatch_pump(dispatch, now_ms, service);
+	wwh_dispatch_start_waiting(dispatch, now_ms, service);
 }
 
 void wwh_dispatch_tick(wwh_dispatch_t *dispatch, int64_t now_ms)
@@ -154,7 +154,7 @@
 	node = wwh_heap_first(&dispatch->wakes);
 	while (node != NULL && node->key <= (double)now_ms) {
 		wwh_heap_remove(&dispatch->wakes, node);
-		wwh_dispatch_pump(dispatch, now_ms, node->owner);
+		wwh_dispatch_start_waiting(dispatch, now_ms, node->owner);
 		node = wwh_heap_first(&dispatch->wakes);
 	}
 }
@@ -328,8 +328,8 @@
 	dispatch->waiting_bytes += record->waiting.bytes;
 	record->state = WWH_REQUEST_WAITING;
 	wwh_dispatch_set_timer(dispatch, &dispatch->timers, &record->timer,
-			       record->waiting.give_up_ms);
-	wwh_dispatch_pump(dispatch, now_ms, service);
+			       record->waiting.latest_start_ms);
+	wwh_dispatch_start_waiting(dispatch, now_ms, service);
 }
 
 /* In the order of their ids, not in that of the table. */
@@ -348,10 +348,11 @@
 
 		if (request->minion != NULL)
 			continue;
-		wwh_dispatch_end(dispatch, now_ms, request,
-				 wwh_retry_truthful(WWH_ERROR_SHUTTING_DOWN,
-						    request->may_have_run),
-				 SHUTDOWN_RETRY_MS);
+		wwh_dispatch_end(
+			dispatch, now_ms, request,
+			wwh_retry_reported_kind(WWH_ERROR_SHUTTING_DOWN,
+						request->may_have_run),
+			SHUTDOWN_RETRY_MS);
 	}
 	g_ptr_array_free(requests, TRUE);
 }
@@ -373,7 +374,7 @@
 	if (request->state == WWH_REQUEST_BACKING_OFF && !dispatch->closed &&
 	    service->configured) {
 		wwh_dispatch_enqueue(dispatch, now_ms, request);
-		wwh_dispatch_pump(dispatch, now_ms, service);
+		wwh_dispatch_start_waiting(dispatch, now_ms, service);
 		return;
 	}
 	kind = WWH_ERROR_DEADLINE_NOT_RUN;
@@ -383,7 +384,7 @@
 		kind = WWH_ERROR_NO_SUCH_SERVICE;
 	else if (now_ms < request->waiting.deadline_ms)
 		kind = WWH_ERROR_WAIT_TOO_LONG;
-	kind = wwh_retry_truthful(kind, request->may_have_run);
+	kind = wwh_retry_reported_kind(kind, request->may_have_run);
 	wwh_dispatch_end(dispatch, now_ms, request, kind,
 			 wwh_dispatch_retry_after(dispatch, now_ms, service,
 						  request->waiting.urgent,
--- a/src/libwaxwinghollow/dispatch_dump.c
+++ b/src/libwaxwinghollow/dispatch_dump.c
@@ -22,7 +22,7 @@
 	show(&dump, "running", dispatch->running);
 	show(&dump, "seat_count", dispatch->share.seat_count);
 	show(&dump, "seats_held", __builtin_popcountll(dispatch->share.seats));
-	show(&dump, "seats_settled", wwh_dispatch_share_settled(dispatch));
+	show(&dump, "seats_settled", wwh_dispatch_is_within_share(dispatch));
 	for (guint i = 0; i < dispatch->service_list->len; i++)
 		show_service(&dump,
 			     g_ptr_array_index(dispatch->service_list, i));
@@ -57,7 +57,7 @@
 
 	show(&own, "waiting", wwh_admission_waiting(admission));
 	show(&own, "waiting_bytes", wwh_admission_waiting_bytes(admission));
-	show(&own, "waiting_callers", wwh_admission_callers(admission));
+	show(&own, "waiting_callers", wwh_admission_waiting_callers(admission));
 	show(&own, "running", service->running);
 	show(&own, "arrived", service->arrived);
 	show(&own, "answered", service->answered);
--- a/src/libwaxwinghollow/dispatch_loan.c
+++ b/src/libwaxwinghollow/dispatch_loan.c
@@ -12,9 +12,10 @@
 static void lend_idle(wwh_minion_record_t *minion, uint64_t peer);
 static int32_t lendable(const wwh_minion_record_t *minion);
 
-void wwh_dispatch_loans_tell(wwh_dispatch_t *dispatch, int64_t now_ms,
-			     uint64_t peer, wwh_dispatch_loan_visit_t visit,
-			     void *client_data)
+void wwh_dispatch_loans_visit_updates(wwh_dispatch_t *dispatch, int64_t now_ms,
+				      uint64_t peer,
+				      wwh_dispatch_loan_visit_t visit,
+				      void *client_data)
 {
 	for (guint i = 0; i < dispatch->minion_list->len; i++) {
 		wwh_minion_record_t *minion =
@@ -23,21 +24,22 @@
 
 		return_idle(minion, peer);
 		lend_idle(minion, peer);
-		if (wwh_bearing_advance(&minion->bearing, now_ms))
+		if (wwh_slot_limit_advance(&minion->bearing, now_ms))
 			wwh_dispatch_set_seats(dispatch, minion);
 		loan.wanted = wanted_slots(minion, now_ms);
 		loan.bears = minion->bearing.bears;
 		loan.bears_version = minion->bearing.version;
-		if (!wwh_loan_told(minion->loans, peer, loan.wanted,
-				   loan.bears_version, now_ms))
+		if (!wwh_loan_mark_sent_if_due(minion->loans, peer, loan.wanted,
+					       loan.bears_version, now_ms))
 			continue;
-		loan.totals = wwh_loan_tell(minion->loans, peer);
+		loan.totals = wwh_loan_totals(minion->loans, peer);
 		visit(&loan, client_data);
 	}
 }
 
-void wwh_dispatch_loan_hear(wwh_dispatch_t *dispatch, int64_t now_ms,
-			    uint64_t peer, const wwh_dispatch_loan_t *loan)
+void wwh_dispatch_loans_apply_update(wwh_dispatch_t *dispatch, int64_t now_ms,
+				     uint64_t peer,
+				     const wwh_dispatch_loan_t *loan)
 {
 	wwh_minion_record_t *minion =
 		g_hash_table_lookup(dispatch->minions, loan->minion);
@@ -45,38 +47,38 @@
 
 	if (minion == NULL)
 		return;
-	gained = wwh_loan_hear(minion->loans, peer, loan->totals);
-	if (wwh_bearing_hear(&minion->bearing, now_ms, loan->bears_version,
-			     loan->bears))
+	gained = wwh_loan_apply_totals(minion->loans, peer, loan->totals);
+	if (wwh_slot_limit_handle_update(&minion->bearing, now_ms,
+					 loan->bears_version, loan->bears))
 		wwh_dispatch_set_seats(dispatch, minion);
-	wwh_loan_want(minion->loans, peer, loan->wanted);
+	wwh_loan_set_wanted_by(minion->loans, peer, loan->wanted);
 	wwh_dispatch_apply_share(minion);
-	wwh_dispatch_settle_loans(minion);
+	wwh_dispatch_return_recalled_slots(minion);
 	lend_idle(minion, peer);
 	if (minion->service == NULL)
 		return;
-	wwh_dispatch_capacity(minion->service);
+	wwh_dispatch_update_capacity(minion->service);
 	if (gained)
-		wwh_dispatch_pump(dispatch, now_ms, minion->service);
+		wwh_dispatch_start_waiting(dispatch, now_ms, minion->service);
 }
 
-void wwh_dispatch_loans_forget(wwh_dispatch_t *dispatch, int64_t now_ms,
-			       uint64_t peer)
+void wwh_dispatch_loans_remove_peer(wwh_dispatch_t *dispatch, int64_t now_ms,
+				    uint64_t peer)
 {
 	for (guint i = 0; i < dispatch->minion_list->len; i++) {
 		wwh_minion_record_t *minion =
 			g_ptr_array_index(dispatch->minion_list, i);
 
-		wwh_loan_forget(minion->loans, peer);
+		wwh_loan_remove_peer(minion->loans, peer);
 		wwh_dispatch_apply_share(minion);
 	}
 	for (guint i = 0; i < dispatch->service_list->len; i++)
-		wwh_dispatch_capacity(
+		wwh_dispatch_update_capacity(
 			g_ptr_array_index(dispatch->service_list, i));
-	wwh_dispatch_pump_all(dispatch, now_ms);
+	wwh_dispatch_start_all_waiting(dispatch, now_ms);
 }
 
-void wwh_dispatch_settle_loans(wwh_minion_record_t *minion)
+void wwh_dispatch_return_recalled_slots(wwh_minion_record_t *minion)
 {
 	uint64_t peer;
 
--- a/src/libwaxwinghollow/dispatch_run.c
+++ b/src/libwaxwinghollow/dispatch_run.c
@@ -32,7 +32,7 @@
 		    wwh_request_record_t *request,
 		    const wwh_dispatch_result_t *result);
 static void judge(wwh_minion_record_t *minion, int64_t now_ms);
-static wwh_sign_t sign_of(wwh_outcome_t outcome, bool had_time);
+static wwh_health_signal_t sign_of(wwh_outcome_t outcome, bool had_time);
 static int32_t refusal_pause_ms(const wwh_minion_record_t *minion,
 				const wwh_dispatch_result_t *result);
 static bool learn_bearing(wwh_minion_record_t *minion, int64_t now_ms,
@@ -44,8 +44,8 @@
 static void stop_waiting(wwh_dispatch_t *dispatch, int64_t now_ms,
 			 wwh_request_record_t *request, bool starts);
 
-void wwh_dispatch_pump(wwh_dispatch_t *dispatch, int64_t now_ms,
-		       wwh_service_state_t *service)
+void wwh_dispatch_start_waiting(wwh_dispatch_t *dispatch, int64_t now_ms,
+				wwh_service_state_t *service)
 {
 	wwh_waiting_t *waiting = wwh_admission_peek(service->admission);
 
@@ -63,11 +63,12 @@
 	arm_wake(dispatch, now_ms, service);
 }
 
-void wwh_dispatch_pump_all(wwh_dispatch_t *dispatch, int64_t now_ms)
+void wwh_dispatch_start_all_waiting(wwh_dispatch_t *dispatch, int64_t now_ms)
 {
 	for (guint i = 0; i < dispatch->service_list->len; i++)
-		wwh_dispatch_pump(dispatch, now_ms,
-				  g_ptr_array_index(dispatch->service_list, i));
+		wwh_dispatch_start_waiting(
+			dispatch, now_ms,
+			g_ptr_array_index(dispatch->service_list, i));
 }
 
 bool wwh_dispatch_can_start(wwh_dispatch_t *dispatch, int64_t now_ms,
@@ -90,13 +91,13 @@
 	int64_t need_ms = wwh_admission_median_ms(admission);
 
 	request->state = WWH_REQUEST_WAITING;
-	request->waiting.give_up_ms =
+	request->waiting.latest_start_ms =
 		request->waiting.deadline_ms - MIN(need_ms, remaining_ms / 2);
-	wwh_admission_return(admission, now_ms, &request->waiting);
+	wwh_admission_requeue(admission, now_ms, &request->waiting);
 	dispatch->waiting++;
 	dispatch->waiting_bytes += request->waiting.bytes;
 	wwh_dispatch_set_timer(dispatch, &dispatch->timers, &request->timer,
-			       request->waiting.give_up_ms);
+			       request->waiting.latest_start_ms);
 }
 
 void wwh_dispatch_attempt_ended(wwh_dispatch_t *dispatch, int64_t now_ms,
@@ -110,7 +111,7 @@
 
 	account(dispatch, now_ms, request, result);
 	if (request->state == WWH_REQUEST_ENDED_RUNNING) {
-		wwh_dispatch_forget(dispatch, request);
+		wwh_dispatch_remove_request(dispatch, request);
 		return;
 	}
 	attempt.outcome = result->outcome;
@@ -127,7 +128,7 @@
 				    dispatch->options.random);
 	request->may_have_run = decision.may_have_run;
 	request->retry_after_ms = result->retry_after_ms;
-	if (decision.again && !dispatch->closed && service->configured) {
+	if (decision.should_retry && !dispatch->closed && service->configured) {
 		service->retries++;
 		back_off(dispatch, now_ms, request, decision.delay_ms);
 		return;
@@ -154,7 +155,7 @@
 		request->state = WWH_REQUEST_ENDED_RUNNING;
 		return;
 	}
-	wwh_dispatch_forget(dispatch, request);
+	wwh_dispatch_remove_request(dispatch, request);
 }
 
 void wwh_dispatch_emit_end(wwh_dispatch_t *dispatch, uint64_t request,
@@ -168,8 +169,8 @@
 	g_array_append_val(dispatch->decisions, decision);
 }
 
-void wwh_dispatch_forget(wwh_dispatch_t *dispatch,
-			 wwh_request_record_t *request)
+void wwh_dispatch_remove_request(wwh_dispatch_t *dispatch,
+				 wwh_request_record_t *request)
 {
 	wwh_dispatch_clear_timer(&dispatch->timers, &request->timer);
 	request->service->active--;
@@ -232,8 +233,8 @@
 		routed[i].run_ms = minion->ejection.run_ms.value;
 		routed[i].avoid =
 			was_tried(request, minion) ||
-			wwh_router_stalled(now_ms, minion->limiter.running,
-					   minion->quiet_since_ms, p90_ms);
+			wwh_router_is_stalled(now_ms, minion->limiter.running,
+					      minion->quiet_since_ms, p90_ms);
 	}
 	index = wwh_router_pick(routed, count, dispatch->options.random);
 	return index < 0 ? NULL : g_ptr_array_index(service->minions, index);
@@ -246,14 +247,14 @@
 	if (!wwh_minion_takes_work(minion) || now_ms < minion->blocked_until_ms)
 		return false;
 	wwh_ejection_advance(&minion->ejection, now_ms);
-	if (!wwh_ejection_usable(&minion->ejection, minion->limiter.running))
+	if (!wwh_ejection_is_usable(&minion->ejection, minion->limiter.running))
 		return false;
 	ramp = ramp_of(minion, now_ms);
 	return wwh_limiter_has_room(&minion->limiter, now_ms, ramp);
 }
 
 /*
- * A request that can't be tried again is the last choice for a probe: only
+ * A request that can't be tried should_retry is the last choice for a probe: only
  * when no idempotent one has come for a while.
  */
 static bool may_probe(const wwh_request_record_t *request,
@@ -305,7 +306,7 @@
 	wwh_decision_t decision = { .type = WWH_DECISION_START };
 
 	if (request->attempts == 0)
-		wwh_retry_first_attempt(&service->budget);
+		wwh_retry_credit_first_attempt(&service->budget);
 	request->attempts++;
 	request->minion = minion;
 	request->state = WWH_REQUEST_RUNNING;
@@ -342,7 +343,7 @@
 		(int64_t)TIMEOUT_RUNS * wwh_admission_p90_ms(admission);
 	int64_t caller_ms =
 		(int64_t)TIMEOUT_CALLER_RUNS *
-		wwh_admission_caller_ms(admission, request->waiting.caller);
+		wwh_admission_caller_run_ms(admission, request->waiting.caller);
 	int64_t least_ms = MAX(MAX(runs_ms, caller_ms), remaining_ms / 2);
 
 	if (request->idempotent &&
@@ -352,7 +353,7 @@
 	return (int32_t)CLAMP(remaining_ms, 1, INT32_MAX);
 }
 
-/* Without it, a minion that has room again by time alone would stay idle. */
+/* Without it, a minion that has room should_retry by time alone would stay idle. */
 static void arm_wake(wwh_dispatch_t *dispatch, int64_t now_ms,
 		     wwh_service_state_t *service)
 {
@@ -406,7 +407,7 @@
 	bool had_time =
 		result->latency_ms >=
 		HAD_TIME_RUNS * wwh_admission_p90_ms(service->admission);
-	wwh_sign_t sign = sign_of(result->outcome, had_time);
+	wwh_health_signal_t sign = sign_of(result->outcome, had_time);
 
 	request->minion = NULL;
 	if (request->tried_count < WWH_TRIED_MAX) {
@@ -417,15 +418,18 @@
 	dispatch->running--;
 	minion->quiet_since_ms = now_ms;
 	wwh_limiter_finish(&minion->limiter, now_ms, ramp,
-			   sign == WWH_SIGN_GOOD ? result->latency_ms : 0);
+			   sign == WWH_HEALTH_SIGNAL_GOOD ? result->latency_ms
+							  : 0);
 	wwh_ejection_observe(&minion->ejection, now_ms, sign,
 			     result->latency_ms);
 	if (result->outcome == WWH_OUTCOME_ANSWERED) {
 		service->answered++;
-		wwh_admission_ran(service->admission, request->waiting.caller,
-				  result->latency_ms);
+		wwh_admission_record_run(service->admission,
+					 request->waiting.caller,
+					 result->latency_ms);
 	}
-	minion->failed += sign == WWH_SIGN_FAILED || sign == WWH_SIGN_SILENT;
+	minion->failed += sign == WWH_HEALTH_SIGNAL_FAILED ||
+			  sign == WWH_HEALTH_SIGNAL_SILENT;
 	minion->refused += result->outcome == WWH_OUTCOME_REFUSED;
 	if (result->outcome == WWH_OUTCOME_REFUSED)
 		minion->blocked_until_ms =
@@ -433,8 +437,8 @@
 	if (learn_bearing(minion, now_ms, result->outcome))
 		wwh_dispatch_set_seats(dispatch, minion);
 	judge(minion, now_ms);
-	wwh_dispatch_settle_loans(minion);
-	wwh_dispatch_capacity(service);
+	wwh_dispatch_return_recalled_slots(minion);
+	wwh_dispatch_update_capacity(service);
 }
 
 static void judge(wwh_minion_record_t *minion, int64_t now_ms)
@@ -460,8 +464,8 @@
 	}
 	if (index < 0)
 		return;
-	if (wwh_ejection_judge(peers, count, index, now_ms,
-			       &service->ejections))
+	if (wwh_ejection_evaluate(peers, count, index, now_ms,
+				  &service->ejections))
 		minion->ejected++;
 }
 
@@ -469,18 +473,19 @@
  * An attempt that began shortly before the deadline is silent for want of
  * time; to blame the minion would take slots away just under saturation.
  */
-static wwh_sign_t sign_of(wwh_outcome_t outcome, bool had_time)
+static wwh_health_signal_t sign_of(wwh_outcome_t outcome, bool had_time)
 {
 	switch (outcome) {
 	case WWH_OUTCOME_ANSWERED:
-		return WWH_SIGN_GOOD;
+		return WWH_HEALTH_SIGNAL_GOOD;
 	case WWH_OUTCOME_SILENT:
-		return had_time ? WWH_SIGN_SILENT : WWH_SIGN_NONE;
+		return had_time ? WWH_HEALTH_SIGNAL_SILENT
+				: WWH_HEALTH_SIGNAL_NONE;
 	case WWH_OUTCOME_REFUSED:
 	case WWH_OUTCOME_ABORTED:
-		return WWH_SIGN_NONE;
+		return WWH_HEALTH_SIGNAL_NONE;
 	default:
-		return WWH_SIGN_FAILED;
+		return WWH_HEALTH_SIGNAL_FAILED;
 	}
 }
 
@@ -502,11 +507,11 @@
 			  wwh_outcome_t outcome)
 {
 	if (outcome == WWH_OUTCOME_REFUSED)
-		return wwh_bearing_refused(&minion->bearing, now_ms,
-					   minion->limiter.run_ms);
+		return wwh_slot_limit_record_refusal(&minion->bearing, now_ms,
+						     minion->limiter.run_ms);
 	if (outcome == WWH_OUTCOME_ANSWERED)
-		wwh_bearing_answered(&minion->bearing);
-	return wwh_bearing_advance(&minion->bearing, now_ms);
+		wwh_slot_limit_record_answer(&minion->bearing);
+	return wwh_slot_limit_advance(&minion->bearing, now_ms);
 }
 
 static bool other_usable(const wwh_request_record_t *request,
@@ -549,7 +554,7 @@
 	dispatch->waiting--;
 	dispatch->waiting_bytes -= request->waiting.bytes;
 	if (starts)
-		wwh_admission_take(admission, now_ms, &request->waiting);
+		wwh_admission_start(admission, now_ms, &request->waiting);
 	else
 		wwh_admission_remove(admission, now_ms, &request->waiting);
 }
--- a/src/libwaxwinghollow/dispatch_setup.c
+++ b/src/libwaxwinghollow/dispatch_setup.c
@@ -69,11 +69,11 @@
 					MAX(service->minions->len / 2, 1));
 		if (!service->configured)
 			end_unconfigured(dispatch, now_ms, service);
-		wwh_dispatch_capacity(service);
+		wwh_dispatch_update_capacity(service);
 	}
 	release_unused(dispatch);
 	dispatch->set_up = true;
-	wwh_dispatch_pump_all(dispatch, now_ms);
+	wwh_dispatch_start_all_waiting(dispatch, now_ms);
 	return WWH_STATUS_OK;
 }
 
@@ -92,19 +92,19 @@
 	/* a lease is renewed ten times a second, whatever the minions' number */
 	if (same) {
 		if (lapsed)
-			wwh_dispatch_pump_all(dispatch, now_ms);
+			wwh_dispatch_start_all_waiting(dispatch, now_ms);
 		return;
 	}
 	for (guint i = 0; i < dispatch->minion_list->len; i++)
 		wwh_dispatch_set_seats(
 			dispatch, g_ptr_array_index(dispatch->minion_list, i));
 	for (guint i = 0; i < dispatch->service_list->len; i++)
-		wwh_dispatch_capacity(
+		wwh_dispatch_update_capacity(
 			g_ptr_array_index(dispatch->service_list, i));
-	wwh_dispatch_pump_all(dispatch, now_ms);
+	wwh_dispatch_start_all_waiting(dispatch, now_ms);
 }
 
-bool wwh_dispatch_share_settled(const wwh_dispatch_t *dispatch)
+bool wwh_dispatch_is_within_share(const wwh_dispatch_t *dispatch)
 {
 	for (guint i = 0; i < dispatch->minion_list->len; i++) {
 		const wwh_minion_record_t *minion =
@@ -119,8 +119,8 @@
 	return true;
 }
 
-void wwh_dispatch_minion_state(wwh_dispatch_t *dispatch, int64_t now_ms,
-			       const char *minion, wwh_minion_state_t state)
+void wwh_dispatch_set_minion_state(wwh_dispatch_t *dispatch, int64_t now_ms,
+				   const char *minion, wwh_minion_state_t state)
 {
 	wwh_minion_record_t *record =
 		g_hash_table_lookup(dispatch->minions, minion);
@@ -139,8 +139,8 @@
 	}
 	if (record->service == NULL)
 		return;
-	wwh_dispatch_capacity(record->service);
-	wwh_dispatch_pump(dispatch, now_ms, record->service);
+	wwh_dispatch_update_capacity(record->service);
+	wwh_dispatch_start_waiting(dispatch, now_ms, record->service);
 }
 
 void wwh_dispatch_apply_share(wwh_minion_record_t *minion)
@@ -155,7 +155,7 @@
 		wwh_limiter_set_share(&minion->limiter, share);
 }
 
-void wwh_dispatch_capacity(wwh_service_state_t *service)
+void wwh_dispatch_update_capacity(wwh_service_state_t *service)
 {
 	double slots = 0;
 
@@ -167,7 +167,7 @@
 		    minion->ejection.state == WWH_EJECTION_IN)
 			slots += minion->limiter.share;
 	}
-	wwh_admission_capacity(service->admission, slots);
+	wwh_admission_set_capacity(service->admission, slots);
 }
 
 bool wwh_minion_takes_work(const wwh_minion_record_t *minion)
@@ -231,7 +231,7 @@
 		minion->own_zone = g_strcmp0(from->zone, dispatch->zone) == 0;
 		/* Declared anew, it is believed anew. */
 		if (minion->slots != from->slots)
-			wwh_bearing_init(&minion->bearing, from->slots);
+			wwh_slot_limit_init(&minion->bearing, from->slots);
 		minion->slots = from->slots;
 		minion->connections = from->connections;
 		minion->configured_leaving = from->leaving;
@@ -321,10 +321,11 @@
 	while (waiting != NULL) {
 		wwh_request_record_t *request = waiting->owner;
 
-		wwh_dispatch_end(dispatch, now_ms, request,
-				 wwh_retry_truthful(WWH_ERROR_NO_SUCH_SERVICE,
-						    request->may_have_run),
-				 0);
+		wwh_dispatch_end(
+			dispatch, now_ms, request,
+			wwh_retry_reported_kind(WWH_ERROR_NO_SUCH_SERVICE,
+						request->may_have_run),
+			0);
 		waiting = wwh_admission_peek(service->admission);
 	}
 }
--- a/src/libwaxwinghollow/ejection.c
+++ b/src/libwaxwinghollow/ejection.c
@@ -31,7 +31,7 @@
 	"trial",
 };
 
-const char *const wwh_sign_names[WWH_SIGN_COUNT] = {
+const char *const wwh_health_signal_names[WWH_HEALTH_SIGNAL_COUNT] = {
 	"good",
 	"failed",
 	"silent",
@@ -60,11 +60,11 @@
 }
 
 void wwh_ejection_observe(wwh_ejection_t *ejection, int64_t now_ms,
-			  wwh_sign_t sign, int32_t run_ms)
+			  wwh_health_signal_t sign, int32_t run_ms)
 {
 	decay(ejection, now_ms);
 	switch (sign) {
-	case WWH_SIGN_GOOD:
+	case WWH_HEALTH_SIGNAL_GOOD:
 		ejection->in_a_row = 0;
 		ejection->good += 1;
 		ejection->good_probes++;
@@ -72,12 +72,12 @@
 		ejection->last_run_ms = run_ms;
 		ejection->fresh = true;
 		break;
-	case WWH_SIGN_FAILED:
+	case WWH_HEALTH_SIGNAL_FAILED:
 		ejection->in_a_row++;
 		ejection->failed += 1;
 		ejection->good_probes = 0;
 		break;
-	case WWH_SIGN_SILENT:
+	case WWH_HEALTH_SIGNAL_SILENT:
 		ejection->in_a_row += SILENT_WEIGHT;
 		ejection->failed += SILENT_WEIGHT;
 		ejection->good_probes = 0;
@@ -87,9 +87,9 @@
 	}
 }
 
-bool wwh_ejection_judge(wwh_ejection_t *const *minions, int32_t count,
-			int32_t index, int64_t now_ms,
-			wwh_shift_bucket_t *bucket)
+bool wwh_ejection_evaluate(wwh_ejection_t *const *minions, int32_t count,
+			   int32_t index, int64_t now_ms,
+			   wwh_shift_bucket_t *bucket)
 {
 	wwh_ejection_t *ejection = minions[index];
 	bool slow;
@@ -137,7 +137,7 @@
 		ejection->run_ms = (wwh_quantile_t){ .coarse = true };
 }
 
-bool wwh_ejection_usable(const wwh_ejection_t *ejection, int32_t running)
+bool wwh_ejection_is_usable(const wwh_ejection_t *ejection, int32_t running)
 {
 	if (ejection->state == WWH_EJECTION_OUT)
 		return false;
--- a/src/libwaxwinghollow/entry_caller.c
+++ b/src/libwaxwinghollow/entry_caller.c
@@ -195,8 +195,8 @@
 	wwh_error_kind_t kind = WWH_ERROR_NONE;
 	wwh_decision_t decision;
 
-	while (wwh_request_next(call->request, call->http->caller_fd,
-				&decision)) {
+	while (wwh_request_wait_decision(call->request, call->http->caller_fd,
+					 &decision)) {
 		if (decision.type == WWH_DECISION_END) {
 			call->retry_after_ms = decision.retry_after_ms;
 			/*
@@ -485,8 +485,8 @@
 	wwh_key_view_t view;
 
 	g_mutex_lock(&entry->state_lock);
-	switch (wwh_intents_key(entry->intents, call->service->id, call->key,
-				call->fingerprint, &view)) {
+	switch (wwh_intents_lookup_key(entry->intents, call->service->id,
+				       call->key, call->fingerprint, &view)) {
 	case WWH_KEY_NONE:
 	case WWH_KEY_NOT_RUN:
 		break;
--- a/src/libwaxwinghollow/entry_control.c
+++ b/src/libwaxwinghollow/entry_control.c
@@ -94,7 +94,7 @@
 {
 	int64_t end_ms = wwh_now_ms() + SEATS_RELEASE_LIMIT_MS;
 
-	while (!wwh_seats_given_back(control->entry->seats) &&
+	while (!wwh_seats_has_left(control->entry->seats) &&
 	       wwh_now_ms() < end_ms) {
 		wwh_seats_round(control->entry->seats, true);
 		g_usleep(MILLISECOND_US);
@@ -145,10 +145,10 @@
 	wwh_entry_t *entry = client_data;
 
 	wwh_entry_peers_list_host(entry->peers, host);
-	wwh_entry_fleet_host(entry->fleet, host);
+	wwh_entry_fleet_observe_host(entry->fleet, host);
 	if (host->kind == WWH_HOST_ENTRY)
-		wwh_seats_host(entry->seats, host->id,
-			       host->state == WWH_HOST_GONE);
+		wwh_seats_set_host_gone(entry->seats, host->id,
+					host->state == WWH_HOST_GONE);
 }
 
 static bool is_stopping(wwh_entry_control_t *control)
--- a/src/libwaxwinghollow/entry_exchange.c
+++ b/src/libwaxwinghollow/entry_exchange.c
@@ -38,34 +38,34 @@
 void wwh_peers_handle_vote_request(wwh_entry_peers_t *peers, const char *from,
 				   const uint8_t *payload, size_t size)
 {
-	wwh_seat_answer_t answer = {
+	wwh_vote_answer_t answer = {
 		.process = wwh_seat_process_id(peers->entry->author),
 	};
-	wwh_seat_ask_t ask;
+	wwh_vote_request_t ask;
 	GBytes *bytes;
 
-	if (!wwh_seat_ask_decode(payload, size, &ask) ||
+	if (!wwh_vote_request_decode(payload, size, &ask) ||
 	    !wwh_seats_may_vote(peers->entry->seats, ask.process,
 				&answer.seats))
 		return;
 	answer.sent_ms = ask.sent_ms;
-	bytes = wwh_seat_answer_encode(&answer);
-	wwh_peers_send(peers, from, WWH_FRAME_SEAT_ANSWER, bytes);
+	bytes = wwh_vote_answer_encode(&answer);
+	wwh_peers_send(peers, from, WWH_FRAME_VOTE_ANSWER, bytes);
 	g_bytes_unref(bytes);
 }
 
 void wwh_peers_handle_vote(wwh_entry_peers_t *peers, const uint8_t *payload,
 			   size_t size)
 {
-	wwh_seat_answer_t answer;
+	wwh_vote_answer_t answer;
 	wwh_seat_vote_t vote;
 
-	if (!wwh_seat_answer_decode(payload, size, &answer))
+	if (!wwh_vote_answer_decode(payload, size, &answer))
 		return;
 	vote.member = answer.process;
 	vote.seats = answer.seats;
 	vote.sent_ms = answer.sent_ms;
-	wwh_seats_take_vote(peers->entry->seats, &vote);
+	wwh_seats_handle_vote(peers->entry->seats, &vote);
 }
 
 void wwh_peers_handle_loans(wwh_entry_peers_t *peers, const uint8_t *payload,
@@ -85,12 +85,12 @@
 				.bears_version = (uint32_t)item->bears_version,
 			};
 
-			wwh_request_table_loan_hear(peers->entry->requests,
-						    message.process, &loan);
+			wwh_request_table_handle_loan(peers->entry->requests,
+						      message.process, &loan);
 		}
 		/* the sender may have left, its loans removed, meanwhile */
 		if (!wwh_seats_is_member(peers->entry->seats, message.process))
-			wwh_entry_peers_forget(peers, message.process);
+			wwh_entry_peers_forget_loans(peers, message.process);
 	}
 	wwh_loan_message_clear(&message);
 }
@@ -115,9 +115,9 @@
 			continue;
 		wwh_loan_message_init(&message);
 		message.process = wwh_seat_process_id(peers->entry->author);
-		wwh_request_table_loans_tell(peers->entry->requests,
-					     target->process, add_loan,
-					     &message);
+		wwh_request_table_report_loans(peers->entry->requests,
+					       target->process, add_loan,
+					       &message);
 		if (message.items->len > 0) {
 			bytes = wwh_loan_message_encode(&message);
 			wwh_peers_send(peers, target->address, WWH_FRAME_LOAN,
@@ -135,7 +135,7 @@
 	wwh_drain_message_t message;
 
 	if (wwh_drain_message_decode(payload, size, &message))
-		wwh_entry_fleet_hear(peers->entry->fleet, &message);
+		wwh_entry_fleet_handle_drains(peers->entry->fleet, &message);
 	wwh_drain_message_clear(&message);
 }
 
@@ -149,7 +149,7 @@
 		return;
 	peers->next_drain_ms = now_ms + DRAIN_PERIOD_MS;
 	wwh_drain_message_init(&message);
-	wwh_entry_fleet_tell(peers->entry->fleet, &message);
+	wwh_entry_fleet_report_drains(peers->entry->fleet, &message);
 	if (message.items->len > 0) {
 		targets = wwh_peers_alive(peers);
 		bytes = wwh_drain_message_encode(&message);
--- a/src/libwaxwinghollow/entry_fleet.c
+++ b/src/libwaxwinghollow/entry_fleet.c
@@ -85,11 +85,11 @@
 	conductor.author = entry->author;
 	conductor.seed = g_random_int();
 	conductor.counters = entry->counters;
-	conductor.leave_ms = entry->settings->worker_leave_ms;
-	conductor.look_ms = entry->settings->worker_look_ms;
+	conductor.cordon_delay_ms = entry->settings->worker_leave_ms;
+	conductor.status_interval_ms = entry->settings->worker_look_ms;
 	conductor.check_ms = entry->settings->worker_check_ms;
 	conductor.slow_start_ms = entry->settings->worker_slow_start_ms;
-	conductor.rehearsal_ms = entry->settings->rehearsal_hold_ms;
+	conductor.rehearsal_duration_ms = entry->settings->rehearsal_hold_ms;
 	fleet->conductor = wwh_conductor_new(&conductor);
 	fleet->shards = wwh_entry_shards_new(entry);
 	fleet->out =
@@ -146,14 +146,15 @@
 	g_free(fleet);
 }
 
-void wwh_entry_fleet_host(wwh_entry_fleet_t *fleet, const wwh_host_t *host)
+void wwh_entry_fleet_observe_host(wwh_entry_fleet_t *fleet,
+				  const wwh_host_t *host)
 {
 	g_mutex_lock(&fleet->lock);
-	wwh_observations_host(fleet->observations, host);
+	wwh_observations_set_host(fleet->observations, host);
 	g_mutex_unlock(&fleet->lock);
 }
 
-bool wwh_entry_fleet_worker_out(wwh_entry_fleet_t *fleet, const char *worker)
+bool wwh_entry_fleet_is_worker_out(wwh_entry_fleet_t *fleet, const char *worker)
 {
 	bool out;
 
@@ -163,8 +164,8 @@
 	return out;
 }
 
-void wwh_entry_fleet_hear(wwh_entry_fleet_t *fleet,
-			  const wwh_drain_message_t *message)
+void wwh_entry_fleet_handle_drains(wwh_entry_fleet_t *fleet,
+				   const wwh_drain_message_t *message)
 {
 	g_mutex_lock(&fleet->lock);
 	for (guint i = 0; i < message->items->len; i++) {
@@ -183,8 +184,8 @@
 	g_mutex_unlock(&fleet->lock);
 }
 
-void wwh_entry_fleet_tell(wwh_entry_fleet_t *fleet,
-			  wwh_drain_message_t *message)
+void wwh_entry_fleet_report_drains(wwh_entry_fleet_t *fleet,
+				   wwh_drain_message_t *message)
 {
 	wwh_config_t *config = wwh_entry_config(fleet->entry);
 	GHashTableIter iter;
@@ -221,8 +222,8 @@
 	wwh_plan_options_defaults(&options);
 	g_mutex_lock(&entry->state_lock);
 	g_mutex_lock(&fleet->lock);
-	view = wwh_fleet_bridge_view(entry->state, fleet->observations,
-				     entry->author, wwh_now_ms());
+	view = wwh_fleet_bridge_create_view(entry->state, fleet->observations,
+					    entry->author, wwh_now_ms());
 	rules = wwh_config_rules(wwh_state_config(entry->state));
 	options.buffer_weight = rules->buffer_weight;
 	options.move_weight = rules->move_weight;
@@ -257,8 +258,8 @@
 
 	g_mutex_lock(&entry->state_lock);
 	g_mutex_lock(&fleet->lock);
-	view = wwh_fleet_bridge_view(entry->state, fleet->observations,
-				     entry->author, wwh_now_ms());
+	view = wwh_fleet_bridge_create_view(entry->state, fleet->observations,
+					    entry->author, wwh_now_ms());
 	g_mutex_unlock(&fleet->lock);
 	g_mutex_unlock(&entry->state_lock);
 	text = wwh_capacity_json(view);
@@ -331,7 +332,8 @@
 	wwh_entry_fleet_t *fleet = client_data;
 
 	g_mutex_lock(&fleet->lock);
-	wwh_observations_task(fleet->observations, report, wwh_now_ms());
+	wwh_observations_add_task_report(fleet->observations, report,
+					 wwh_now_ms());
 	g_mutex_unlock(&fleet->lock);
 }
 
@@ -375,8 +377,8 @@
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
 		const out_t *out = value;
 
-		wwh_observations_requests(fleet->observations, out->worker,
-					  requests_on(fleet, out, now_ms));
+		wwh_observations_set_requests(fleet->observations, out->worker,
+					      requests_on(fleet, out, now_ms));
 	}
 }
 
@@ -441,11 +443,11 @@
 	g_mutex_lock(&entry->state_lock);
 	g_mutex_lock(&fleet->lock);
 	observe_requests(fleet, now_ms);
-	view = wwh_fleet_bridge_view(entry->state, fleet->observations,
-				     entry->author, now_ms);
+	view = wwh_fleet_bridge_create_view(entry->state, fleet->observations,
+					    entry->author, now_ms);
 	g_mutex_unlock(&entry->state_lock);
 	while ((result = g_async_queue_try_pop(fleet->results)) != NULL) {
-		wwh_conductor_result(fleet->conductor, result, now_ms);
+		wwh_conductor_handle_result(fleet->conductor, result, now_ms);
 		g_free(result);
 	}
 	count_callers(fleet);
@@ -454,7 +456,7 @@
 	wwh_conductor_tick(fleet->conductor, now_ms, view);
 	while (wwh_conductor_next_action(fleet->conductor, &action)) {
 		wwh_counter_add(fleet->actions[action.kind], 1);
-		if (action.kind == WWH_ACTION_TELL) {
+		if (action.kind == WWH_ACTION_LOG) {
 			g_message("fleet: %s", action.text);
 			wwh_action_clear(&action);
 			continue;
@@ -517,7 +519,7 @@
 			break;
 		}
 	}
-	wwh_conductor_callers(fleet->conductor, &counts);
+	wwh_conductor_set_caller_counts(fleet->conductor, &counts);
 }
 
 static void free_out(gpointer data)
--- a/src/libwaxwinghollow/entry_keys.c
+++ b/src/libwaxwinghollow/entry_keys.c
@@ -104,8 +104,8 @@
 	author_search_t *search = client_data;
 
 	(void)offset;
-	if (wwh_intents_abandoned(search->entry->intents, author) ||
-	    !wwh_seats_author_gone(search->entry->seats, author))
+	if (wwh_intents_is_abandoned(search->entry->intents, author) ||
+	    !wwh_seats_is_author_gone(search->entry->seats, author))
 		return true;
 	search->author = g_strdup(author);
 	return false;
--- a/src/libwaxwinghollow/entry_log.c
+++ b/src/libwaxwinghollow/entry_log.c
@@ -181,7 +181,7 @@
 {
 	for (int32_t i = 0; i < WWH_STREAM_COUNT; i++) {
 		wwh_stream_t stream = (wwh_stream_t)i;
-		GPtrArray *records = wwh_entry_snapshot_due(
+		GPtrArray *records = wwh_entry_snapshot_due_records(
 			log->replays[i].snapshot, wwh_now_ms());
 		int64_t offset;
 
@@ -257,8 +257,8 @@
 
 static void on_trimmed(const char *stream, int64_t first, void *client_data)
 {
-	wwh_entry_snapshot_trimmed(find_replay(client_data, stream)->snapshot,
-				   first);
+	wwh_entry_snapshot_set_first_offset(
+		find_replay(client_data, stream)->snapshot, first);
 	g_message("log %s: records before %" G_GINT64_FORMAT
 		  " are trimmed, waiting for a snapshot",
 		  stream, first);
@@ -292,14 +292,14 @@
 	int64_t version;
 
 	g_mutex_lock(&entry->state_lock);
-	wwh_entry_snapshot_before(replay->snapshot, log_entry->offset);
+	wwh_entry_snapshot_before_apply(replay->snapshot, log_entry->offset);
 	version = wwh_state_config_version(entry->state);
 	memset(&recent->detail, 0, sizeof(recent->detail));
 	recent->verdict = wwh_state_apply_entry(
 		entry->state, log_entry->offset, log_entry->data,
 		log_entry->size, &record, &recent->detail);
 	recent->offset = log_entry->offset;
-	wwh_entry_snapshot_seen(replay->snapshot, &record);
+	wwh_entry_snapshot_after_apply(replay->snapshot, &record);
 	if (wwh_state_config_version(entry->state) != version)
 		wwh_entry_apply_replayed_config(entry);
 	g_mutex_unlock(&entry->state_lock);
@@ -315,11 +315,11 @@
 	wwh_record_t record = { 0 };
 
 	g_mutex_lock(&entry->state_lock);
-	wwh_entry_snapshot_before(replay->snapshot, log_entry->offset);
+	wwh_entry_snapshot_before_apply(replay->snapshot, log_entry->offset);
 	(void)wwh_intents_apply_entry(entry->intents, log_entry->offset,
 				      log_entry->data, log_entry->size, &record,
 				      on_intent, entry, NULL);
-	wwh_entry_snapshot_seen(replay->snapshot, &record);
+	wwh_entry_snapshot_after_apply(replay->snapshot, &record);
 	g_mutex_unlock(&entry->state_lock);
 	wwh_record_clear(&record);
 }
--- a/src/libwaxwinghollow/entry_operator.c
+++ b/src/libwaxwinghollow/entry_operator.c
@@ -110,7 +110,7 @@
 	(void)request;
 	/* an abandoned incarnation can record no intent; it must be restarted */
 	g_mutex_lock(&entry->state_lock);
-	abandoned = wwh_intents_abandoned(entry->intents, entry->author);
+	abandoned = wwh_intents_is_abandoned(entry->intents, entry->author);
 	g_mutex_unlock(&entry->state_lock);
 	ready = phase == WWH_PHASE_READY && !abandoned;
 	text = g_strdup_printf("%s\n", abandoned ? "abandoned"
--- a/src/libwaxwinghollow/entry_peers.c
+++ b/src/libwaxwinghollow/entry_peers.c
@@ -193,23 +193,23 @@
 	}
 	g_mutex_unlock(&peers->lock);
 	if (leaving)
-		wwh_request_table_minion_state(peers->entry->requests, minion,
-					       WWH_MINION_LEAVING);
+		wwh_request_table_set_minion_state(peers->entry->requests,
+						   minion, WWH_MINION_LEAVING);
 }
 
-void wwh_entry_peers_ask_votes(wwh_entry_peers_t *peers)
+void wwh_entry_peers_request_votes(wwh_entry_peers_t *peers)
 {
-	wwh_seat_ask_t ask = {
+	wwh_vote_request_t ask = {
 		.process = wwh_seat_process_id(peers->entry->author),
 		.sent_ms = wwh_now_ms(),
 	};
-	GBytes *bytes = wwh_seat_ask_encode(&ask);
+	GBytes *bytes = wwh_vote_request_encode(&ask);
 	GPtrArray *targets = wwh_peers_alive(peers);
 
 	for (guint i = 0; i < targets->len; i++) {
 		const wwh_peer_target_t *target = g_ptr_array_index(targets, i);
 
-		wwh_peers_send(peers, target->address, WWH_FRAME_SEAT_ASK,
+		wwh_peers_send(peers, target->address, WWH_FRAME_VOTE_REQUEST,
 			       bytes);
 	}
 	g_ptr_array_unref(targets);
@@ -239,9 +239,9 @@
 	return dead;
 }
 
-void wwh_entry_peers_forget(wwh_entry_peers_t *peers, uint64_t process)
+void wwh_entry_peers_forget_loans(wwh_entry_peers_t *peers, uint64_t process)
 {
-	wwh_request_table_loans_forget(peers->entry->requests, process);
+	wwh_request_table_forget_loans(peers->entry->requests, process);
 }
 
 int32_t wwh_entry_peers_rank(wwh_entry_peers_t *peers, int32_t *count)
@@ -322,10 +322,10 @@
 					     size, wwh_now_ms());
 		g_mutex_unlock(&peers->lock);
 		break;
-	case WWH_FRAME_SEAT_ASK:
+	case WWH_FRAME_VOTE_REQUEST:
 		wwh_peers_handle_vote_request(peers, from, payload, size);
 		break;
-	case WWH_FRAME_SEAT_ANSWER:
+	case WWH_FRAME_VOTE_ANSWER:
 		wwh_peers_handle_vote(peers, payload, size);
 		break;
 	case WWH_FRAME_LOAN:
@@ -406,16 +406,16 @@
 		if (g_hash_table_contains(peers->gone, id))
 			state = WWH_MINION_GONE;
 		else if (wwh_leaving_contains(peers->leaving, id, now_ms) ||
-			 wwh_entry_fleet_worker_out(peers->entry->fleet,
-						    minion->worker))
+			 wwh_entry_fleet_is_worker_out(peers->entry->fleet,
+						       minion->worker))
 			state = WWH_MINION_LEAVING;
 		leaving += state != WWH_MINION_LIVE;
 		if (GPOINTER_TO_INT(told) == (int)state)
 			continue;
 		g_hash_table_insert(peers->minion_states, g_strdup(id),
 				    GINT_TO_POINTER(state));
-		wwh_request_table_minion_state(peers->entry->requests, id,
-					       state);
+		wwh_request_table_set_minion_state(peers->entry->requests, id,
+						   state);
 		g_message("minion %s: %s", id, wwh_minion_state_names[state]);
 	}
 	g_mutex_unlock(&peers->lock);
--- a/src/libwaxwinghollow/entry_seats.c
+++ b/src/libwaxwinghollow/entry_seats.c
@@ -116,12 +116,12 @@
 	}
 	g_mutex_unlock(&seats->lock);
 	if (ask)
-		wwh_entry_peers_ask_votes(seats->entry->peers);
+		wwh_entry_peers_request_votes(seats->entry->peers);
 	if (act)
 		submit(seats, &record);
 }
 
-bool wwh_seats_given_back(wwh_seats_t *seats)
+bool wwh_seats_has_left(wwh_seats_t *seats)
 {
 	bool result;
 
@@ -148,11 +148,12 @@
 	return may;
 }
 
-void wwh_seats_take_vote(wwh_seats_t *seats, const wwh_seat_vote_t *vote)
+void wwh_seats_handle_vote(wwh_seats_t *seats, const wwh_seat_vote_t *vote)
 {
 	g_mutex_lock(&seats->lock);
 	wwh_counter_add(seats->votes, 1);
-	wwh_seat_lease_member(&seats->lease, &seats->table, seats->mask, vote);
+	wwh_seat_lease_renew_by_vote(&seats->lease, &seats->table, seats->mask,
+				     vote);
 	g_mutex_unlock(&seats->lock);
 }
 
@@ -168,7 +169,7 @@
 	return member;
 }
 
-bool wwh_seats_author_gone(wwh_seats_t *seats, const char *author)
+bool wwh_seats_is_author_gone(wwh_seats_t *seats, const char *author)
 {
 	bool gone;
 
@@ -178,7 +179,7 @@
 	return gone;
 }
 
-void wwh_seats_host(wwh_seats_t *seats, const char *host, bool gone)
+void wwh_seats_set_host_gone(wwh_seats_t *seats, const char *host, bool gone)
 {
 	g_mutex_lock(&seats->lock);
 	if (gone)
@@ -208,7 +209,7 @@
 	g_mutex_unlock(&seats->lock);
 	g_mutex_unlock(&entry->state_lock);
 	for (int32_t i = 0; i < count; i++)
-		wwh_entry_peers_forget(entry->peers, departed[i]);
+		wwh_entry_peers_forget_loans(entry->peers, departed[i]);
 }
 
 static void set_share(wwh_seats_t *seats, int64_t now_ms)
@@ -237,7 +238,7 @@
 	int32_t index = index_of(&seats->table, seats->process);
 
 	if (index >= 0 && !seats->table.members[index].evicted && sent_ms > 0)
-		wwh_seat_lease_log(&seats->lease, sent_ms);
+		wwh_seat_lease_renew_by_log(&seats->lease, sent_ms);
 }
 
 static bool plan(wwh_seats_t *seats, int64_t now_ms, bool giving,
@@ -325,7 +326,8 @@
 			  wwh_seat_record_t *record)
 {
 	if ((member->acked >> own_index & 1) == 0) {
-		wwh_entry_peers_forget(seats->entry->peers, member->process);
+		wwh_entry_peers_forget_loans(seats->entry->peers,
+					     member->process);
 		record->type = WWH_SEAT_ACK;
 		return wwh_request_table_share_settled(seats->entry->requests);
 	}
--- a/src/libwaxwinghollow/entry_snapshot.c
+++ b/src/libwaxwinghollow/entry_snapshot.c
@@ -16,7 +16,7 @@
 struct wwh_entry_snapshot {
 	wwh_entry_t *entry;
 	wwh_stream_t stream;
-	wwh_snapshot_keeper_t *keeper;
+	wwh_snapshot_generator_t *keeper;
 	wwh_snapshot_parts_t *parts;
 	int64_t first; /* of the log, when it was last found trimmed */
 	int64_t waiting_upto; /* a snapshot to be put on the log, or -1 */
@@ -42,7 +42,8 @@
 
 	snapshot->entry = entry;
 	snapshot->stream = stream;
-	snapshot->keeper = wwh_snapshot_keeper_new(WWH_SNAPSHOT_EVERY);
+	snapshot->keeper =
+		wwh_snapshot_generator_new(WWH_SNAPSHOT_INTERVAL_OFFSETS);
 	snapshot->parts = wwh_snapshot_parts_new();
 	snapshot->waiting_upto = WWH_NO_OFFSET;
 	snapshot->published = wwh_counters_get(counters, "snapshots.published");
@@ -58,43 +59,44 @@
 {
 	if (snapshot == NULL)
 		return;
-	wwh_snapshot_keeper_delete(snapshot->keeper);
+	wwh_snapshot_generator_delete(snapshot->keeper);
 	wwh_snapshot_parts_delete(snapshot->parts);
 	g_free(snapshot);
 }
 
-void wwh_entry_snapshot_before(wwh_entry_snapshot_t *snapshot, int64_t offset)
+void wwh_entry_snapshot_before_apply(wwh_entry_snapshot_t *snapshot,
+				     int64_t offset)
 {
 	wwh_entry_t *entry = snapshot->entry;
 	int64_t before = WWH_NO_OFFSET;
 	int64_t after = WWH_NO_OFFSET;
 
-	(void)wwh_snapshot_keeper_latest(snapshot->keeper, &before);
+	(void)wwh_snapshot_generator_latest(snapshot->keeper, &before);
 	if (snapshot->stream == WWH_STREAM_CONTROL)
-		wwh_snapshot_keeper_state(snapshot->keeper, entry->state,
-					  offset);
+		wwh_snapshot_generator_update_state(snapshot->keeper,
+						    entry->state, offset);
 	else
-		wwh_snapshot_keeper_intents(snapshot->keeper, entry->intents,
-					    offset);
-	if (wwh_snapshot_keeper_latest(snapshot->keeper, &after) == NULL ||
+		wwh_snapshot_generator_update_intents(snapshot->keeper,
+						      entry->intents, offset);
+	if (wwh_snapshot_generator_latest(snapshot->keeper, &after) == NULL ||
 	    after == before)
 		return;
 	if (snapshot->stream == WWH_STREAM_INTENTS &&
-	    after / WWH_SNAPSHOT_EVERY % INTENTS_INTERVALS != 0)
+	    after / WWH_SNAPSHOT_INTERVAL_OFFSETS % INTENTS_INTERVALS != 0)
 		return;
 	snapshot->waiting_upto = after;
 	snapshot->due_ms = wwh_now_ms() + g_random_int_range(0, SPREAD_MS);
 }
 
-void wwh_entry_snapshot_seen(wwh_entry_snapshot_t *snapshot,
-			     const wwh_record_t *record)
+void wwh_entry_snapshot_after_apply(wwh_entry_snapshot_t *snapshot,
+				    const wwh_record_t *record)
 {
 	if (record->author == NULL || record->kind != WWH_RECORD_SNAPSHOT)
 		return;
 	if (record->body.snapshot.upto >= snapshot->waiting_upto &&
 	    record->body.snapshot.part == record->body.snapshot.parts - 1)
 		snapshot->waiting_upto = WWH_NO_OFFSET;
-	if (wwh_snapshot_keeper_compare(snapshot->keeper, record) !=
+	if (wwh_snapshot_generator_compare(snapshot->keeper, record) !=
 	    WWH_SNAPSHOT_MISMATCH)
 		return;
 	wwh_counter_add(snapshot->mismatches, 1);
@@ -104,8 +106,8 @@
 		  record->body.snapshot.upto, record->author);
 }
 
-GPtrArray *wwh_entry_snapshot_due(wwh_entry_snapshot_t *snapshot,
-				  int64_t now_ms)
+GPtrArray *wwh_entry_snapshot_due_records(wwh_entry_snapshot_t *snapshot,
+					  int64_t now_ms)
 {
 	wwh_entry_t *entry = snapshot->entry;
 	GPtrArray *records = NULL;
@@ -115,7 +117,7 @@
 	g_mutex_lock(&entry->state_lock);
 	if (snapshot->waiting_upto != WWH_NO_OFFSET &&
 	    now_ms >= snapshot->due_ms) {
-		whole = wwh_snapshot_keeper_latest(snapshot->keeper, &upto);
+		whole = wwh_snapshot_generator_latest(snapshot->keeper, &upto);
 		if (whole != NULL)
 			records = wwh_snapshot_records(whole, upto,
 						       entry->author);
@@ -127,7 +129,8 @@
 	return records;
 }
 
-void wwh_entry_snapshot_trimmed(wwh_entry_snapshot_t *snapshot, int64_t first)
+void wwh_entry_snapshot_set_first_offset(wwh_entry_snapshot_t *snapshot,
+					 int64_t first)
 {
 	snapshot->first = first;
 }
--- a/src/libwaxwinghollow/fleet_bridge.c
+++ b/src/libwaxwinghollow/fleet_bridge.c
@@ -84,8 +84,8 @@
 	g_free(observations);
 }
 
-void wwh_observations_host(wwh_observations_t *observations,
-			   const wwh_host_t *host)
+void wwh_observations_set_host(wwh_observations_t *observations,
+			       const wwh_host_t *host)
 {
 	if (host->kind != WWH_HOST_WORKER)
 		return;
@@ -93,8 +93,9 @@
 			    GINT_TO_POINTER((gint)host->state + 1));
 }
 
-void wwh_observations_task(wwh_observations_t *observations,
-			   const wwh_task_report_t *report, int64_t now_ms)
+void wwh_observations_add_task_report(wwh_observations_t *observations,
+				      const wwh_task_report_t *report,
+				      int64_t now_ms)
 {
 	task_t *task = task_of(observations, report->task_id);
 
@@ -110,16 +111,17 @@
 	task->used.memory_mb = report->used_memory_mb;
 }
 
-void wwh_observations_requests(wwh_observations_t *observations,
-			       const char *worker, int32_t in_progress)
+void wwh_observations_set_requests(wwh_observations_t *observations,
+				   const char *worker, int32_t in_progress)
 {
 	g_hash_table_insert(observations->requests, g_strdup(worker),
 			    GINT_TO_POINTER(in_progress + 1));
 }
 
-wwh_fleet_view_t *wwh_fleet_bridge_view(const wwh_state_t *state,
-					wwh_observations_t *observations,
-					const char *author, int64_t now_ms)
+wwh_fleet_view_t *wwh_fleet_bridge_create_view(const wwh_state_t *state,
+					       wwh_observations_t *observations,
+					       const char *author,
+					       int64_t now_ms)
 {
 	bridge_t bridge = { .state = state,
 			    .observations = observations,
@@ -207,8 +209,8 @@
 	item->wanted_pool = pool_of(bridge, worker->wanted_pool);
 	if (worker->grant != WWH_NO_OFFSET) {
 		item->grant_reason = worker->grant_reason;
-		item->grant_owner =
-			wwh_fleet_view_keep(bridge->view, worker->grant_owner);
+		item->grant_owner = wwh_fleet_view_copy_string(
+			bridge->view, worker->grant_owner);
 	}
 	if (worker->move != WWH_NO_OFFSET) {
 		item->move_from = pool_of(bridge, worker->move_from);
--- a/src/libwaxwinghollow/fleet_view.c
+++ b/src/libwaxwinghollow/fleet_view.c
@@ -189,7 +189,7 @@
 	view->offset = offset;
 }
 
-const char *wwh_fleet_view_keep(wwh_fleet_view_t *view, const char *text)
+const char *wwh_fleet_view_copy_string(wwh_fleet_view_t *view, const char *text)
 {
 	return keep(view, text);
 }
@@ -362,8 +362,8 @@
 	return table_find(&view->rehearsals, id);
 }
 
-bool wwh_fleet_in_domain(const wwh_fleet_view_t *view, int32_t worker,
-			 wwh_domain_t domain, const char *domain_id)
+bool wwh_fleet_is_in_domain(const wwh_fleet_view_t *view, int32_t worker,
+			    wwh_domain_t domain, const char *domain_id)
 {
 	const wwh_fleet_worker_t *item = wwh_fleet_worker(view, worker);
 	const char *id = item->id;
--- a/src/libwaxwinghollow/frame.c
+++ b/src/libwaxwinghollow/frame.c
@@ -79,7 +79,7 @@
 	return reader->fault;
 }
 
-size_t wwh_frame_reader_held(const wwh_frame_reader_t *reader)
+size_t wwh_frame_reader_buffered_bytes(const wwh_frame_reader_t *reader)
 {
 	return reader->held->len;
 }
@@ -118,7 +118,7 @@
 	if (size >= WWH_FRAME_HEADER_BYTES &&
 	    payload_length(data) > reader->max_payload)
 		return WWH_FRAME_TOO_LARGE;
-	return WWH_FRAME_FINE;
+	return WWH_FRAME_NO_FAULT;
 }
 
 static size_t payload_length(const uint8_t *header)
@@ -143,7 +143,7 @@
 		const uint8_t *payload;
 		size_t length;
 
-		if (fault != WWH_FRAME_FINE)
+		if (fault != WWH_FRAME_NO_FAULT)
 			return refuse(reader, fault);
 		if (size < WWH_FRAME_HEADER_BYTES)
 			break;
@@ -155,7 +155,7 @@
 			return refuse(reader, WWH_FRAME_BAD_PAYLOAD);
 		if (!visit((wwh_frame_kind_t)data[AT_KIND], payload, length,
 			   client_data))
-			return refuse(reader, WWH_FRAME_FINE);
+			return refuse(reader, WWH_FRAME_NO_FAULT);
 		at += WWH_FRAME_HEADER_BYTES + length;
 	}
 	g_byte_array_remove_range(reader->held, 0, (guint)at);
--- a/src/libwaxwinghollow/include/private/conductor_state.h
+++ b/src/libwaxwinghollow/include/private/conductor_state.h
@@ -27,19 +27,19 @@
 	int64_t sent_ms;
 	int64_t next_ms; /* no repeat before */
 	int32_t tries;
-} wwh_pursuit_t;
+} wwh_retry_t;
 
 /* A worker's status as last seen. */
 typedef struct {
 	char *worker;
-	wwh_pursuit_t pursuit;
+	wwh_retry_t pursuit;
 	bool is_known;
 	bool is_new; /* not yet handed to the chart */
 	int64_t seen_ms; /* 0: look again at once */
 	int64_t heard_ms; /* last answer of the platform */
 	int64_t silent_ms; /* before that answer */
 	wwh_worker_status_t status;
-} wwh_look_t;
+} wwh_status_query_t;
 
 typedef enum {
 	WWH_ACTOR_LOOKING = 0,
@@ -75,8 +75,8 @@
 	bool cancelled;
 	bool seen; /* in this tick's view */
 	wwh_grant_outcome_t outcome;
-	wwh_pursuit_t command;
-	wwh_look_t look;
+	wwh_retry_t command;
+	wwh_status_query_t look;
 } wwh_actor_t;
 
 typedef struct {
@@ -112,7 +112,7 @@
 	char *worker;
 	int64_t lease;
 	wwh_chart_machine_t machine;
-	wwh_pursuit_t order;
+	wwh_retry_t order;
 	int64_t renewed_ms;
 	int64_t lost_ms; /* when its worker was seen lost */
 	wwh_load_t load;
@@ -124,7 +124,7 @@
 
 typedef enum {
 	WWH_ORIGIN_COMMAND = 0,
-	WWH_ORIGIN_LOOK,
+	WWH_ORIGIN_STATUS,
 	WWH_ORIGIN_APPEND,
 	WWH_ORIGIN_TASK
 } wwh_origin_kind_t;
@@ -143,7 +143,7 @@
 	char *author;
 	GRand *rand;
 	int64_t now_ms;
-	int64_t utc_less_now_ms;
+	int64_t utc_offset_ms;
 	const wwh_fleet_view_t *view; /* during a tick only */
 	wwh_chart_t *worker_chart;
 	wwh_chart_t *move_chart;
@@ -153,8 +153,8 @@
 	int64_t last_action;
 	int32_t repeats_left; /* of this tick */
 	GHashTable *origins; /* action id to wwh_origin_t * */
-	GHashTable *appends; /* key to wwh_pursuit_t * */
-	GHashTable *probes; /* failed worker's id to wwh_look_t * */
+	GHashTable *appends; /* key to wwh_retry_t * */
+	GHashTable *probes; /* failed worker's id to wwh_status_query_t * */
 	GPtrArray *actors; /* of wwh_actor_t *, in order of creation */
 	GHashTable *actor_by_worker;
 	GPtrArray *waves; /* of wwh_wave_run_t * */
@@ -179,32 +179,34 @@
 /* No append under key before until_ms. */
 void wwh_conductor_defer_append(wwh_conductor_t *conductor, const char *key,
 				int64_t until_ms);
-bool wwh_conductor_command(wwh_conductor_t *conductor, wwh_actor_t *actor,
-			   wwh_command_t command, int64_t fence);
-bool wwh_conductor_look(wwh_conductor_t *conductor, wwh_look_t *look);
-bool wwh_conductor_order(wwh_conductor_t *conductor, wwh_job_run_t *run,
-			 wwh_task_verb_t verb);
-void wwh_conductor_tell(wwh_conductor_t *conductor, const char *format, ...)
+bool wwh_conductor_send_command(wwh_conductor_t *conductor, wwh_actor_t *actor,
+				wwh_command_t command, int64_t fence);
+bool wwh_conductor_query_status(wwh_conductor_t *conductor,
+				wwh_status_query_t *look);
+bool wwh_conductor_order_task(wwh_conductor_t *conductor, wwh_job_run_t *run,
+			      wwh_task_verb_t verb);
+void wwh_conductor_log(wwh_conductor_t *conductor, const char *format, ...)
 	__attribute__((format(printf, 2, 3)));
 void wwh_conductor_count(wwh_conductor_t *conductor, const char *name);
 void wwh_conductor_begin_queue(wwh_conductor_t *conductor);
 /* The result came, or its limit passed: the next repeat waits longer. */
-void wwh_conductor_settle(wwh_conductor_t *conductor, wwh_pursuit_t *pursuit,
-			  bool went_well);
-wwh_pursuit_t *wwh_conductor_pending(wwh_conductor_t *conductor,
-				     const char *key);
+void wwh_conductor_end_attempt(wwh_conductor_t *conductor, wwh_retry_t *pursuit,
+			       bool went_well);
+wwh_retry_t *wwh_conductor_append_retry(wwh_conductor_t *conductor,
+					const char *key);
 void wwh_origin_free(gpointer data);
 
 /* A new record by this conductor. */
-void wwh_conductor_record(const wwh_conductor_t *conductor,
-			  wwh_record_t *record, wwh_record_kind_t kind);
+void wwh_conductor_init_record(const wwh_conductor_t *conductor,
+			       wwh_record_t *record, wwh_record_kind_t kind);
 bool wwh_conductor_request_grant(wwh_conductor_t *conductor, int32_t worker,
 				 wwh_grant_reason_t reason, const char *owner);
 bool wwh_conductor_is_requested(const wwh_conductor_t *conductor,
 				int32_t worker);
 
 /* The pool of the worker's control work; WWH_FLEET_NONE. */
-int32_t wwh_conductor_home(const wwh_conductor_t *conductor, int32_t worker);
+int32_t wwh_conductor_control_pool(const wwh_conductor_t *conductor,
+				   int32_t worker);
 /* The lease's fence for that pool, or WWH_NO_OFFSET. */
 int64_t wwh_conductor_fence(const wwh_conductor_t *conductor, int32_t worker);
 
@@ -213,8 +215,8 @@
 const wwh_chart_table_t *wwh_actor_move_table(void);
 void wwh_actors_sync(wwh_conductor_t *conductor);
 void wwh_actors_step(wwh_conductor_t *conductor);
-void wwh_actors_pursue(wwh_conductor_t *conductor);
-void wwh_actor_status(wwh_actor_t *actor);
+void wwh_actors_queue_actions(wwh_conductor_t *conductor);
+void wwh_actor_apply_status(wwh_actor_t *actor);
 void wwh_actor_free(gpointer data);
 bool wwh_actor_rebooted(const wwh_actor_t *actor);
 
@@ -222,9 +224,9 @@
 const wwh_chart_table_t *wwh_wave_table(void);
 void wwh_waves_step(wwh_conductor_t *conductor);
 void wwh_moves_step(wwh_conductor_t *conductor);
-void wwh_failures_step(wwh_conductor_t *conductor);
+void wwh_repairs_step(wwh_conductor_t *conductor);
 void wwh_wave_run_free(gpointer data);
-void wwh_look_free(gpointer data);
+void wwh_status_query_free(gpointer data);
 
 /* Rehearsals. */
 void wwh_rehearsals_step(wwh_conductor_t *conductor);
@@ -234,7 +236,7 @@
 const wwh_chart_table_t *wwh_job_table(void);
 void wwh_jobs_step(wwh_conductor_t *conductor);
 void wwh_job_run_free(gpointer data);
-void wwh_job_ordered(wwh_conductor_t *conductor, wwh_job_run_t *run,
-		     wwh_task_verb_t verb, wwh_status_t status);
+void wwh_job_run_handle_answer(wwh_conductor_t *conductor, wwh_job_run_t *run,
+			       wwh_task_verb_t verb, wwh_status_t status);
 
 #endif
--- a/src/libwaxwinghollow/include/private/dispatch_state.h
+++ b/src/libwaxwinghollow/include/private/dispatch_state.h
@@ -72,7 +72,7 @@
 	int32_t seat_connections;
 	wwh_loan_book_t *loans;
 	wwh_limiter_t limiter;
-	wwh_bearing_t bearing;
+	wwh_slot_limit_t bearing;
 	wwh_ejection_t ejection;
 	int64_t blocked_until_ms; /* its Retry-After */
 	int64_t quiet_since_ms; /* last end, or start of the first */
@@ -127,9 +127,9 @@
 };
 
 /* dispatch_run.c: starts what can be started. */
-void wwh_dispatch_pump(wwh_dispatch_t *dispatch, int64_t now_ms,
-		       wwh_service_state_t *service);
-void wwh_dispatch_pump_all(wwh_dispatch_t *dispatch, int64_t now_ms);
+void wwh_dispatch_start_waiting(wwh_dispatch_t *dispatch, int64_t now_ms,
+				wwh_service_state_t *service);
+void wwh_dispatch_start_all_waiting(wwh_dispatch_t *dispatch, int64_t now_ms);
 bool wwh_dispatch_can_start(wwh_dispatch_t *dispatch, int64_t now_ms,
 			    const wwh_service_state_t *service);
 void wwh_dispatch_enqueue(wwh_dispatch_t *dispatch, int64_t now_ms,
@@ -144,8 +144,8 @@
 		      int32_t retry_after_ms);
 void wwh_dispatch_emit_end(wwh_dispatch_t *dispatch, uint64_t request,
 			   wwh_error_kind_t kind, int32_t retry_after_ms);
-void wwh_dispatch_forget(wwh_dispatch_t *dispatch,
-			 wwh_request_record_t *request);
+void wwh_dispatch_remove_request(wwh_dispatch_t *dispatch,
+				 wwh_request_record_t *request);
 void wwh_dispatch_free_request(gpointer data);
 
 /* Retry-After for a refusal of that kind, as its row of error_kind wants. */
@@ -157,13 +157,13 @@
 void wwh_dispatch_clear_timer(wwh_heap_t *timers, wwh_heap_node_t *node);
 
 /* dispatch_loan.c: gives back what is recalled and unused. */
-void wwh_dispatch_settle_loans(wwh_minion_record_t *minion);
+void wwh_dispatch_return_recalled_slots(wwh_minion_record_t *minion);
 
 /* dispatch_setup.c: after seats, what it bears, or loans changed. */
 void wwh_dispatch_set_seats(const wwh_dispatch_t *dispatch,
 			    wwh_minion_record_t *minion);
 void wwh_dispatch_apply_share(wwh_minion_record_t *minion);
-void wwh_dispatch_capacity(wwh_service_state_t *service);
+void wwh_dispatch_update_capacity(wwh_service_state_t *service);
 bool wwh_minion_takes_work(const wwh_minion_record_t *minion);
 
 #endif
--- a/src/libwaxwinghollow/include/private/entry_fleet.h
+++ b/src/libwaxwinghollow/include/private/entry_fleet.h
@@ -18,18 +18,20 @@
 void wwh_entry_fleet_delete(wwh_entry_fleet_t *fleet);
 
 /* Lines of the lagging list. */
-void wwh_entry_fleet_host(wwh_entry_fleet_t *fleet, const wwh_host_t *host);
+void wwh_entry_fleet_observe_host(wwh_entry_fleet_t *fleet,
+				  const wwh_host_t *host);
 
 /* Whether a worker is out under a grant or between pools, as replayed. */
-bool wwh_entry_fleet_worker_out(wwh_entry_fleet_t *fleet, const char *worker);
+bool wwh_entry_fleet_is_worker_out(wwh_entry_fleet_t *fleet,
+				   const char *worker);
 
 /* What another process says of its requests in progress. */
-void wwh_entry_fleet_hear(wwh_entry_fleet_t *fleet,
-			  const wwh_drain_message_t *message);
+void wwh_entry_fleet_handle_drains(wwh_entry_fleet_t *fleet,
+				   const wwh_drain_message_t *message);
 
 /* This process's own; empty when no worker is out. */
-void wwh_entry_fleet_tell(wwh_entry_fleet_t *fleet,
-			  wwh_drain_message_t *message);
+void wwh_entry_fleet_report_drains(wwh_entry_fleet_t *fleet,
+				   wwh_drain_message_t *message);
 
 /* For operators; g_free. NULL: not led by this process. */
 char *wwh_entry_fleet_plan(wwh_entry_fleet_t *fleet, const char *pool);
--- a/src/libwaxwinghollow/include/private/entry_peers.h
+++ b/src/libwaxwinghollow/include/private/entry_peers.h
@@ -36,13 +36,13 @@
 void wwh_entry_peers_workers_changed(wwh_entry_peers_t *peers);
 
 /* Asks all members for votes; answers come to the seats. */
-void wwh_entry_peers_ask_votes(wwh_entry_peers_t *peers);
+void wwh_entry_peers_request_votes(wwh_entry_peers_t *peers);
 
 /* Whether the process of that number is known and not alive. */
 bool wwh_entry_peers_is_dead(wwh_entry_peers_t *peers, uint64_t process);
 
 /* A member of the seats is out: nothing lent to or by it counts any more. */
-void wwh_entry_peers_forget(wwh_entry_peers_t *peers, uint64_t process);
+void wwh_entry_peers_forget_loans(wwh_entry_peers_t *peers, uint64_t process);
 
 /*
  * This process's place, from 0, among the members of its region that are
--- a/src/libwaxwinghollow/include/private/entry_snapshot.h
+++ b/src/libwaxwinghollow/include/private/entry_snapshot.h
@@ -17,19 +17,21 @@
 void wwh_entry_snapshot_delete(wwh_entry_snapshot_t *snapshot);
 
 /* Around each apply, with state_lock held. */
-void wwh_entry_snapshot_before(wwh_entry_snapshot_t *snapshot, int64_t offset);
-void wwh_entry_snapshot_seen(wwh_entry_snapshot_t *snapshot,
-			     const wwh_record_t *record);
+void wwh_entry_snapshot_before_apply(wwh_entry_snapshot_t *snapshot,
+				     int64_t offset);
+void wwh_entry_snapshot_after_apply(wwh_entry_snapshot_t *snapshot,
+				    const wwh_record_t *record);
 
 /*
  * Encoded records to be appended now, or NULL. Each process waits for a time
  * of its own first, and not at all once the snapshot was seen on the log.
  */
-GPtrArray *wwh_entry_snapshot_due(wwh_entry_snapshot_t *snapshot,
-				  int64_t now_ms);
+GPtrArray *wwh_entry_snapshot_due_records(wwh_entry_snapshot_t *snapshot,
+					  int64_t now_ms);
 
 /* Records below first are gone. */
-void wwh_entry_snapshot_trimmed(wwh_entry_snapshot_t *snapshot, int64_t first);
+void wwh_entry_snapshot_set_first_offset(wwh_entry_snapshot_t *snapshot,
+					 int64_t first);
 
 /* A record of a trimmed stream; takes the snapshot up when it is whole. */
 void wwh_entry_snapshot_scan(wwh_entry_snapshot_t *snapshot,
--- a/src/libwaxwinghollow/include/private/intent_internal.h
+++ b/src/libwaxwinghollow/include/private/intent_internal.h
@@ -72,24 +72,24 @@
 /* intent_key.c: the tables. */
 wwh_intent_key_t *wwh_intents_find(const wwh_intents_t *intents,
 				   const char *service, const char *key);
-bool wwh_intents_buried(const wwh_intents_t *intents, const char *service,
-			const char *key);
+bool wwh_intents_has_tombstone(const wwh_intents_t *intents,
+			       const char *service, const char *key);
 /* Adds a key in progress at the end of the list. */
 wwh_intent_key_t *wwh_intents_add(wwh_intents_t *intents, const char *service,
 				  const char *key, const char *process);
 void wwh_intents_remove(wwh_intents_t *intents, wwh_intent_key_t *key);
 /* Removes key; leaves a tombstone unless it surely did not run. */
 void wwh_intents_expire(wwh_intents_t *intents, wwh_intent_key_t *key);
-void wwh_intents_bury(wwh_intents_t *intents, const uint8_t *hash,
-		      int64_t offset);
+void wwh_intents_add_tombstone(wwh_intents_t *intents, const uint8_t *hash,
+			       int64_t offset);
 void wwh_intents_drop_tombstones(wwh_intents_t *intents, int64_t upto);
 /* body NULL: none. order is WWH_NO_OFFSET for a new answer. */
 void wwh_intents_set_body(wwh_intents_t *intents, wwh_intent_key_t *key,
 			  GBytes *body, const char *content_type,
 			  int64_t order);
 void wwh_intents_drop_body(wwh_intents_t *intents, wwh_intent_key_t *key);
-wwh_intent_process_t *wwh_intents_process(wwh_intents_t *intents,
-					  const char *name);
+wwh_intent_process_t *wwh_intents_ensure_process(wwh_intents_t *intents,
+						 const char *name);
 /* Forgets process when it has no key and was not abandoned. */
 void wwh_intents_release_process(wwh_intents_t *intents,
 				 wwh_intent_process_t *process);
--- a/src/libwaxwinghollow/include/private/peer_message.h
+++ b/src/libwaxwinghollow/include/private/peer_message.h
@@ -16,13 +16,13 @@
 typedef struct {
 	uint64_t process;
 	int64_t sent_ms; /* on the asker's clock; comes back in the answer */
-} wwh_seat_ask_t;
+} wwh_vote_request_t;
 
 typedef struct {
 	uint64_t process; /* who answers */
 	int64_t sent_ms;
 	uint64_t seats; /* that it holds now */
-} wwh_seat_answer_t;
+} wwh_vote_answer_t;
 
 /* What dispatch_loan.h tells a peer about one minion. */
 typedef struct {
@@ -51,12 +51,12 @@
 	GPtrArray *items; /* of wwh_drain_item_t * */
 } wwh_drain_message_t;
 
-GBytes *wwh_seat_ask_encode(const wwh_seat_ask_t *message);
-bool wwh_seat_ask_decode(const uint8_t *data, size_t size,
-			 wwh_seat_ask_t *message);
-GBytes *wwh_seat_answer_encode(const wwh_seat_answer_t *message);
-bool wwh_seat_answer_decode(const uint8_t *data, size_t size,
-			    wwh_seat_answer_t *message);
+GBytes *wwh_vote_request_encode(const wwh_vote_request_t *message);
+bool wwh_vote_request_decode(const uint8_t *data, size_t size,
+			     wwh_vote_request_t *message);
+GBytes *wwh_vote_answer_encode(const wwh_vote_answer_t *message);
+bool wwh_vote_answer_decode(const uint8_t *data, size_t size,
+			    wwh_vote_answer_t *message);
 
 void wwh_loan_message_init(wwh_loan_message_t *message);
 void wwh_loan_message_clear(wwh_loan_message_t *message);
--- a/src/libwaxwinghollow/include/private/request_table.h
+++ b/src/libwaxwinghollow/include/private/request_table.h
@@ -26,15 +26,15 @@
 void wwh_request_table_set_share(wwh_request_table_t *table,
 				 const wwh_dispatch_share_t *share);
 bool wwh_request_table_share_settled(wwh_request_table_t *table);
-void wwh_request_table_minion_state(wwh_request_table_t *table,
-				    const char *minion,
-				    wwh_minion_state_t state);
-void wwh_request_table_loans_tell(wwh_request_table_t *table, uint64_t peer,
-				  wwh_dispatch_loan_visit_t visit,
-				  void *client_data);
-void wwh_request_table_loan_hear(wwh_request_table_t *table, uint64_t peer,
-				 const wwh_dispatch_loan_t *loan);
-void wwh_request_table_loans_forget(wwh_request_table_t *table, uint64_t peer);
+void wwh_request_table_set_minion_state(wwh_request_table_t *table,
+					const char *minion,
+					wwh_minion_state_t state);
+void wwh_request_table_report_loans(wwh_request_table_t *table, uint64_t peer,
+				    wwh_dispatch_loan_visit_t visit,
+				    void *client_data);
+void wwh_request_table_handle_loan(wwh_request_table_t *table, uint64_t peer,
+				   const wwh_dispatch_loan_t *loan);
+void wwh_request_table_forget_loans(wwh_request_table_t *table, uint64_t peer);
 void wwh_request_table_close(wwh_request_table_t *table);
 int32_t wwh_request_table_waiting(wwh_request_table_t *table);
 int32_t wwh_request_table_running(wwh_request_table_t *table);
@@ -53,8 +53,8 @@
  * Waits for the next decision. When the caller goes away meanwhile, the
  * request is cancelled and false comes back; it then has no more decisions.
  */
-bool wwh_request_next(wwh_request_t *request, int caller_fd,
-		      wwh_decision_t *decision);
+bool wwh_request_wait_decision(wwh_request_t *request, int caller_fd,
+			       wwh_decision_t *decision);
 void wwh_request_finished(wwh_request_t *request,
 			  const wwh_dispatch_result_t *result);
 
--- a/src/libwaxwinghollow/intent.c
+++ b/src/libwaxwinghollow/intent.c
@@ -94,7 +94,7 @@
 
 	if (author->abandoned != WWH_NO_OFFSET)
 		return WWH_INTENT_ABANDONED;
-	if (wwh_intents_buried(intents, item->service, item->key))
+	if (wwh_intents_has_tombstone(intents, item->service, item->key))
 		return WWH_INTENT_EXPIRED;
 	key = wwh_intents_find(intents, item->service, item->key);
 	if (key != NULL)
@@ -118,7 +118,7 @@
 {
 	const GPtrArray *items = record->body.intents.items;
 	wwh_intent_process_t *author =
-		wwh_intents_process(intents, record->author);
+		wwh_intents_ensure_process(intents, record->author);
 
 	author->keys++; /* keeps it while its own keys come and go */
 	for (guint i = 0; i < items->len; i++) {
@@ -186,7 +186,7 @@
 				   const char *process,
 				   wwh_verdict_detail_t *detail)
 {
-	if (wwh_intents_abandoned(intents, process)) {
+	if (wwh_intents_is_abandoned(intents, process)) {
 		wwh_message_set(detail_at(detail, WWH_NO_OFFSET),
 				"%s was abandoned before", process);
 		return WWH_VERDICT_ALREADY;
--- a/src/libwaxwinghollow/intent_key.c
+++ b/src/libwaxwinghollow/intent_key.c
@@ -128,8 +128,8 @@
 	return found;
 }
 
-bool wwh_intents_buried(const wwh_intents_t *intents, const char *service,
-			const char *key)
+bool wwh_intents_has_tombstone(const wwh_intents_t *intents,
+			       const char *service, const char *key)
 {
 	wwh_tombstone_t wanted;
 	wwh_intent_key_t *name;
@@ -142,8 +142,8 @@
 	return g_hash_table_contains(intents->by_hash, &wanted);
 }
 
-wwh_intent_process_t *wwh_intents_process(wwh_intents_t *intents,
-					  const char *name)
+wwh_intent_process_t *wwh_intents_ensure_process(wwh_intents_t *intents,
+						 const char *name)
 {
 	wwh_intent_process_t *process =
 		g_hash_table_lookup(intents->processes, name);
@@ -175,7 +175,8 @@
 void wwh_intents_set_abandoned(wwh_intents_t *intents, const char *name,
 			       int64_t offset)
 {
-	wwh_intent_process_t *process = wwh_intents_process(intents, name);
+	wwh_intent_process_t *process =
+		wwh_intents_ensure_process(intents, name);
 
 	assert(process->abandoned == WWH_NO_OFFSET);
 	process->abandoned = offset;
@@ -195,7 +196,7 @@
 
 	assert(!g_hash_table_contains(intents->by_name, made));
 	g_hash_table_add(intents->by_name, made);
-	made->process = wwh_intents_process(intents, process);
+	made->process = wwh_intents_ensure_process(intents, process);
 	made->process->keys++;
 	made->state = WWH_KEY_IN_PROGRESS;
 	made->previous = intents->last_key;
@@ -263,8 +264,8 @@
 	wwh_intents_release_process(intents, process);
 }
 
-void wwh_intents_bury(wwh_intents_t *intents, const uint8_t *hash,
-		      int64_t offset)
+void wwh_intents_add_tombstone(wwh_intents_t *intents, const uint8_t *hash,
+			       int64_t offset)
 {
 	wwh_tombstone_t *tombstone = g_new0(wwh_tombstone_t, 1);
 
@@ -289,7 +290,7 @@
 
 	if (key->state != WWH_KEY_NOT_RUN) {
 		make_hash(key, hash);
-		wwh_intents_bury(intents, hash, key->offset);
+		wwh_intents_add_tombstone(intents, hash, key->offset);
 	}
 	wwh_intents_remove(intents, key);
 }
--- a/src/libwaxwinghollow/intent_snapshot.c
+++ b/src/libwaxwinghollow/intent_snapshot.c
@@ -241,7 +241,7 @@
 
 		if (row->name[0] == '\0' || row->offset <= last ||
 		    row->offset > intents->last_offset ||
-		    wwh_intents_abandoned(intents, row->name))
+		    wwh_intents_is_abandoned(intents, row->name))
 			return false;
 		wwh_intents_set_abandoned(intents, row->name, row->offset);
 		last = row->offset;
@@ -265,7 +265,7 @@
 		if (offset > (uint64_t)intents->last_offset ||
 		    intents->last_offset < 0 || (int64_t)offset < last)
 			return false;
-		wwh_intents_bury(intents, data + at, (int64_t)offset);
+		wwh_intents_add_tombstone(intents, data + at, (int64_t)offset);
 		last = (int64_t)offset;
 	}
 	return true;
@@ -292,9 +292,9 @@
 	if (row->body_kept && row->state != WWH_KEY_ANSWERED)
 		return false;
 	if (row->state == WWH_KEY_IN_PROGRESS &&
-	    wwh_intents_abandoned(intents, row->process))
+	    wwh_intents_is_abandoned(intents, row->process))
 		return false;
-	return !wwh_intents_buried(intents, row->service, row->key) &&
+	return !wwh_intents_has_tombstone(intents, row->service, row->key) &&
 	       wwh_intents_find(intents, row->service, row->key) == NULL;
 }
 
--- a/src/libwaxwinghollow/intent_view.c
+++ b/src/libwaxwinghollow/intent_view.c
@@ -32,10 +32,10 @@
 		view->content_type = found->content_type;
 }
 
-wwh_key_state_t wwh_intents_key(const wwh_intents_t *intents,
-				const char *service, const char *key,
-				const uint8_t *fingerprint,
-				wwh_key_view_t *view)
+wwh_key_state_t wwh_intents_lookup_key(const wwh_intents_t *intents,
+				       const char *service, const char *key,
+				       const uint8_t *fingerprint,
+				       wwh_key_view_t *view)
 {
 	const wwh_intent_key_t *found = wwh_intents_find(intents, service, key);
 	wwh_key_view_t result = { .state = WWH_KEY_NONE,
@@ -51,7 +51,7 @@
 		    memcmp(found->fingerprint, fingerprint,
 			   WWH_FINGERPRINT_BYTES) != 0)
 			result.state = WWH_KEY_OTHER_REQUEST;
-	} else if (wwh_intents_buried(intents, service, key)) {
+	} else if (wwh_intents_has_tombstone(intents, service, key)) {
 		result.state = WWH_KEY_EXPIRED;
 	}
 	if (view != NULL)
@@ -71,7 +71,7 @@
 	       strcmp(found->process->name, process) == 0;
 }
 
-bool wwh_intents_abandoned(const wwh_intents_t *intents, const char *process)
+bool wwh_intents_is_abandoned(const wwh_intents_t *intents, const char *process)
 {
 	const wwh_intent_process_t *found =
 		g_hash_table_lookup(intents->processes, process);
@@ -110,7 +110,7 @@
 	assert(key->state >= WWH_KEY_IN_PROGRESS);
 	assert(key->state <= WWH_KEY_UNKNOWN);
 	/* A key that is remembered and expired would have two answers. */
-	assert(!wwh_intents_buried(intents, key->name, name));
+	assert(!wwh_intents_has_tombstone(intents, key->name, name));
 	assert((key->body != NULL) == (key->body_link != NULL));
 	assert(!key->body_kept || key->state == WWH_KEY_ANSWERED);
 	if (key->process->abandoned != WWH_NO_OFFSET)
--- a/src/libwaxwinghollow/limiter.c
+++ b/src/libwaxwinghollow/limiter.c
@@ -15,8 +15,8 @@
 #define RAISE_FIRST_MS 1000
 #define RAISE_MAX_MS 16000
 
-static void note_ceiling(wwh_bearing_t *bearing);
-static void set_bears(wwh_bearing_t *bearing, int64_t now_ms, int32_t bears);
+static void note_ceiling(wwh_slot_limit_t *bearing);
+static void set_bears(wwh_slot_limit_t *bearing, int64_t now_ms, int32_t bears);
 
 int32_t wwh_limiter_part(const char *minion, int32_t total, int32_t seat_count,
 			 uint64_t seats)
@@ -81,20 +81,21 @@
 	limiter->next_start_ms = now_ms + (int64_t)pause;
 }
 
-void wwh_bearing_init(wwh_bearing_t *bearing, int32_t declared)
+void wwh_slot_limit_init(wwh_slot_limit_t *bearing, int32_t declared)
 {
-	*bearing = (wwh_bearing_t){ .declared = declared,
-				    .bears = declared,
-				    .wait_ms = RAISE_FIRST_MS };
+	*bearing = (wwh_slot_limit_t){ .declared = declared,
+				       .bears = declared,
+				       .wait_ms = RAISE_FIRST_MS };
 }
 
-void wwh_bearing_answered(wwh_bearing_t *bearing)
+void wwh_slot_limit_record_answer(wwh_slot_limit_t *bearing)
 {
 	if (bearing->score > 0)
 		bearing->score--;
 }
 
-bool wwh_bearing_refused(wwh_bearing_t *bearing, int64_t now_ms, double run_ms)
+bool wwh_slot_limit_record_refusal(wwh_slot_limit_t *bearing, int64_t now_ms,
+				   double run_ms)
 {
 	int64_t gap_ms = CUT_GAP_MS + (int64_t)(CUT_GAP_RUNS * run_ms);
 	int32_t less = bearing->bears / CUT_PART;
@@ -111,7 +112,7 @@
 	return true;
 }
 
-bool wwh_bearing_advance(wwh_bearing_t *bearing, int64_t now_ms)
+bool wwh_slot_limit_advance(wwh_slot_limit_t *bearing, int64_t now_ms)
 {
 	bool at_ceiling = bearing->bears + 1 >= bearing->ceiling;
 	int64_t wait_ms = at_ceiling ? bearing->wait_ms : RAISE_FIRST_MS;
@@ -127,8 +128,8 @@
 	return true;
 }
 
-bool wwh_bearing_hear(wwh_bearing_t *bearing, int64_t now_ms, uint32_t version,
-		      int32_t bears)
+bool wwh_slot_limit_handle_update(wwh_slot_limit_t *bearing, int64_t now_ms,
+				  uint32_t version, int32_t bears)
 {
 	if (bears < 1 || bears > bearing->declared)
 		return false;
@@ -144,7 +145,7 @@
 }
 
 /* One more was tried and refused: the next try is later. */
-static void note_ceiling(wwh_bearing_t *bearing)
+static void note_ceiling(wwh_slot_limit_t *bearing)
 {
 	if (bearing->bears <= bearing->ceiling &&
 	    bearing->wait_ms < RAISE_MAX_MS)
@@ -152,7 +153,7 @@
 	bearing->ceiling = bearing->bears;
 }
 
-static void set_bears(wwh_bearing_t *bearing, int64_t now_ms, int32_t bears)
+static void set_bears(wwh_slot_limit_t *bearing, int64_t now_ms, int32_t bears)
 {
 	bearing->raised = bears > bearing->bears;
 	bearing->bears = bears;
--- a/src/libwaxwinghollow/loan.c
+++ b/src/libwaxwinghollow/loan.c
@@ -84,7 +84,8 @@
 	return count;
 }
 
-void wwh_loan_want(wwh_loan_book_t *book, uint64_t peer, int32_t wanted)
+void wwh_loan_set_wanted_by(wwh_loan_book_t *book, uint64_t peer,
+			    int32_t wanted)
 {
 	if (wanted > 0 || find(book, peer) != NULL)
 		get(book, peer)->wanted = wanted;
@@ -97,8 +98,8 @@
 	return account == NULL ? 0 : account->wanted;
 }
 
-bool wwh_loan_told(wwh_loan_book_t *book, uint64_t peer, int32_t wanted,
-		   uint32_t version, int64_t now_ms)
+bool wwh_loan_mark_sent_if_due(wwh_loan_book_t *book, uint64_t peer,
+			       int32_t wanted, uint32_t version, int64_t now_ms)
 {
 	account_t *account = find(book, peer);
 	bool blank;
@@ -122,7 +123,7 @@
 	return true;
 }
 
-wwh_loan_totals_t wwh_loan_tell(const wwh_loan_book_t *book, uint64_t peer)
+wwh_loan_totals_t wwh_loan_totals(const wwh_loan_book_t *book, uint64_t peer)
 {
 	const account_t *account = find(book, peer);
 	wwh_loan_totals_t totals = { 0 };
@@ -138,8 +139,8 @@
  * Totals that go back or beyond what is possible come from an older message
  * or a broken peer; taking them would lend one slot twice.
  */
-bool wwh_loan_hear(wwh_loan_book_t *book, uint64_t peer,
-		   wwh_loan_totals_t totals)
+bool wwh_loan_apply_totals(wwh_loan_book_t *book, uint64_t peer,
+			   wwh_loan_totals_t totals)
 {
 	account_t *account;
 	bool changed = false;
@@ -164,7 +165,7 @@
 	return changed;
 }
 
-void wwh_loan_forget(wwh_loan_book_t *book, uint64_t peer)
+void wwh_loan_remove_peer(wwh_loan_book_t *book, uint64_t peer)
 {
 	account_t *account = find(book, peer);
 
--- a/src/libwaxwinghollow/log_client.c
+++ b/src/libwaxwinghollow/log_client.c
@@ -338,7 +338,8 @@
 
 	g_rec_mutex_lock(&client->deliver_lock);
 	g_mutex_lock(&client->lock);
-	verdict = wwh_log_core_record(client->core, context->generation, entry);
+	verdict = wwh_log_core_handle_record(client->core, context->generation,
+					     entry);
 	g_mutex_unlock(&client->lock);
 	deliver(client, verdict, entry);
 	if (verdict == WWH_LOG_AMBIGUOUS && callbacks->on_trimmed != NULL)
@@ -415,7 +416,7 @@
 
 	g_mutex_lock(&client->lock);
 	if (client->refusing && client->finish_ms <= wwh_log_client_now_ms())
-		wwh_log_core_give_up(client->core);
+		wwh_log_core_abort_all(client->core);
 	ended = client->refusing && wwh_log_core_waiting(client->core) == 0;
 	g_mutex_unlock(&client->lock);
 	if (!ended)
@@ -435,7 +436,7 @@
 	wwh_log_settled_t settled;
 
 	g_mutex_lock(&client->lock);
-	while (wwh_log_core_take_settled(client->core, &settled)) {
+	while (wwh_log_core_pop_settled(client->core, &settled)) {
 		gpointer key = GSIZE_TO_POINTER((gsize)settled.ticket);
 		waiter_t *waiter = g_hash_table_lookup(client->waiters, key);
 
--- a/src/libwaxwinghollow/log_core.c
+++ b/src/libwaxwinghollow/log_core.c
@@ -140,13 +140,13 @@
 	}
 }
 
-void wwh_log_core_give_up(wwh_log_core_t *core)
+void wwh_log_core_abort_all(wwh_log_core_t *core)
 {
 	wwh_log_core_tick(core, INT64_MAX);
 	assert(core->unsettled == 0);
 }
 
-bool wwh_log_core_take_settled(wwh_log_core_t *core, wwh_log_settled_t *settled)
+bool wwh_log_core_pop_settled(wwh_log_core_t *core, wwh_log_settled_t *settled)
 {
 	wwh_log_settled_t *head = g_queue_pop_head(&core->settled);
 
--- a/src/libwaxwinghollow/log_replay.c
+++ b/src/libwaxwinghollow/log_replay.c
@@ -33,8 +33,9 @@
 	return true;
 }
 
-wwh_log_verdict_t wwh_log_core_record(wwh_log_core_t *core, int64_t generation,
-				      const wwh_log_entry_t *entry)
+wwh_log_verdict_t wwh_log_core_handle_record(wwh_log_core_t *core,
+					     int64_t generation,
+					     const wwh_log_entry_t *entry)
 {
 	wwh_log_verdict_t verdict;
 
--- a/src/libwaxwinghollow/peer.c
+++ b/src/libwaxwinghollow/peer.c
@@ -412,7 +412,7 @@
 	age_ms = now_ms - connection->progress_ms;
 	if (connection->inbound)
 		waits = connection->id == NULL ||
-			wwh_frame_reader_held(connection->reader) > 0;
+			wwh_frame_reader_buffered_bytes(connection->reader) > 0;
 	else
 		waits = waits || connection->out->len > 0;
 	g_mutex_unlock(&peer->lock);
--- a/src/libwaxwinghollow/peer_message.c
+++ b/src/libwaxwinghollow/peer_message.c
@@ -10,16 +10,16 @@
 #define DRAINS_MAX 4096
 
 static const wwh_codec_field_t seat_ask[] = {
-	{ "process", WWH_CODEC_UINT64, offsetof(wwh_seat_ask_t, process) },
-	{ "sent_ms", WWH_CODEC_INT64, offsetof(wwh_seat_ask_t, sent_ms), 0,
+	{ "process", WWH_CODEC_UINT64, offsetof(wwh_vote_request_t, process) },
+	{ "sent_ms", WWH_CODEC_INT64, offsetof(wwh_vote_request_t, sent_ms), 0,
 	  INT64_MAX },
 };
 
 static const wwh_codec_field_t seat_answer[] = {
-	{ "process", WWH_CODEC_UINT64, offsetof(wwh_seat_answer_t, process) },
-	{ "sent_ms", WWH_CODEC_INT64, offsetof(wwh_seat_answer_t, sent_ms), 0,
+	{ "process", WWH_CODEC_UINT64, offsetof(wwh_vote_answer_t, process) },
+	{ "sent_ms", WWH_CODEC_INT64, offsetof(wwh_vote_answer_t, sent_ms), 0,
 	  INT64_MAX },
-	{ "seats", WWH_CODEC_UINT64, offsetof(wwh_seat_answer_t, seats) },
+	{ "seats", WWH_CODEC_UINT64, offsetof(wwh_vote_answer_t, seats) },
 };
 
 static const wwh_codec_field_t loan_item[] = {
@@ -70,30 +70,30 @@
 	}
 
 static const wwh_codec_fields_t seat_ask_fields =
-	FIELDS(wwh_seat_ask_t, seat_ask);
+	FIELDS(wwh_vote_request_t, seat_ask);
 static const wwh_codec_fields_t seat_answer_fields =
-	FIELDS(wwh_seat_answer_t, seat_answer);
+	FIELDS(wwh_vote_answer_t, seat_answer);
 static const wwh_codec_fields_t loan_fields = FIELDS(wwh_loan_message_t, loans);
 static const wwh_codec_fields_t drain_fields =
 	FIELDS(wwh_drain_message_t, drain);
-GBytes *wwh_seat_ask_encode(const wwh_seat_ask_t *message)
+GBytes *wwh_vote_request_encode(const wwh_vote_request_t *message)
 {
 	return wwh_codec_encode(&seat_ask_fields, message, NULL);
 }
 
-bool wwh_seat_ask_decode(const uint8_t *data, size_t size,
-			 wwh_seat_ask_t *message)
+bool wwh_vote_request_decode(const uint8_t *data, size_t size,
+			     wwh_vote_request_t *message)
 {
 	return wwh_codec_decode(&seat_ask_fields, data, size, message, NULL);
 }
 
-GBytes *wwh_seat_answer_encode(const wwh_seat_answer_t *message)
+GBytes *wwh_vote_answer_encode(const wwh_vote_answer_t *message)
 {
 	return wwh_codec_encode(&seat_answer_fields, message, NULL);
 }
 
-bool wwh_seat_answer_decode(const uint8_t *data, size_t size,
-			    wwh_seat_answer_t *message)
+bool wwh_vote_answer_decode(const uint8_t *data, size_t size,
+			    wwh_vote_answer_t *message)
 {
 	return wwh_codec_decode(&seat_answer_fields, data, size, message, NULL);
 }
--- a/src/libwaxwinghollow/request_table.c
+++ b/src/libwaxwinghollow/request_table.c
@@ -154,44 +154,46 @@
 	bool settled;
 
 	g_mutex_lock(&table->lock);
-	settled = wwh_dispatch_share_settled(table->dispatch);
+	settled = wwh_dispatch_is_within_share(table->dispatch);
 	g_mutex_unlock(&table->lock);
 	return settled;
 }
 
-void wwh_request_table_minion_state(wwh_request_table_t *table,
-				    const char *minion,
-				    wwh_minion_state_t state)
+void wwh_request_table_set_minion_state(wwh_request_table_t *table,
+					const char *minion,
+					wwh_minion_state_t state)
 {
 	g_mutex_lock(&table->lock);
-	wwh_dispatch_minion_state(table->dispatch, wwh_now_ms(), minion, state);
+	wwh_dispatch_set_minion_state(table->dispatch, wwh_now_ms(), minion,
+				      state);
 	hand_out(table);
 	g_mutex_unlock(&table->lock);
 }
 
-void wwh_request_table_loans_tell(wwh_request_table_t *table, uint64_t peer,
-				  wwh_dispatch_loan_visit_t visit,
-				  void *client_data)
+void wwh_request_table_report_loans(wwh_request_table_t *table, uint64_t peer,
+				    wwh_dispatch_loan_visit_t visit,
+				    void *client_data)
 {
 	g_mutex_lock(&table->lock);
-	wwh_dispatch_loans_tell(table->dispatch, wwh_now_ms(), peer, visit,
-				client_data);
+	wwh_dispatch_loans_visit_updates(table->dispatch, wwh_now_ms(), peer,
+					 visit, client_data);
 	g_mutex_unlock(&table->lock);
 }
 
-void wwh_request_table_loan_hear(wwh_request_table_t *table, uint64_t peer,
-				 const wwh_dispatch_loan_t *loan)
+void wwh_request_table_handle_loan(wwh_request_table_t *table, uint64_t peer,
+				   const wwh_dispatch_loan_t *loan)
 {
 	g_mutex_lock(&table->lock);
-	wwh_dispatch_loan_hear(table->dispatch, wwh_now_ms(), peer, loan);
+	wwh_dispatch_loans_apply_update(table->dispatch, wwh_now_ms(), peer,
+					loan);
 	hand_out(table);
 	g_mutex_unlock(&table->lock);
 }
 
-void wwh_request_table_loans_forget(wwh_request_table_t *table, uint64_t peer)
+void wwh_request_table_forget_loans(wwh_request_table_t *table, uint64_t peer)
 {
 	g_mutex_lock(&table->lock);
-	wwh_dispatch_loans_forget(table->dispatch, wwh_now_ms(), peer);
+	wwh_dispatch_loans_remove_peer(table->dispatch, wwh_now_ms(), peer);
 	hand_out(table);
 	g_mutex_unlock(&table->lock);
 }
@@ -267,8 +269,8 @@
 	return request->id;
 }
 
-bool wwh_request_next(wwh_request_t *request, int caller_fd,
-		      wwh_decision_t *decision)
+bool wwh_request_wait_decision(wwh_request_t *request, int caller_fd,
+			       wwh_decision_t *decision)
 {
 	wwh_request_table_t *table = request->table;
 	wwh_decision_t *next;
@@ -297,7 +299,7 @@
 
 	g_mutex_lock(&table->lock);
 	count_running(table, result->minion, -1);
-	wwh_dispatch_finished(table->dispatch, wwh_now_ms(), result);
+	wwh_dispatch_finish_attempt(table->dispatch, wwh_now_ms(), result);
 	hand_out(table);
 	g_mutex_unlock(&table->lock);
 }
@@ -489,8 +491,8 @@
 			};
 
 			count_running(table, result.minion, -1);
-			wwh_dispatch_finished(table->dispatch, wwh_now_ms(),
-					      &result);
+			wwh_dispatch_finish_attempt(table->dispatch,
+						    wwh_now_ms(), &result);
 		}
 		g_free(decision);
 	}
--- a/src/libwaxwinghollow/retry.c
+++ b/src/libwaxwinghollow/retry.c
@@ -16,7 +16,7 @@
 	budget->tokens = TOKENS_MAX;
 }
 
-void wwh_retry_first_attempt(wwh_retry_budget_t *budget)
+void wwh_retry_credit_first_attempt(wwh_retry_budget_t *budget)
 {
 	budget->tokens += TOKENS_EARNED;
 	if (budget->tokens > TOKENS_MAX)
@@ -29,27 +29,28 @@
 {
 	wwh_retry_decision_t decision = { 0 };
 
-	decision.may_have_run =
-		attempt->may_have_run || !wwh_retry_not_run(attempt->outcome);
-	decision.kind = wwh_retry_truthful(kind_of(attempt->outcome),
-					   attempt->may_have_run);
+	decision.may_have_run = attempt->may_have_run ||
+				!wwh_retry_did_not_run(attempt->outcome);
+	decision.kind = wwh_retry_reported_kind(kind_of(attempt->outcome),
+						attempt->may_have_run);
 	if (!may_repeat(attempt) || budget->tokens < 1)
 		return decision;
 	decision.delay_ms = delay_ms(attempt, random);
 	if (decision.delay_ms + attempt->usual_run_ms >= attempt->remaining_ms)
 		return decision;
 	budget->tokens -= 1;
-	decision.again = true;
+	decision.should_retry = true;
 	return decision;
 }
 
-bool wwh_retry_not_run(wwh_outcome_t outcome)
+bool wwh_retry_did_not_run(wwh_outcome_t outcome)
 {
 	return outcome == WWH_OUTCOME_REFUSED ||
 	       outcome == WWH_OUTCOME_CONNECT_FAILED;
 }
 
-wwh_error_kind_t wwh_retry_truthful(wwh_error_kind_t kind, bool may_have_run)
+wwh_error_kind_t wwh_retry_reported_kind(wwh_error_kind_t kind,
+					 bool may_have_run)
 {
 	if (!may_have_run || wwh_answer_for(kind)->run != WWH_RUN_NOT_RUN)
 		return kind;
@@ -92,7 +93,7 @@
 		return false;
 	if (attempt->answer_begun || attempt->attempts >= attempt->attempts_max)
 		return false;
-	return attempt->idempotent || wwh_retry_not_run(attempt->outcome);
+	return attempt->idempotent || wwh_retry_did_not_run(attempt->outcome);
 }
 
 static int32_t delay_ms(const wwh_retry_attempt_t *attempt, GRand *random)
--- a/src/libwaxwinghollow/router.c
+++ b/src/libwaxwinghollow/router.c
@@ -38,8 +38,8 @@
 	return near;
 }
 
-bool wwh_router_stalled(int64_t now_ms, int32_t running, int64_t quiet_since_ms,
-			int32_t p90_ms)
+bool wwh_router_is_stalled(int64_t now_ms, int32_t running,
+			   int64_t quiet_since_ms, int32_t p90_ms)
 {
 	int64_t bound_ms = (int64_t)STALLED_FACTOR * p90_ms;
 
--- a/src/libwaxwinghollow/seat.c
+++ b/src/libwaxwinghollow/seat.c
@@ -140,15 +140,16 @@
 	return false;
 }
 
-void wwh_seat_lease_log(wwh_seat_lease_t *lease, int64_t sent_ms)
+void wwh_seat_lease_renew_by_log(wwh_seat_lease_t *lease, int64_t sent_ms)
 {
 	if (sent_ms + WWH_SEAT_LEASE_MS > lease->until_ms)
 		lease->until_ms = sent_ms + WWH_SEAT_LEASE_MS;
 }
 
-void wwh_seat_lease_member(wwh_seat_lease_t *lease,
-			   const wwh_seat_table_t *table, uint64_t own_seats,
-			   const wwh_seat_vote_t *vote)
+void wwh_seat_lease_renew_by_vote(wwh_seat_lease_t *lease,
+				  const wwh_seat_table_t *table,
+				  uint64_t own_seats,
+				  const wwh_seat_vote_t *vote)
 {
 	uint64_t seats = own_seats;
 
@@ -159,7 +160,7 @@
 		seats |= lease->votes[i].seats;
 		if (__builtin_popcountll(seats) * 2 <= table->seat_count)
 			continue;
-		wwh_seat_lease_log(lease, lease->votes[i].sent_ms);
+		wwh_seat_lease_renew_by_log(lease, lease->votes[i].sent_ms);
 		return;
 	}
 }
--- a/src/libwaxwinghollow/snapshot.c
+++ b/src/libwaxwinghollow/snapshot.c
@@ -34,7 +34,7 @@
 	uint64_t hash;
 } kept_hash_t;
 
-struct wwh_snapshot_keeper {
+struct wwh_snapshot_generator {
 	int64_t every;
 	int64_t upto; /* of whole; WWH_NO_OFFSET: none */
 	GBytes *whole;
@@ -187,9 +187,9 @@
 	return whole;
 }
 
-wwh_snapshot_keeper_t *wwh_snapshot_keeper_new(int64_t every)
+wwh_snapshot_generator_t *wwh_snapshot_generator_new(int64_t every)
 {
-	wwh_snapshot_keeper_t *keeper = g_new0(wwh_snapshot_keeper_t, 1);
+	wwh_snapshot_generator_t *keeper = g_new0(wwh_snapshot_generator_t, 1);
 
 	assert(every > 0);
 	keeper->every = every;
@@ -197,14 +197,14 @@
 	return keeper;
 }
 
-void wwh_snapshot_keeper_delete(wwh_snapshot_keeper_t *keeper)
+void wwh_snapshot_generator_delete(wwh_snapshot_generator_t *keeper)
 {
 	g_clear_pointer(&keeper->whole, g_bytes_unref);
 	g_free(keeper);
 }
 
 /* The boundary between the last record and the one at offset, or -1. */
-static int64_t boundary(const wwh_snapshot_keeper_t *keeper,
+static int64_t boundary(const wwh_snapshot_generator_t *keeper,
 			int64_t last_offset, int64_t offset)
 {
 	int64_t upto = offset - offset % keeper->every;
@@ -214,7 +214,7 @@
 	return upto;
 }
 
-static void keep(wwh_snapshot_keeper_t *keeper, GBytes *whole, int64_t upto)
+static void keep(wwh_snapshot_generator_t *keeper, GBytes *whole, int64_t upto)
 {
 	kept_hash_t *place = &keeper->hashes[keeper->hash_count % HASHES_MAX];
 
@@ -226,8 +226,9 @@
 	keeper->hash_count++;
 }
 
-void wwh_snapshot_keeper_state(wwh_snapshot_keeper_t *keeper,
-			       const wwh_state_t *state, int64_t offset)
+void wwh_snapshot_generator_update_state(wwh_snapshot_generator_t *keeper,
+					 const wwh_state_t *state,
+					 int64_t offset)
 {
 	int64_t upto = boundary(keeper, wwh_state_last_offset(state), offset);
 
@@ -235,8 +236,9 @@
 		keep(keeper, wwh_snapshot_encode_state(state), upto);
 }
 
-void wwh_snapshot_keeper_intents(wwh_snapshot_keeper_t *keeper,
-				 const wwh_intents_t *intents, int64_t offset)
+void wwh_snapshot_generator_update_intents(wwh_snapshot_generator_t *keeper,
+					   const wwh_intents_t *intents,
+					   int64_t offset)
 {
 	int64_t upto =
 		boundary(keeper, wwh_intents_last_offset(intents), offset);
@@ -245,16 +247,16 @@
 		keep(keeper, wwh_snapshot_encode_intents(intents), upto);
 }
 
-GBytes *wwh_snapshot_keeper_latest(const wwh_snapshot_keeper_t *keeper,
-				   int64_t *upto)
+GBytes *wwh_snapshot_generator_latest(const wwh_snapshot_generator_t *keeper,
+				      int64_t *upto)
 {
 	*upto = keeper->upto;
 	return keeper->whole;
 }
 
 wwh_snapshot_comparison_t
-wwh_snapshot_keeper_compare(const wwh_snapshot_keeper_t *keeper,
-			    const wwh_record_t *record)
+wwh_snapshot_generator_compare(const wwh_snapshot_generator_t *keeper,
+			       const wwh_record_t *record)
 {
 	const wwh_record_snapshot_t *body = &record->body.snapshot;
 	int32_t count = MIN(keeper->hash_count, HASHES_MAX);
--- a/src/test_admission/test_admission.c
+++ b/src/test_admission/test_admission.c
@@ -28,9 +28,9 @@
 	options.count_max = 400;
 	rig->admission = wwh_admission_new(&options);
 	rig->waiting = g_ptr_array_new_with_free_func(g_free);
-	wwh_admission_capacity(rig->admission, SLOTS);
+	wwh_admission_set_capacity(rig->admission, SLOTS);
 	for (int32_t i = 0; i < 50; i++)
-		wwh_admission_ran(rig->admission, (uint64_t)i, RUN_MS);
+		wwh_admission_record_run(rig->admission, (uint64_t)i, RUN_MS);
 	*state = rig;
 	return 0;
 }
@@ -63,7 +63,7 @@
 	waiting->deadline_ms = rig->now_ms + DEADLINE_MS;
 	g_ptr_array_add(rig->waiting, waiting);
 	if (wwh_admission_offer(rig->admission, rig->now_ms, waiting, false) ==
-	    WWH_ADMISSION_IN)
+	    WWH_ADMISSION_ADMITTED)
 		return waiting;
 	rig->refused++;
 	return NULL;
@@ -74,7 +74,7 @@
 	wwh_waiting_t *waiting = wwh_admission_peek(rig->admission);
 
 	if (waiting != NULL)
-		wwh_admission_take(rig->admission, rig->now_ms, waiting);
+		wwh_admission_start(rig->admission, rig->now_ms, waiting);
 	return waiting;
 }
 
@@ -96,7 +96,8 @@
 			offer(rig, 0, (uint64_t)(tick * 3 + i) % 64, false);
 		waiting = take(rig);
 		idle += waiting == NULL;
-		late += waiting != NULL && rig->now_ms >= waiting->give_up_ms;
+		late += waiting != NULL &&
+			rig->now_ms >= waiting->latest_start_ms;
 	}
 	assert_int_equal(idle, 0);
 	assert_int_equal(late, 0);
@@ -165,9 +166,9 @@
 	rig_t *rig = *state;
 	int32_t served[2] = { 0 };
 
-	wwh_admission_capacity(rig->admission, 10000);
+	wwh_admission_set_capacity(rig->admission, 10000);
 	for (int32_t i = 0; i < 50; i++)
-		wwh_admission_ran(rig->admission, 1, 10 * RUN_MS);
+		wwh_admission_record_run(rig->admission, 1, 10 * RUN_MS);
 	for (int32_t i = 0; i < 30; i++) {
 		offer(rig, 0, 0, false);
 		offer(rig, 0, 1, false);
@@ -182,7 +183,7 @@
 {
 	rig_t *rig = *state;
 
-	wwh_admission_capacity(rig->admission, 10000);
+	wwh_admission_set_capacity(rig->admission, 10000);
 	for (int32_t i = 0; i < 1000; i++)
 		offer(rig, 0, 7, false);
 	assert_in_range(wwh_admission_waiting(rig->admission), 190, 210);
@@ -225,7 +226,7 @@
 {
 	rig_t *rig = *state;
 
-	wwh_admission_capacity(rig->admission, 10000);
+	wwh_admission_set_capacity(rig->admission, 10000);
 	for (int32_t round = 0; round < 20; round++) {
 		guint from = rig->waiting->len;
 
@@ -249,10 +250,10 @@
 	rig_t *rig = *state;
 
 	for (int32_t i = 0; i < 200; i++)
-		wwh_admission_ran(rig->admission, 0, 10 * RUN_MS);
+		wwh_admission_record_run(rig->admission, 0, 10 * RUN_MS);
 	assert_in_range(wwh_admission_median_ms(rig->admission), 350, 450);
 	for (int32_t i = 0; i < 200; i++)
-		wwh_admission_ran(rig->admission, 0, RUN_MS);
+		wwh_admission_record_run(rig->admission, 0, RUN_MS);
 	assert_in_range(wwh_admission_median_ms(rig->admission), 35, 45);
 }
 
--- a/src/test_conductor/test_conductor.c
+++ b/src/test_conductor/test_conductor.c
@@ -428,7 +428,7 @@
 /* The clock of the ticks is not UTC: the window opens by UTC alone. */
 static void a_wave_waits_for_its_window(void **unused)
 {
-	const int64_t utc_less_now_ms = INT64_C(86400000);
+	const int64_t utc_offset_ms = INT64_C(86400000);
 	sim_options_t options = sim_options_defaults(fleet_fixture_bounce());
 	sim_t sim;
 
@@ -442,7 +442,7 @@
 	sim_start_waves(&sim);
 	run(&sim, 1000);
 	assert_int_equal(sim.reboots, 0);
-	wwh_conductor_set_utc(sim.processes[0].conductor, utc_less_now_ms);
+	wwh_conductor_set_utc(sim.processes[0].conductor, utc_offset_ms);
 	run_waves(&sim, 8000);
 	assert_waves_done(&sim, 50);
 	assert_clean(&sim);
--- a/src/test_dispatch/rig.h
+++ b/src/test_dispatch/rig.h
@@ -115,7 +115,7 @@
 					 .outcome = outcome,
 					 .latency_ms = latency_ms };
 
-	wwh_dispatch_finished(rig->dispatch, now_ms, &result);
+	wwh_dispatch_finish_attempt(rig->dispatch, now_ms, &result);
 	rig_drain(rig);
 }
 
--- a/src/test_dispatch/test_dispatch.c
+++ b/src/test_dispatch/test_dispatch.c
@@ -115,7 +115,8 @@
 	(void)unused;
 	for (uint64_t i = 0; i < 16; i++)
 		rig_arrive(rig, 0, i, i);
-	wwh_dispatch_minion_state(rig->dispatch, 1, "m0", WWH_MINION_LEAVING);
+	wwh_dispatch_set_minion_state(rig->dispatch, 1, "m0",
+				      WWH_MINION_LEAVING);
 	for (guint i = 0; i < 16; i++)
 		rig_finish(rig, 10, i, WWH_OUTCOME_ANSWERED, 10);
 	started = rig->starts->len;
@@ -124,7 +125,7 @@
 	assert_int_equal(rig->starts->len, started + 8);
 	for (guint i = started; i < rig->starts->len; i++)
 		assert_string_equal(rig_start(rig, i).minion, "m1");
-	wwh_dispatch_minion_state(rig->dispatch, 30, "m1", WWH_MINION_GONE);
+	wwh_dispatch_set_minion_state(rig->dispatch, 30, "m1", WWH_MINION_GONE);
 	rig_arrive(rig, 30, 200, 1);
 	assert_int_equal(rig_end(rig, rig->ends->len - 1).kind,
 			 WWH_ERROR_NO_MINION);
@@ -171,7 +172,7 @@
 
 	(void)unused;
 	rig_arrive(rig, 0, 1, 1);
-	wwh_dispatch_finished(rig->dispatch, 10, &result);
+	wwh_dispatch_finish_attempt(rig->dispatch, 10, &result);
 	rig_arrive(rig, 20, 2, 2);
 	assert_int_equal(rig->starts->len, 1);
 	while (rig->starts->len < 2) {
@@ -196,7 +197,7 @@
 
 	(void)unused;
 	rig_arrive(rig, 0, 1, 1);
-	wwh_dispatch_finished(rig->dispatch, 10, &result);
+	wwh_dispatch_finish_attempt(rig->dispatch, 10, &result);
 	rig_drain(rig);
 	rig_arrive(rig, 20, 2, 2);
 	assert_int_equal(rig->ends->len, 2);
@@ -219,16 +220,16 @@
 	for (uint64_t i = 0; i < 40; i++) {
 		int64_t now_ms = (int64_t)i * 1000;
 
-		wwh_dispatch_minion_state(rig->dispatch, now_ms, "m0",
-					  i % 2 == 0 ? WWH_MINION_LEAVING
-						     : WWH_MINION_LIVE);
+		wwh_dispatch_set_minion_state(rig->dispatch, now_ms, "m0",
+					      i % 2 == 0 ? WWH_MINION_LEAVING
+							 : WWH_MINION_LIVE);
 		rig_arrive(rig, now_ms + 900, i, i);
 		rig_finish(rig, now_ms + 920, (guint)i, WWH_OUTCOME_ANSWERED,
 			   20);
 		assert_string_equal(rig_start(rig, (guint)i).minion, "m1");
 	}
-	wwh_dispatch_minion_state(rig->dispatch, 42000, "m1",
-				  WWH_MINION_LEAVING);
+	wwh_dispatch_set_minion_state(rig->dispatch, 42000, "m1",
+				      WWH_MINION_LEAVING);
 	rig_arrive(rig, 43000, 100, 1);
 	assert_string_equal(rig_start(rig, 40).minion, "m0");
 	rig_delete(rig);
@@ -271,11 +272,11 @@
 	wwh_dispatch_set_share(rig->dispatch, 1, &share);
 	rig_arrive(rig, 2, 100, 1);
 	for (guint i = 0; i < 4; i++) {
-		assert_false(wwh_dispatch_share_settled(rig->dispatch));
+		assert_false(wwh_dispatch_is_within_share(rig->dispatch));
 		rig_finish(rig, 10, i, WWH_OUTCOME_ANSWERED, 10);
 		assert_int_equal(rig->starts->len, 8);
 	}
-	assert_true(wwh_dispatch_share_settled(rig->dispatch));
+	assert_true(wwh_dispatch_is_within_share(rig->dispatch));
 	rig_finish(rig, 10, 4, WWH_OUTCOME_ANSWERED, 10);
 	assert_int_equal(rig->starts->len, 9);
 	rig_delete(rig);
--- a/src/test_ejection/test_ejection.c
+++ b/src/test_ejection/test_ejection.c
@@ -24,19 +24,19 @@
 		wwh_ejection_init(&rig->states[i], WWH_SHIFT_NO_RAMP);
 	}
 	for (int32_t i = 0; i < 20 * COUNT; i++) {
-		wwh_ejection_observe(rig->minions[i % COUNT], 0, WWH_SIGN_GOOD,
-				     20);
-		wwh_ejection_judge(rig->minions, COUNT, i % COUNT, 0,
-				   &rig->bucket);
+		wwh_ejection_observe(rig->minions[i % COUNT], 0,
+				     WWH_HEALTH_SIGNAL_GOOD, 20);
+		wwh_ejection_evaluate(rig->minions, COUNT, i % COUNT, 0,
+				      &rig->bucket);
 	}
 }
 
-static bool see(rig_t *rig, int64_t now_ms, int32_t minion, wwh_sign_t sign,
-		int32_t run_ms)
+static bool see(rig_t *rig, int64_t now_ms, int32_t minion,
+		wwh_health_signal_t sign, int32_t run_ms)
 {
 	wwh_ejection_observe(rig->minions[minion], now_ms, sign, run_ms);
-	return wwh_ejection_judge(rig->minions, COUNT, minion, now_ms,
-				  &rig->bucket);
+	return wwh_ejection_evaluate(rig->minions, COUNT, minion, now_ms,
+				     &rig->bucket);
 }
 
 /* It fails in 1 ms and is free again: without ejection it gets most work. */
@@ -46,10 +46,10 @@
 
 	(void)unused;
 	set_up(&rig);
-	assert_false(see(&rig, 10, 0, WWH_SIGN_FAILED, 1));
-	assert_false(see(&rig, 11, 0, WWH_SIGN_FAILED, 1));
-	assert_true(see(&rig, 12, 0, WWH_SIGN_FAILED, 1));
-	assert_false(wwh_ejection_usable(rig.minions[0], 0));
+	assert_false(see(&rig, 10, 0, WWH_HEALTH_SIGNAL_FAILED, 1));
+	assert_false(see(&rig, 11, 0, WWH_HEALTH_SIGNAL_FAILED, 1));
+	assert_true(see(&rig, 12, 0, WWH_HEALTH_SIGNAL_FAILED, 1));
+	assert_false(wwh_ejection_is_usable(rig.minions[0], 0));
 }
 
 static void a_silent_minion_is_out_after_two(void **unused)
@@ -58,8 +58,8 @@
 
 	(void)unused;
 	set_up(&rig);
-	assert_false(see(&rig, 500, 0, WWH_SIGN_SILENT, 500));
-	assert_true(see(&rig, 900, 0, WWH_SIGN_SILENT, 500));
+	assert_false(see(&rig, 500, 0, WWH_HEALTH_SIGNAL_SILENT, 500));
+	assert_true(see(&rig, 900, 0, WWH_HEALTH_SIGNAL_SILENT, 500));
 }
 
 /*
@@ -75,8 +75,9 @@
 	(void)unused;
 	set_up(&rig);
 	for (int64_t i = 0; i < 20000; i++) {
-		wwh_sign_t sign = g_rand_double(random) < 0.1 ? WWH_SIGN_FAILED
-							      : WWH_SIGN_GOOD;
+		wwh_health_signal_t sign = g_rand_double(random) < 0.1
+						   ? WWH_HEALTH_SIGNAL_FAILED
+						   : WWH_HEALTH_SIGNAL_GOOD;
 
 		ejections += see(&rig, i, (int32_t)(i % COUNT), sign, 20);
 	}
@@ -95,8 +96,9 @@
 	for (int64_t now_ms = 0; now_ms < 20000; now_ms += 10) {
 		for (int32_t i = 0; i < COUNT; i++) {
 			wwh_ejection_advance(rig.minions[i], now_ms);
-			if (wwh_ejection_usable(rig.minions[i], 0))
-				see(&rig, now_ms, i, WWH_SIGN_FAILED, 1);
+			if (wwh_ejection_is_usable(rig.minions[i], 0))
+				see(&rig, now_ms, i, WWH_HEALTH_SIGNAL_FAILED,
+				    1);
 		}
 	}
 	for (int32_t i = 0; i < COUNT; i++)
@@ -106,7 +108,7 @@
 	set_up(&rig);
 	for (int32_t i = 0; i < COUNT; i++) {
 		for (int32_t k = 0; k < 20; k++)
-			see(&rig, 10000 * i, i, WWH_SIGN_GOOD, 400);
+			see(&rig, 10000 * i, i, WWH_HEALTH_SIGNAL_GOOD, 400);
 	}
 	in = 0;
 	for (int32_t i = 0; i < COUNT; i++)
@@ -126,19 +128,19 @@
 	(void)unused;
 	set_up(&rig);
 	for (int32_t i = 0; i < 3; i++)
-		see(&rig, 10, 0, WWH_SIGN_FAILED, 1);
+		see(&rig, 10, 0, WWH_HEALTH_SIGNAL_FAILED, 1);
 	until_ms = rig.states[0].until_ms;
 	assert_in_range(until_ms, 1010, 1010);
 	wwh_ejection_advance(rig.minions[0], until_ms);
-	assert_true(wwh_ejection_usable(rig.minions[0], 0));
-	assert_false(wwh_ejection_usable(rig.minions[0], 1));
-	assert_true(see(&rig, until_ms, 0, WWH_SIGN_FAILED, 1));
+	assert_true(wwh_ejection_is_usable(rig.minions[0], 0));
+	assert_false(wwh_ejection_is_usable(rig.minions[0], 1));
+	assert_true(see(&rig, until_ms, 0, WWH_HEALTH_SIGNAL_FAILED, 1));
 	assert_int_equal(rig.states[0].until_ms, until_ms + 2000);
 	until_ms = rig.states[0].until_ms;
 	wwh_ejection_advance(rig.minions[0], until_ms);
-	see(&rig, until_ms, 0, WWH_SIGN_GOOD, 20);
+	see(&rig, until_ms, 0, WWH_HEALTH_SIGNAL_GOOD, 20);
 	assert_int_equal(rig.states[0].state, WWH_EJECTION_TRIAL);
-	see(&rig, until_ms, 0, WWH_SIGN_GOOD, 20);
+	see(&rig, until_ms, 0, WWH_HEALTH_SIGNAL_GOOD, 20);
 	assert_int_equal(rig.states[0].state, WWH_EJECTION_IN);
 	assert_true(wwh_shift_ramp(rig.states[0].returned_ms, until_ms) < 1);
 }
@@ -155,12 +157,12 @@
 	for (int64_t i = 0; i < 20000; i++) {
 		int32_t run_ms = g_rand_double(random) < 0.1 ? 500 : 20;
 
-		ejections += see(&rig, i, (int32_t)(i % COUNT), WWH_SIGN_GOOD,
-				 run_ms);
+		ejections += see(&rig, i, (int32_t)(i % COUNT),
+				 WWH_HEALTH_SIGNAL_GOOD, run_ms);
 	}
 	assert_in_range(ejections, 0, 1);
 	set_up(&rig);
-	while (!see(&rig, 100, 0, WWH_SIGN_GOOD, 200))
+	while (!see(&rig, 100, 0, WWH_HEALTH_SIGNAL_GOOD, 200))
 		answers++;
 	assert_in_range(answers, 2, 9);
 	g_rand_free(random);
--- a/src/test_entry/test_entry.c
+++ b/src/test_entry/test_entry.c
@@ -938,10 +938,10 @@
 {
 	fixture_t *fixture = *state;
 	char *trim = g_strdup_printf("trim_to=control:%d",
-				     2 * WWH_SNAPSHOT_EVERY + 1);
+				     2 * WWH_SNAPSHOT_INTERVAL_OFFSETS + 1);
 	reply_t reply;
 
-	for (int i = 0; i < WWH_SNAPSHOT_EVERY + 100; i++) {
+	for (int i = 0; i < WWH_SNAPSHOT_INTERVAL_OFFSETS + 100; i++) {
 		send_request(fixture, fixture->platform_port, "POST",
 			     "/log/control", NULL, (const uint8_t *)"filler", 6,
 			     &reply);
@@ -950,7 +950,8 @@
 	}
 	/* the running entries have replayed all and need no snapshot */
 	for (int i = 0; i < OLD_SNAPSHOT_ENTRY; i++)
-		wait_replayed(fixture, i, 2 * WWH_SNAPSHOT_EVERY + 1);
+		wait_replayed(fixture, i,
+			      2 * WWH_SNAPSHOT_INTERVAL_OFFSETS + 1);
 	set_fault(fixture, trim);
 	g_free(trim);
 	start_entry(fixture, OLD_SNAPSHOT_ENTRY);
--- a/src/test_frame/test_frame.c
+++ b/src/test_frame/test_frame.c
@@ -48,7 +48,7 @@
 				WWH_STATUS_OK);
 		assert_string_equal(seen->str,
 				    "gossip:4:3;gossip:4:3;gossip:4:3;");
-		assert_int_equal(wwh_frame_reader_held(reader), 0);
+		assert_int_equal(wwh_frame_reader_buffered_bytes(reader), 0);
 		g_string_free(seen, TRUE);
 		wwh_frame_reader_delete(reader);
 	}
@@ -110,7 +110,7 @@
 					       note, seen),
 			 WWH_STATUS_BAD_INPUT);
 	assert_string_equal(seen->str, "loan:4:3;");
-	assert_int_equal(wwh_frame_reader_fault(reader), WWH_FRAME_FINE);
+	assert_int_equal(wwh_frame_reader_fault(reader), WWH_FRAME_NO_FAULT);
 	g_string_free(seen, TRUE);
 	g_byte_array_unref(bytes);
 	wwh_frame_reader_delete(reader);
--- a/src/test_fuzz/fuzz_dispatch.c
+++ b/src/test_fuzz/fuzz_dispatch.c
@@ -282,8 +282,8 @@
 		if (result.outcome != WWH_OUTCOME_REFUSED &&
 		    result.outcome != WWH_OUTCOME_CONNECT_FAILED)
 			request->may_have_run = true;
-		wwh_dispatch_finished(world->processes[request->process],
-				      world->now_ms, &result);
+		wwh_dispatch_finish_attempt(world->processes[request->process],
+					    world->now_ms, &result);
 		drain(world, request->process);
 		return;
 	}
@@ -306,8 +306,9 @@
 	world->from = process;
 	world->to =
 		(process + 1 + next_byte(world) % (PROCESSES - 1)) % PROCESSES;
-	wwh_dispatch_loans_tell(world->processes[process], world->now_ms,
-				(uint64_t)world->to + 1, post, world);
+	wwh_dispatch_loans_visit_updates(world->processes[process],
+					 world->now_ms, (uint64_t)world->to + 1,
+					 post, world);
 	drain(world, process);
 }
 
@@ -337,8 +338,9 @@
 		return;
 	mail.loan.minion = names[mail.minion];
 	world->touched[mail.to] = true;
-	wwh_dispatch_loan_hear(world->processes[mail.to], world->now_ms,
-			       (uint64_t)mail.from + 1, &mail.loan);
+	wwh_dispatch_loans_apply_update(world->processes[mail.to],
+					world->now_ms, (uint64_t)mail.from + 1,
+					&mail.loan);
 	drain(world, mail.to);
 }
 
@@ -351,8 +353,8 @@
 
 	world->touched[process] = true;
 	world->states[process][minion] = state;
-	wwh_dispatch_minion_state(world->processes[process], world->now_ms,
-				  names[minion], state);
+	wwh_dispatch_set_minion_state(world->processes[process], world->now_ms,
+				      names[minion], state);
 	drain(world, process);
 }
 
@@ -445,8 +447,8 @@
 		request->running = false;
 		request->may_have_run = true;
 		result.minion = names[request->minion];
-		wwh_dispatch_finished(world->processes[request->process],
-				      world->now_ms, &result);
+		wwh_dispatch_finish_attempt(world->processes[request->process],
+					    world->now_ms, &result);
 		drain(world, request->process);
 	}
 	for (int32_t i = 0; i < world->request_count; i++)
--- a/src/test_fuzz/fuzz_frame.c
+++ b/src/test_fuzz/fuzz_frame.c
@@ -56,7 +56,7 @@
 	for (size_t at = 1; at < size; at += piece) {
 		wwh_frame_reader_feed(reader, data + at, MIN(piece, size - at),
 				      on_frame, NULL);
-		assert(wwh_frame_reader_held(reader) <=
+		assert(wwh_frame_reader_buffered_bytes(reader) <=
 		       MIN(MAX_PAYLOAD + WWH_FRAME_HEADER_BYTES,
 			   size + sizeof(header)));
 	}
--- a/src/test_fuzz/fuzz_intent.c
+++ b/src/test_fuzz/fuzz_intent.c
@@ -158,7 +158,8 @@
 	wwh_key_view_t view;
 
 	key_name(index, name);
-	wwh_intents_key(world->reference, FIXTURE_SERVICE, name, NULL, &view);
+	wwh_intents_lookup_key(world->reference, FIXTURE_SERVICE, name, NULL,
+			       &view);
 	if (!oracle_alive(expected)) {
 		assert(view.state ==
 		       (expected->buried ? WWH_KEY_EXPIRED : WWH_KEY_NONE));
@@ -289,8 +290,8 @@
 		if (!may_send(process, intent))
 			continue;
 		key_name(intent->key, key);
-		wwh_intents_key(process->view, FIXTURE_SERVICE, key, NULL,
-				&view);
+		wwh_intents_lookup_key(process->view, FIXTURE_SERVICE, key,
+				       NULL, &view);
 		/* Its deadline is long over by then: the rule of intent.h. */
 		if (view.offset < world->oracle.tombstones_upto)
 			continue;
--- a/src/test_fuzz/fuzz_log_client.c
+++ b/src/test_fuzz/fuzz_log_client.c
@@ -157,7 +157,7 @@
 {
 	wwh_log_settled_t settled;
 
-	while (wwh_log_core_take_settled(client->core, &settled)) {
+	while (wwh_log_core_pop_settled(client->core, &settled)) {
 		uint32_t number = GPOINTER_TO_UINT(g_hash_table_lookup(
 			client->numbers,
 			GSIZE_TO_POINTER((gsize)settled.ticket)));
@@ -295,8 +295,8 @@
 		record = world->records->pdata[entry.offset - 1];
 		entry.append_id = record->id;
 		check_verdict(record,
-			      wwh_log_core_record(client->core, read.generation,
-						  &entry));
+			      wwh_log_core_handle_record(
+				      client->core, read.generation, &entry));
 	}
 	wwh_log_core_read_done(client->core, read.generation, status,
 			       world->first, next, world->now_ms);
@@ -387,7 +387,7 @@
 	while (world.late.length > 0)
 		late_effect(&world, 0);
 	for (int i = 0; i < CLIENTS; i++) {
-		wwh_log_core_give_up(world.clients[i].core);
+		wwh_log_core_abort_all(world.clients[i].core);
 		take_settled(&world, &world.clients[i]);
 		client_stop(&world.clients[i]);
 		g_rand_free(world.clients[i].rand);
--- a/src/test_fuzz/fuzz_peer_message.c
+++ b/src/test_fuzz/fuzz_peer_message.c
@@ -14,20 +14,20 @@
 
 static GBytes *read_seat_ask(const uint8_t *data, size_t size)
 {
-	wwh_seat_ask_t message;
+	wwh_vote_request_t message;
 
-	if (!wwh_seat_ask_decode(data, size, &message))
+	if (!wwh_vote_request_decode(data, size, &message))
 		return NULL;
-	return wwh_seat_ask_encode(&message);
+	return wwh_vote_request_encode(&message);
 }
 
 static GBytes *read_seat_answer(const uint8_t *data, size_t size)
 {
-	wwh_seat_answer_t message;
+	wwh_vote_answer_t message;
 
-	if (!wwh_seat_answer_decode(data, size, &message))
+	if (!wwh_vote_answer_decode(data, size, &message))
 		return NULL;
-	return wwh_seat_answer_encode(&message);
+	return wwh_vote_answer_encode(&message);
 }
 
 static GBytes *read_loans(const uint8_t *data, size_t size)
@@ -54,17 +54,17 @@
 
 static bool accepts(int kind, const uint8_t *data, size_t size)
 {
-	wwh_seat_ask_t seat_ask;
-	wwh_seat_answer_t seat_answer;
+	wwh_vote_request_t seat_ask;
+	wwh_vote_answer_t seat_answer;
 	wwh_loan_message_t loans;
 	wwh_drain_message_t drains;
 	bool accepted;
 
 	switch (kind) {
 	case 0:
-		return wwh_seat_ask_decode(data, size, &seat_ask);
+		return wwh_vote_request_decode(data, size, &seat_ask);
 	case 1:
-		return wwh_seat_answer_decode(data, size, &seat_answer);
+		return wwh_vote_answer_decode(data, size, &seat_answer);
 	case 2:
 		accepted = wwh_loan_message_decode(data, size, &loans);
 		wwh_loan_message_clear(&loans);
--- a/src/test_intent/test_intent.c
+++ b/src/test_intent/test_intent.c
@@ -82,7 +82,8 @@
 
 static wwh_key_state_t key_state(const log_t *log, const char *key)
 {
-	return wwh_intents_key(log->intents, FIXTURE_SERVICE, key, NULL, NULL);
+	return wwh_intents_lookup_key(log->intents, FIXTURE_SERVICE, key, NULL,
+				      NULL);
 }
 
 static void start_log(log_t *log, const wwh_intent_limits_t *limits)
@@ -114,15 +115,15 @@
 	assert_int_equal(finish(&log, P1, "k", 7, WWH_RESULT_ANSWERED, "paid"),
 			 WWH_INTENT_RESULT_ACCEPTED);
 	assert_int_equal(intend(&log, P2, "k", 1, 4), WWH_INTENT_ANSWERED);
-	assert_int_equal(
-		wwh_intents_key(log.intents, FIXTURE_SERVICE, "k", NULL, &view),
-		WWH_KEY_ANSWERED);
+	assert_int_equal(wwh_intents_lookup_key(log.intents, FIXTURE_SERVICE,
+						"k", NULL, &view),
+			 WWH_KEY_ANSWERED);
 	assert_int_equal(view.http_status, 200);
 	assert_int_equal(g_bytes_get_size(view.body), 4);
 	assert_string_equal(view.process, P1);
-	assert_int_equal(
-		wwh_intents_key(log.intents, FIXTURE_SERVICE, "k", other, NULL),
-		WWH_KEY_OTHER_REQUEST);
+	assert_int_equal(wwh_intents_lookup_key(log.intents, FIXTURE_SERVICE,
+						"k", other, NULL),
+			 WWH_KEY_OTHER_REQUEST);
 	assert_false(
 		wwh_intents_may_send(log.intents, FIXTURE_SERVICE, "k", P1, 7));
 	wwh_intents_delete(log.intents);
@@ -269,11 +270,11 @@
 	intend(&log, P1, "b", 1, 2);
 	finish(&log, P1, "b", 2, WWH_RESULT_ANSWERED, "123456");
 	finish(&log, P1, "a", 1, WWH_RESULT_ANSWERED, "654321");
-	assert_int_equal(
-		wwh_intents_key(log.intents, FIXTURE_SERVICE, "b", NULL, &view),
-		WWH_KEY_ANSWERED);
+	assert_int_equal(wwh_intents_lookup_key(log.intents, FIXTURE_SERVICE,
+						"b", NULL, &view),
+			 WWH_KEY_ANSWERED);
 	assert_false(view.body_kept);
-	wwh_intents_key(log.intents, FIXTURE_SERVICE, "a", NULL, &view);
+	wwh_intents_lookup_key(log.intents, FIXTURE_SERVICE, "a", NULL, &view);
 	assert_true(view.body_kept);
 	assert_int_equal(wwh_intents_totals(log.intents).body_bytes, 6);
 	wwh_intents_delete(log.intents);
--- a/src/test_limiter/test_limiter.c
+++ b/src/test_limiter/test_limiter.c
@@ -64,77 +64,77 @@
  */
 static void the_number_finds_what_the_minion_bears(void **unused)
 {
-	wwh_bearing_t bearing;
+	wwh_slot_limit_t bearing;
 	int32_t tries = 0;
 	int64_t now_ms = 0;
 
 	(void)unused;
-	wwh_bearing_init(&bearing, 8);
+	wwh_slot_limit_init(&bearing, 8);
 	for (; now_ms < 200000; now_ms += 10) {
-		wwh_bearing_advance(&bearing, now_ms);
+		wwh_slot_limit_advance(&bearing, now_ms);
 		if (bearing.bears <= 2)
 			continue;
-		if (wwh_bearing_refused(&bearing, now_ms, 40))
+		if (wwh_slot_limit_record_refusal(&bearing, now_ms, 40))
 			tries += now_ms > 100000;
 	}
 	assert_int_equal(bearing.bears, 2);
 	assert_in_range(tries, 3, 10);
 	for (; now_ms < 300000; now_ms += 10)
-		wwh_bearing_advance(&bearing, now_ms);
+		wwh_slot_limit_advance(&bearing, now_ms);
 	assert_int_equal(bearing.bears, 8);
 }
 
 static void one_burst_of_refusals_counts_once(void **unused)
 {
-	wwh_bearing_t bearing;
+	wwh_slot_limit_t bearing;
 
 	(void)unused;
-	wwh_bearing_init(&bearing, 8);
+	wwh_slot_limit_init(&bearing, 8);
 	for (int32_t i = 0; i < 8; i++)
-		wwh_bearing_refused(&bearing, 1000 + i, 40);
+		wwh_slot_limit_record_refusal(&bearing, 1000 + i, 40);
 	assert_int_equal(bearing.bears, 7);
 }
 
 /* One in twenty is refused, as when a request was given up elsewhere. */
 static void single_refusals_change_nothing(void **unused)
 {
-	wwh_bearing_t bearing;
+	wwh_slot_limit_t bearing;
 
 	(void)unused;
-	wwh_bearing_init(&bearing, 8);
+	wwh_slot_limit_init(&bearing, 8);
 	for (int32_t i = 1; i < 2000; i++) {
 		if (i % 20 == 0)
-			wwh_bearing_refused(&bearing, 100 * i, 40);
+			wwh_slot_limit_record_refusal(&bearing, 100 * i, 40);
 		else
-			wwh_bearing_answered(&bearing);
+			wwh_slot_limit_record_answer(&bearing);
 	}
 	assert_int_equal(bearing.bears, 8);
 }
 
-static void refuse_twice(wwh_bearing_t *bearing, int64_t now_ms)
+static void refuse_twice(wwh_slot_limit_t *bearing, int64_t now_ms)
 {
-	wwh_bearing_refused(bearing, now_ms, 0);
-	wwh_bearing_refused(bearing, now_ms, 0);
+	wwh_slot_limit_record_refusal(bearing, now_ms, 0);
+	wwh_slot_limit_record_refusal(bearing, now_ms, 0);
 }
 
 /* Two processes tell each other; late and repeated messages do no harm. */
 static void processes_agree_on_the_number(void **unused)
 {
-	wwh_bearing_t a, b;
+	wwh_slot_limit_t a, b;
 
 	(void)unused;
-	wwh_bearing_init(&a, 8);
-	wwh_bearing_init(&b, 8);
+	wwh_slot_limit_init(&a, 8);
+	wwh_slot_limit_init(&b, 8);
 	refuse_twice(&a, 1000);
 	refuse_twice(&a, 1200);
-	assert_true(wwh_bearing_hear(&b, 2001, a.version, a.bears));
+	assert_true(wwh_slot_limit_handle_update(&b, 2001, a.version, a.bears));
 	assert_int_equal(b.bears, 6);
-	assert_false(wwh_bearing_hear(&a, 2002, 0, 8));
-	assert_false(wwh_bearing_hear(&b, 2003, 1, 7));
+	assert_false(wwh_slot_limit_handle_update(&a, 2002, 0, 8));
+	assert_false(wwh_slot_limit_handle_update(&b, 2003, 1, 7));
 	refuse_twice(&b, 3000);
-	assert_true(wwh_bearing_hear(&a, 3001, b.version, b.bears));
+	assert_true(wwh_slot_limit_handle_update(&a, 3001, b.version, b.bears));
 	assert_int_equal(a.bears, 5);
-	assert_false(wwh_bearing_hear(&a, 3002, 100, 9));
+	assert_false(wwh_slot_limit_handle_update(&a, 3002, 100, 9));
 }
 
 /* With one slot, the slow start is a pause: half the limit, half the use. */
--- a/src/test_loan/test_loan.c
+++ b/src/test_loan/test_loan.c
@@ -108,8 +108,9 @@
 		g_array_remove_index(rig->mail, index);
 	if (g_rand_int_range(rig->random, 0, 4) == 0)
 		return;
-	wwh_dispatch_loan_hear(rig->processes[mail.to].dispatch, now_ms,
-			       (uint64_t)mail.from + 1, &mail.loan);
+	wwh_dispatch_loans_apply_update(rig->processes[mail.to].dispatch,
+					now_ms, (uint64_t)mail.from + 1,
+					&mail.loan);
 	drain(rig, &rig->processes[mail.to]);
 }
 
@@ -128,7 +129,7 @@
 	g_array_remove_index(process->running, index);
 	result.request = decision.request;
 	result.minion = decision.minion;
-	wwh_dispatch_finished(process->dispatch, now_ms, &result);
+	wwh_dispatch_finish_attempt(process->dispatch, now_ms, &result);
 	drain(rig, process);
 }
 
@@ -156,8 +157,9 @@
 		rig->from = index;
 		rig->to = (index + g_rand_int_range(rig->random, 1, PEERS)) %
 			  PEERS;
-		wwh_dispatch_loans_tell(process->dispatch, now_ms,
-					(uint64_t)rig->to + 1, post, rig);
+		wwh_dispatch_loans_visit_updates(process->dispatch, now_ms,
+						 (uint64_t)rig->to + 1, post,
+						 rig);
 		break;
 	default:
 		deliver_one(rig, now_ms);
@@ -206,17 +208,18 @@
 
 	(void)unused;
 	wwh_loan_grant(lender, 2, 3);
-	old = wwh_loan_tell(lender, 2);
-	assert_true(wwh_loan_hear(borrower, 1, old));
-	assert_false(wwh_loan_hear(borrower, 1, old));
+	old = wwh_loan_totals(lender, 2);
+	assert_true(wwh_loan_apply_totals(borrower, 1, old));
+	assert_false(wwh_loan_apply_totals(borrower, 1, old));
 	assert_int_equal(wwh_loan_borrowed(borrower), 3);
 	assert_int_equal(wwh_loan_return(borrower, 1, 5), 3);
 	assert_int_equal(wwh_loan_borrowed(borrower), 0);
 	/* The lender's old message comes again: it lends nothing anew. */
-	assert_false(wwh_loan_hear(borrower, 1, old));
+	assert_false(wwh_loan_apply_totals(borrower, 1, old));
 	assert_int_equal(wwh_loan_borrowed(borrower), 0);
 	assert_int_equal(wwh_loan_lent(lender), 3);
-	assert_true(wwh_loan_hear(lender, 2, wwh_loan_tell(borrower, 1)));
+	assert_true(
+		wwh_loan_apply_totals(lender, 2, wwh_loan_totals(borrower, 1)));
 	assert_int_equal(wwh_loan_lent(lender), 0);
 	wwh_loan_book_delete(lender);
 	wwh_loan_book_delete(borrower);
@@ -229,9 +232,9 @@
 
 	(void)unused;
 	wwh_loan_grant(book, 5, 1);
-	wwh_loan_hear(book, 5, totals);
-	wwh_loan_hear(book, 6, totals);
-	wwh_loan_forget(book, 5);
+	wwh_loan_apply_totals(book, 5, totals);
+	wwh_loan_apply_totals(book, 6, totals);
+	wwh_loan_remove_peer(book, 5);
 	assert_int_equal(wwh_loan_lent(book), 0);
 	assert_int_equal(wwh_loan_borrowed(book), 2);
 	assert_int_equal(wwh_loan_borrowed_from(book, 5), 0);
--- a/src/test_log_core/test_log_core.c
+++ b/src/test_log_core/test_log_core.c
@@ -91,7 +91,8 @@
 		wwh_log_verdict_t verdict;
 
 		entry.append_id = g_array_index(f->ids, wwh_append_id_t, o - 1);
-		verdict = wwh_log_core_record(f->core, read.generation, &entry);
+		verdict = wwh_log_core_handle_record(f->core, read.generation,
+						     &entry);
 		if (verdict == WWH_LOG_DELIVER)
 			g_string_append_printf(f->seen, "%d;", (int)o);
 		else
@@ -141,7 +142,7 @@
 {
 	wwh_log_settled_t settled;
 
-	assert_true(wwh_log_core_take_settled(f->core, &settled));
+	assert_true(wwh_log_core_pop_settled(f->core, &settled));
 	assert_int_equal(settled.ticket, ticket);
 	assert_int_equal(settled.status, status);
 	if (status == WWH_STATUS_OK)
@@ -152,7 +153,7 @@
 {
 	wwh_log_settled_t settled;
 
-	assert_false(wwh_log_core_take_settled(f->core, &settled));
+	assert_false(wwh_log_core_pop_settled(f->core, &settled));
 }
 
 /*
@@ -285,7 +286,7 @@
 		if (wwh_log_core_next_attempt(f.core, f.now_ms, &f.attempt,
 					      &wait_ms))
 			end_attempt(&f, WWH_STATUS_UNAVAILABLE, 0);
-		while (wwh_log_core_take_settled(f.core, &settled)) {
+		while (wwh_log_core_pop_settled(f.core, &settled)) {
 			assert_int_equal(settled.status,
 					 WWH_STATUS_UNAVAILABLE);
 			unavailable++;
@@ -350,7 +351,7 @@
 		}
 		f.now_ms += 5;
 		wwh_log_core_tick(f.core, f.now_ms);
-		while (wwh_log_core_take_settled(f.core, &settled))
+		while (wwh_log_core_pop_settled(f.core, &settled))
 			;
 	}
 	print_message("retries for 1000 first sends: %d\n",
@@ -445,7 +446,7 @@
 	read_all(&f);
 	assert_string_equal(f.seen->str, "4:warm_up;5:warm_up;6:warm_up;7;8;");
 	expect_nothing_settled(&f);
-	wwh_log_core_give_up(f.core);
+	wwh_log_core_abort_all(f.core);
 	expect_settled(&f, ticket, WWH_STATUS_UNKNOWN, 0);
 	teardown(&f);
 }
--- a/src/test_peer_message/test_peer_message.c
+++ b/src/test_peer_message/test_peer_message.c
@@ -18,16 +18,16 @@
 
 static bool accepts_seat_ask(const uint8_t *data, size_t size)
 {
-	wwh_seat_ask_t message;
+	wwh_vote_request_t message;
 
-	return wwh_seat_ask_decode(data, size, &message);
+	return wwh_vote_request_decode(data, size, &message);
 }
 
 static bool accepts_seat_answer(const uint8_t *data, size_t size)
 {
-	wwh_seat_answer_t message;
+	wwh_vote_answer_t message;
 
-	return wwh_seat_answer_decode(data, size, &message);
+	return wwh_vote_answer_decode(data, size, &message);
 }
 
 static bool accepts_loans(const uint8_t *data, size_t size)
@@ -81,8 +81,8 @@
 /* One message of each kind. */
 static void make_all(GBytes *bytes[KINDS])
 {
-	wwh_seat_ask_t seat_ask = { UINT64_MAX, INT64_MAX };
-	wwh_seat_answer_t seat_answer = { 1, 0, UINT64_MAX };
+	wwh_vote_request_t seat_ask = { UINT64_MAX, INT64_MAX };
+	wwh_vote_answer_t seat_answer = { 1, 0, UINT64_MAX };
 	wwh_loan_message_t loans;
 	wwh_drain_message_t drains;
 
@@ -93,8 +93,8 @@
 	wwh_drain_message_init(&drains);
 	drains.process = 7;
 	add_drain(&drains, "w1");
-	bytes[0] = wwh_seat_ask_encode(&seat_ask);
-	bytes[1] = wwh_seat_answer_encode(&seat_answer);
+	bytes[0] = wwh_vote_request_encode(&seat_ask);
+	bytes[1] = wwh_vote_answer_encode(&seat_answer);
 	bytes[2] = wwh_loan_message_encode(&loans);
 	bytes[3] = wwh_drain_message_encode(&drains);
 	for (int i = 0; i < KINDS; i++)
@@ -117,18 +117,18 @@
 static void plain_messages_come_back_as_sent(void **state)
 {
 	GBytes *bytes[KINDS];
-	wwh_seat_ask_t ask;
-	wwh_seat_answer_t answer;
+	wwh_vote_request_t ask;
+	wwh_vote_answer_t answer;
 	size_t size;
 	const uint8_t *data;
 
 	(void)state;
 	make_all(bytes);
 	data = data_of(bytes[0], &size);
-	assert_true(wwh_seat_ask_decode(data, size, &ask));
+	assert_true(wwh_vote_request_decode(data, size, &ask));
 	assert_true(ask.process == UINT64_MAX && ask.sent_ms == INT64_MAX);
 	data = data_of(bytes[1], &size);
-	assert_true(wwh_seat_answer_decode(data, size, &answer));
+	assert_true(wwh_vote_answer_decode(data, size, &answer));
 	assert_true(answer.process == 1 && answer.sent_ms == 0 &&
 		    answer.seats == UINT64_MAX);
 	free_all(bytes);
@@ -207,12 +207,12 @@
 
 static void values_outside_their_bounds_are_refused(void **state)
 {
-	wwh_seat_ask_t ask = { 1, -1 };
+	wwh_vote_request_t ask = { 1, -1 };
 	msgpack_sbuffer buffer;
 	msgpack_packer packer;
 
 	(void)state;
-	assert_null(wwh_seat_ask_encode(&ask));
+	assert_null(wwh_vote_request_encode(&ask));
 	msgpack_sbuffer_init(&buffer);
 	msgpack_packer_init(&packer, &buffer, msgpack_sbuffer_write);
 	msgpack_pack_array(&packer, 2);
--- a/src/test_request_table/test_request_table.c
+++ b/src/test_request_table/test_request_table.c
@@ -99,7 +99,7 @@
 {
 	for (int i = 0; i < SLOTS; i++) {
 		held[i] = begin(table, LONG_MS);
-		assert_true(wwh_request_next(held[i], -1, &starts[i]));
+		assert_true(wwh_request_wait_decision(held[i], -1, &starts[i]));
 		assert_int_equal(starts[i].type, WWH_DECISION_START);
 	}
 }
@@ -110,9 +110,9 @@
 
 	for (int i = 0; i < SLOTS; i++) {
 		finish(held[i], &starts[i]);
-		assert_true(wwh_request_next(held[i], -1, &end));
+		assert_true(wwh_request_wait_decision(held[i], -1, &end));
 		assert_int_equal(end.type, WWH_DECISION_END);
-		assert_false(wwh_request_next(held[i], -1, &end));
+		assert_false(wwh_request_wait_decision(held[i], -1, &end));
 		(void)wwh_request_end(held[i]);
 	}
 }
@@ -130,16 +130,16 @@
 	wwh_request_t *request = begin(table, LONG_MS);
 	wwh_decision_t decision;
 
-	assert_true(wwh_request_next(request, -1, &decision));
+	assert_true(wwh_request_wait_decision(request, -1, &decision));
 	assert_int_equal(decision.type, WWH_DECISION_START);
 	assert_string_equal(decision.minion, "m1");
 	assert_int_equal(wwh_request_table_minion_running(table, "m1"), 1);
 	finish(request, &decision);
 	assert_int_equal(wwh_request_table_minion_running(table, "m1"), 0);
-	assert_true(wwh_request_next(request, -1, &decision));
+	assert_true(wwh_request_wait_decision(request, -1, &decision));
 	assert_int_equal(decision.type, WWH_DECISION_END);
 	assert_int_equal(decision.kind, WWH_ERROR_NONE);
-	assert_false(wwh_request_next(request, -1, &decision));
+	assert_false(wwh_request_wait_decision(request, -1, &decision));
 	assert_false(wwh_request_end(request));
 	assert_idle(table);
 }
@@ -162,7 +162,7 @@
 	request = begin(table, LONG_MS);
 	assert_int_equal(wwh_request_table_waiting(table), 1);
 	close(ends[1]);
-	assert_false(wwh_request_next(request, ends[0], &decision));
+	assert_false(wwh_request_wait_decision(request, ends[0], &decision));
 	assert_int_equal(wwh_request_table_waiting(table), 0);
 	assert_false(wwh_request_end(request));
 	close(ends[0]);
@@ -206,7 +206,7 @@
 
 	fill(table, held, starts);
 	request = begin(table, 30);
-	assert_true(wwh_request_next(request, -1, &decision));
+	assert_true(wwh_request_wait_decision(request, -1, &decision));
 	assert_int_equal(decision.type, WWH_DECISION_END);
 	assert_int_equal(wwh_answer_for(decision.kind)->run, WWH_RUN_NOT_RUN);
 	assert_false(wwh_request_end(request));
@@ -262,7 +262,7 @@
 	fill(table, held, starts);
 	request = begin(table, LONG_MS);
 	wwh_request_table_close(table);
-	assert_true(wwh_request_next(request, -1, &decision));
+	assert_true(wwh_request_wait_decision(request, -1, &decision));
 	assert_int_equal(decision.type, WWH_DECISION_END);
 	assert_int_equal(decision.kind, WWH_ERROR_SHUTTING_DOWN);
 	assert_false(wwh_request_end(request));
@@ -287,7 +287,7 @@
 			(void)wwh_request_end(request);
 			continue;
 		}
-		while (wwh_request_next(request, -1, &decision)) {
+		while (wwh_request_wait_decision(request, -1, &decision)) {
 			if (decision.type == WWH_DECISION_START)
 				finish(request, &decision);
 			else
--- a/src/test_retry/test_retry.c
+++ b/src/test_retry/test_retry.c
@@ -42,7 +42,7 @@
 
 /*
  * A numbering job fails after it was sent. Run twice, it would give two
- * houses one address: only outcomes that surely did not run are tried again.
+ * houses one address: only outcomes that surely did not run are tried should_retry.
  */
 static void work_that_may_have_run_is_not_repeated(void **unused)
 {
@@ -53,7 +53,7 @@
 			       i == WWH_OUTCOME_CONNECT_FAILED;
 
 		attempt.idempotent = false;
-		assert_int_equal(decide(&attempt).again, not_run);
+		assert_int_equal(decide(&attempt).should_retry, not_run);
 		assert_int_equal(decide(&attempt).may_have_run, !not_run);
 	}
 }
@@ -64,7 +64,7 @@
 
 	(void)unused;
 	attempt.answer_begun = true;
-	assert_false(decide(&attempt).again);
+	assert_false(decide(&attempt).should_retry);
 	assert_int_equal(decide(&attempt).kind, WWH_ERROR_ANSWER_TRUNCATED);
 }
 
@@ -88,8 +88,8 @@
 	}
 	for (int32_t i = 0; i < WWH_ERROR_COUNT; i++)
 		assert_int_not_equal(
-			wwh_answer_for(
-				wwh_retry_truthful((wwh_error_kind_t)i, true))
+			wwh_answer_for(wwh_retry_reported_kind(
+					       (wwh_error_kind_t)i, true))
 				->run,
 			WWH_RUN_NOT_RUN);
 }
@@ -102,9 +102,9 @@
 
 	(void)unused;
 	for (int32_t i = 0; i < 1000; i++) {
-		wwh_retry_first_attempt(&budget);
+		wwh_retry_credit_first_attempt(&budget);
 		attempt.attempts = 1;
-		while (decide(&attempt).again)
+		while (decide(&attempt).should_retry)
 			attempt.attempts++;
 		attempts += attempt.attempts;
 	}
@@ -117,11 +117,11 @@
 
 	(void)unused;
 	attempt.remaining_ms = 20;
-	assert_false(decide(&attempt).again);
+	assert_false(decide(&attempt).should_retry);
 	attempt.remaining_ms = 1000;
 	attempt.other_minion = false;
 	attempt.retry_after_ms = 990;
-	assert_false(decide(&attempt).again);
+	assert_false(decide(&attempt).should_retry);
 }
 
 static void the_only_minion_is_given_the_time_it_asks_for(void **unused)
--- a/src/test_router/test_router.c
+++ b/src/test_router/test_router.c
@@ -105,10 +105,10 @@
 static void a_minion_without_ends_counts_as_stalled(void **unused)
 {
 	(void)unused;
-	assert_false(wwh_router_stalled(2000, 1, 1600, 20));
-	assert_true(wwh_router_stalled(2000, 1, 1400, 20));
-	assert_false(wwh_router_stalled(2000, 1, 1400, 200));
-	assert_false(wwh_router_stalled(2000, 0, 0, 20));
+	assert_false(wwh_router_is_stalled(2000, 1, 1600, 20));
+	assert_true(wwh_router_is_stalled(2000, 1, 1400, 20));
+	assert_false(wwh_router_is_stalled(2000, 1, 1400, 200));
+	assert_false(wwh_router_is_stalled(2000, 0, 0, 20));
 }
 
 int main(void)
--- a/src/test_seat/test_seat.c
+++ b/src/test_seat/test_seat.c
@@ -65,7 +65,7 @@
 		const wwh_seat_member_t *member = &node->table.members[i];
 
 		if (member->process == node->id && !member->evicted)
-			wwh_seat_lease_log(&node->lease, rig->now_ms);
+			wwh_seat_lease_renew_by_log(&node->lease, rig->now_ms);
 	}
 }
 
@@ -102,8 +102,8 @@
 		vote.member = other->id;
 		vote.seats = in_use(other);
 		vote.sent_ms = rig->now_ms;
-		wwh_seat_lease_member(&node->lease, &node->table, in_use(node),
-				      &vote);
+		wwh_seat_lease_renew_by_vote(&node->lease, &node->table,
+					     in_use(node), &vote);
 	}
 }
 
@@ -362,15 +362,15 @@
 	wwh_seat_table_init(&table, SEATS);
 	for (uint64_t i = 1; i <= 4; i++)
 		say(&table, WWH_SEAT_JOIN, i, 0, 0);
-	wwh_seat_lease_log(&lease, 0);
+	wwh_seat_lease_renew_by_log(&lease, 0);
 	assert_int_equal(lease.until_ms, WWH_SEAT_LEASE_MS);
 	/* Seats 0 to 2 are three of eight: no majority. */
-	wwh_seat_lease_member(&lease, &table, 0x01, &votes[0]);
-	wwh_seat_lease_member(&lease, &table, 0x01, &votes[1]);
+	wwh_seat_lease_renew_by_vote(&lease, &table, 0x01, &votes[0]);
+	wwh_seat_lease_renew_by_vote(&lease, &table, 0x01, &votes[1]);
 	assert_int_equal(lease.until_ms, WWH_SEAT_LEASE_MS);
-	wwh_seat_lease_member(&lease, &table, 0x01, &votes[2]);
+	wwh_seat_lease_renew_by_vote(&lease, &table, 0x01, &votes[2]);
 	assert_int_equal(lease.until_ms, 2000 + WWH_SEAT_LEASE_MS);
-	wwh_seat_lease_member(&lease, &table, 0x01, &votes[3]);
+	wwh_seat_lease_renew_by_vote(&lease, &table, 0x01, &votes[3]);
 	assert_int_equal(lease.until_ms, 2500 + WWH_SEAT_LEASE_MS);
 }
 
--- a/src/test_snapshot/test_snapshot.c
+++ b/src/test_snapshot/test_snapshot.c
@@ -236,9 +236,9 @@
 	left = wwh_snapshot_encode_intents(intents);
 	right = wwh_snapshot_encode_intents(restored);
 	assert_true(g_bytes_equal(left, right));
-	assert_int_equal(
-		wwh_intents_key(restored, FIXTURE_SERVICE, "key-0", NULL, NULL),
-		WWH_KEY_EXPIRED);
+	assert_int_equal(wwh_intents_lookup_key(restored, FIXTURE_SERVICE,
+						"key-0", NULL, NULL),
+			 WWH_KEY_EXPIRED);
 	for (gsize cut = 0; cut < size; cut += 31) {
 		wwh_intents_t *none;
 
@@ -294,9 +294,9 @@
 				  NULL, NULL, NULL);
 		wwh_record_clear(&record);
 	}
-	wwh_intents_key(restored, FIXTURE_SERVICE, "b", NULL, &view);
+	wwh_intents_lookup_key(restored, FIXTURE_SERVICE, "b", NULL, &view);
 	assert_false(view.body_kept);
-	wwh_intents_key(restored, FIXTURE_SERVICE, "a", NULL, &view);
+	wwh_intents_lookup_key(restored, FIXTURE_SERVICE, "a", NULL, &view);
 	assert_true(view.body_kept);
 	g_bytes_unref(bytes);
 	wwh_intents_delete(intents);
@@ -374,7 +374,7 @@
  */
 static void keepers_agree_on_where(void **unused)
 {
-	wwh_snapshot_keeper_t *keeper = wwh_snapshot_keeper_new(EVERY);
+	wwh_snapshot_generator_t *keeper = wwh_snapshot_generator_new(EVERY);
 	wwh_state_t *state = wwh_state_new();
 	wwh_record_t record;
 	int64_t upto;
@@ -382,27 +382,27 @@
 	(void)unused;
 	for (int64_t offset = 0; offset < 30; offset += 3) {
 		job_submit_record(&record, P1, "j", "p", true);
-		wwh_snapshot_keeper_state(keeper, state, offset);
+		wwh_snapshot_generator_update_state(keeper, state, offset);
 		wwh_state_apply(state, offset, &record, NULL);
 		wwh_record_clear(&record);
 	}
-	assert_non_null(wwh_snapshot_keeper_latest(keeper, &upto));
+	assert_non_null(wwh_snapshot_generator_latest(keeper, &upto));
 	assert_int_equal(upto, 24);
 	wwh_record_init(&record, WWH_RECORD_SNAPSHOT, P1);
 	record.body.snapshot.upto = upto;
 	record.body.snapshot.hash =
-		wwh_snapshot_hash(wwh_snapshot_keeper_latest(keeper, &upto));
-	assert_int_equal(wwh_snapshot_keeper_compare(keeper, &record),
+		wwh_snapshot_hash(wwh_snapshot_generator_latest(keeper, &upto));
+	assert_int_equal(wwh_snapshot_generator_compare(keeper, &record),
 			 WWH_SNAPSHOT_MATCH);
 	record.body.snapshot.hash++;
-	assert_int_equal(wwh_snapshot_keeper_compare(keeper, &record),
+	assert_int_equal(wwh_snapshot_generator_compare(keeper, &record),
 			 WWH_SNAPSHOT_MISMATCH);
 	record.body.snapshot.upto = 1;
-	assert_int_equal(wwh_snapshot_keeper_compare(keeper, &record),
+	assert_int_equal(wwh_snapshot_generator_compare(keeper, &record),
 			 WWH_SNAPSHOT_NOT_COMPARED);
 	wwh_record_clear(&record);
 	wwh_state_delete(state);
-	wwh_snapshot_keeper_delete(keeper);
+	wwh_snapshot_generator_delete(keeper);
 }
 
 int main(void)
--- a/src/test_standins/include/fleet_sim.h
+++ b/src/test_standins/include/fleet_sim.h
@@ -253,7 +253,7 @@
 	options.seed = sim->options.seed + (uint32_t)index;
 	options.slow_start_ms = sim->options.slow_start_ms;
 	options.reboot_ms = sim->options.reboot_ms;
-	options.rehearsal_ms = 60000;
+	options.rehearsal_duration_ms = 60000;
 	process->conductor = wwh_conductor_new(&options);
 	process->observations = wwh_observations_new();
 	g_queue_init(&process->held);
@@ -530,15 +530,16 @@
 		result.verdict = sim_append(sim, &action->record);
 	} else if (action->kind == WWH_ACTION_COMMAND) {
 		result.status = sim_command(sim, action);
-	} else if (action->kind == WWH_ACTION_LOOK) {
+	} else if (action->kind == WWH_ACTION_GET_STATUS) {
 		sim_look(sim, action, &result);
 	} else if (action->kind == WWH_ACTION_TASK) {
 		result.status = sim_order(sim, action);
 	}
 	if (lost && action->kind != WWH_ACTION_APPEND)
 		result.status = WWH_STATUS_UNKNOWN;
-	if (action->kind != WWH_ACTION_TELL)
-		wwh_conductor_result(process->conductor, &result, sim->now_ms);
+	if (action->kind != WWH_ACTION_LOG)
+		wwh_conductor_handle_result(process->conductor, &result,
+					    sim->now_ms);
 	else if (g_getenv("SIM_TELL"))
 		g_print("%lld %s: %s\n", (long long)sim->now_ms / 1000,
 			process->author, action->text);
@@ -553,10 +554,10 @@
 				    .kind = WWH_HOST_WORKER,
 				    .state = worker->host };
 
-		wwh_observations_requests(process->observations, worker->id,
-					  worker->requests);
+		wwh_observations_set_requests(process->observations, worker->id,
+					      worker->requests);
 		if (worker->host_ms + sim->options.list_lag_ms <= sim->now_ms)
-			wwh_observations_host(process->observations, &host);
+			wwh_observations_set_host(process->observations, &host);
 	}
 	for (guint i = 0; i < sim->tasks->len; i++) {
 		const sim_task_t *task = sim->tasks->pdata[i];
@@ -569,8 +570,8 @@
 			.used_memory_mb = 1024
 		};
 
-		wwh_observations_task(process->observations, &report,
-				      sim->now_ms);
+		wwh_observations_add_task_report(process->observations, &report,
+						 sim->now_ms);
 	}
 }
 
@@ -580,8 +581,8 @@
 	wwh_action_t action;
 
 	sim_observe(sim, process);
-	view = wwh_fleet_bridge_view(sim->state, process->observations,
-				     process->author, sim->now_ms);
+	view = wwh_fleet_bridge_create_view(sim->state, process->observations,
+					    process->author, sim->now_ms);
 	wwh_conductor_tick(process->conductor, sim->now_ms, view);
 	wwh_fleet_view_delete(view);
 	while (wwh_conductor_next_action(process->conductor, &action)) {
