--- a/src/libwaxwinghollow/entry_fleet.c
+++ b/src/libwaxwinghollow/entry_fleet.c
@@ -194,7 +194,7 @@
 
 	if (config == NULL)
 		return;
-	message->process = wwh_seat_process(fleet->entry->author);
+	message->process = wwh_seat_process_id(fleet->entry->author);
 	g_mutex_lock(&fleet->lock);
 	g_hash_table_iter_init(&iter, fleet->out_workers);
 	while (g_hash_table_iter_next(&iter, NULL, &value)) {
@@ -394,7 +394,7 @@
 			      int64_t now_ms)
 {
 	const wwh_seat_table_t *seats = wwh_state_seats(fleet->entry->state);
-	uint64_t own = wwh_seat_process(fleet->entry->author);
+	uint64_t own = wwh_seat_process_id(fleet->entry->author);
 	int32_t sum =
 		count_own_requests(fleet, fleet->entry->config, out->worker);
 
--- a/src/libwaxwinghollow/entry_seats.c
+++ b/src/libwaxwinghollow/entry_seats.c
@@ -65,7 +65,7 @@
 	wwh_seats_t *seats = g_new0(wwh_seats_t, 1);
 
 	seats->entry = entry;
-	seats->process = wwh_seat_process(entry->author);
+	seats->process = wwh_seat_process_id(entry->author);
 	g_mutex_init(&seats->lock);
 	wwh_seat_table_init(&seats->table, WWH_STATE_SEATS);
 	seats->all_acked_ms = g_hash_table_new_full(g_int64_hash, g_int64_equal,
@@ -368,10 +368,10 @@
 	wwh_seats_t *seats = search->seats;
 
 	(void)offset;
-	if (member_index(&seats->table, wwh_seat_process(author)) < 0 ||
+	if (member_index(&seats->table, wwh_seat_process_id(author)) < 0 ||
 	    !is_author_gone(seats, author))
 		return true;
-	search->gone = wwh_seat_process(author);
+	search->gone = wwh_seat_process_id(author);
 	search->gone_author = g_strdup(author);
 	return false;
 }
@@ -411,7 +411,7 @@
 	host = g_strndup(author, (gsize)(slash - author));
 	gone = (g_hash_table_contains(seats->gone_hosts, host) &&
 		wwh_entry_peers_is_dead(seats->entry->peers,
-					wwh_seat_process(author))) ||
+					wwh_seat_process_id(author))) ||
 	       strcmp(host, seats->entry->settings->process_id) == 0;
 	g_free(host);
 	return gone;
--- a/src/test_snapshot/test_snapshot.c
+++ b/src/test_snapshot/test_snapshot.c
@@ -58,12 +58,12 @@
 	rehearsal_record(&record, WWH_RECORD_REHEARSAL_START, "operator:dee",
 			 "r", WWH_DOMAIN_ZONE, "z01");
 	apply(state, &record);
-	submit_record(&record, ENTRY_1, "j1", "p000", false);
+	job_submit_record(&record, ENTRY_1, "j1", "p000", false);
 	apply(state, &record);
 	job_record(&record, WWH_RECORD_JOB_PLACE, ENTRY_1, "j1", "w0012",
 		   fence);
 	apply(state, &record);
-	submit_record(&record, ENTRY_1, "j2", "p000", true);
+	job_submit_record(&record, ENTRY_1, "j2", "p000", true);
 	apply(state, &record);
 	job_record(&record, WWH_RECORD_JOB_CANCEL, ENTRY_1, "j2", "",
 		   WWH_NO_OFFSET);
@@ -383,7 +383,7 @@
 
 	(void)unused;
 	for (int64_t offset = 0; offset < 30; offset += 3) {
-		submit_record(&record, ENTRY_1, "j", "p", true);
+		job_submit_record(&record, ENTRY_1, "j", "p", true);
 		wwh_snapshot_generator_update_state(generator, state, offset);
 		wwh_state_apply(state, offset, &record, NULL);
 		wwh_record_clear(&record);
