--- a/include/waxwinghollow/host_duties.h
+++ b/include/waxwinghollow/host_duties.h
@@ -133,8 +133,8 @@
 			      wwh_wave_order_t *order, int64_t now_ms);
 
 /*
- * One list of hosts: list_begin, list_host for each host, list_end. ok is false
- * if the list was not received to its end.
+ * One list of hosts: wwh_host_duties_list_begin, _list_host for each host, then
+ * _list_end. ok is false if the list was not received to its end.
  */
 void wwh_host_duties_list_begin(wwh_host_duties_t *duties);
 void wwh_host_duties_list_host(wwh_host_duties_t *duties,
